--- a/crates/cli/src/ops/rejected.rs
+++ b/crates/cli/src/ops/rejected.rs
@@ -5,7 +5,7 @@
 
 use heatherknot_edge::poison::fingerprint::Fingerprint;
 use heatherknot_edge::poison::status::{
-    CaseStatus, REJECTED_PATH, RELEASE_PATH, RELEASE_PURPOSE, Release, Which,
+    REJECTED_PATH, RELEASE_PATH, RELEASE_PURPOSE, ReleaseRequest, ReleaseTarget, SuspectStatus,
 };
 use heatherknot_http::{Body, RequestHead};
 use heatherknot_peer::Secret;
@@ -33,7 +33,7 @@
 #[derive(Debug, Serialize)]
 struct Row {
     #[serde(flatten)]
-    status: CaseStatus,
+    status: SuspectStatus,
     daemons: Vec<SocketAddr>,
 }
 
@@ -59,7 +59,7 @@
             "expected `release FINGERPRINT|route=NAME|all ADDRESS...`",
         ));
     };
-    let release = Release {
+    let release = ReleaseRequest {
         which: parse_which(which)?,
         dry_run: invocation.options.has(Opt::DryRun),
         operator: invocation
@@ -89,16 +89,16 @@
     Ok(Report::new(Exit::Ok, human, &rows))
 }
 
-fn parse_which(text: &str) -> Result<Which, CliError> {
+fn parse_which(text: &str) -> Result<ReleaseTarget, CliError> {
     if text == "all" {
-        return Ok(Which::All);
+        return Ok(ReleaseTarget::All);
     }
     if let Some(route) = text.strip_prefix("route=") {
-        return Ok(Which::Route(route.into()));
+        return Ok(ReleaseTarget::Route(route.into()));
     }
     let fingerprint: Result<Fingerprint, _> = text.parse();
     let wrong = |error| CliError::usage(format!("{error}, or route=NAME, or all"));
-    fingerprint.map(Which::Fingerprint).map_err(wrong)
+    fingerprint.map(ReleaseTarget::Fingerprint).map_err(wrong)
 }
 
 fn block_on<T>(task: impl Future<Output = T>) -> Result<T, CliError> {
@@ -113,7 +113,7 @@
     for address in addresses {
         let head = RequestHead::new(Method::GET, Uri::from_static(REJECTED_PATH));
         let listed = metrics_address::ask(*address, head, Body::empty(), timeout).await;
-        let statuses: Vec<CaseStatus> = match listed {
+        let statuses: Vec<SuspectStatus> = match listed {
             Ok(statuses) => statuses,
             Err(error) => {
                 failed.push(error.to_string());
@@ -135,10 +135,10 @@
 
 async fn release_at_first(
     addresses: &[SocketAddr],
-    release: &Release,
+    release: &ReleaseRequest,
     token: &str,
     timeout: Millis,
-) -> Result<(SocketAddr, Vec<CaseStatus>), CliError> {
+) -> Result<(SocketAddr, Vec<SuspectStatus>), CliError> {
     let mut causes = Vec::new();
     for address in addresses {
         let mut head = RequestHead::new(Method::POST, Uri::from_static(RELEASE_PATH));
--- a/crates/edge/src/call.rs
+++ b/crates/edge/src/call.rs
@@ -15,7 +15,7 @@
 use crate::hand_over::HandedWord;
 use crate::identify::{self, Unidentified};
 use crate::poison::fingerprint::{Fingerprint, Identity, KnownBody, quick_hash};
-use crate::poison::suspects::place_of;
+use crate::poison::suspects::placement_hash;
 use crate::presence;
 use crate::quota::meter::{Over, Verdict};
 use crate::switches::Mechanism;
@@ -126,7 +126,7 @@
 
     /// Has it go where its fingerprint leads.
     pub(crate) fn set_apart(&mut self, fingerprint: &Fingerprint) {
-        self.object = place_of(fingerprint);
+        self.object = placement_hash(fingerprint);
         self.is_apart = true;
     }
 
@@ -158,7 +158,9 @@
             HeldBody::Whole(_) => self.body.known(),
             HeldBody::Kept(kept) => KnownBody::Length(kept.known_len()),
         };
-        self.with_identity(cx, &body, |identity| quick_hash(identity, cx.poison.key()))
+        self.with_identity(cx, &body, |identity| {
+            quick_hash(identity, cx.poison.hash_key())
+        })
     }
 
     fn with_identity<T>(
--- a/crates/edge/src/context.rs
+++ b/crates/edge/src/context.rs
@@ -19,7 +19,7 @@
 use crate::lines::LineBudget;
 use crate::metrics::EdgeMetrics;
 use crate::pace::Pace;
-use crate::poison::Poison;
+use crate::poison::PoisonDetector;
 use crate::presence::{self, VmEntries, VmEntry};
 use crate::quota::state::Quota;
 use crate::reach::RouteReach;
@@ -93,7 +93,7 @@
     /// This VM's part in keeping to the quotas of client accounts.
     pub quota: Rc<Quota>,
     /// This VM's part in finding out requests that end servers.
-    pub poison: Rc<Poison>,
+    pub poison: Rc<PoisonDetector>,
     /// How far other regions are.
     pub distances: Distances,
     /// The log lines that tell of requests over their accounts' limits.
--- a/crates/edge/src/daemon.rs
+++ b/crates/edge/src/daemon.rs
@@ -26,7 +26,7 @@
 use crate::feed::Feed;
 use crate::homes::Homes;
 use crate::metrics::EdgeMetrics;
-use crate::poison::Poison;
+use crate::poison::PoisonDetector;
 use crate::poison::status::{REJECTED_PATH, RELEASE_PATH, RELEASE_PURPOSE};
 use crate::presence::VmEntries;
 use crate::quota::state::Quota;
@@ -234,11 +234,11 @@
     timer: &Timer,
     feed: &Rc<Feed>,
     methods: &mut MethodTable,
-) -> Rc<Poison> {
+) -> Rc<PoisonDetector> {
     let key = hash::digest(token(cfg, QUICK_PURPOSE).as_bytes());
-    let poison = Rc::new(Poison::new(timer.clone(), key));
+    let poison = Rc::new(PoisonDetector::new(timer.clone(), key));
     poison::exchange::register(methods, &poison, &cfg.domain);
-    poison::rows::follow(feed, &poison);
+    poison::records::subscribe(feed, &poison);
     poison
 }
 
@@ -379,7 +379,7 @@
     monoio::spawn(distance::run(Rc::clone(cx)));
     monoio::spawn(exchange::run(Rc::clone(cx)));
     monoio::spawn(poison::exchange::run(Rc::clone(cx)));
-    monoio::spawn(poison::rows::run(Rc::clone(cx)));
+    monoio::spawn(poison::records::run(Rc::clone(cx)));
     monoio::spawn(tick(Rc::clone(cx)));
     cx.membership.run(cx.net.clone());
 }
@@ -485,7 +485,7 @@
         Box::pin(async move {
             match req.head.path() {
                 ACCOUNTS_PATH => accounts_page(&cx),
-                REJECTED_PATH | RELEASE_PATH => poison::status::answer(&cx, req).await,
+                REJECTED_PATH | RELEASE_PATH => poison::status::handle(&cx, req).await,
                 _ => metrics_page(&cx),
             }
         })
--- a/crates/edge/src/forward.rs
+++ b/crates/edge/src/forward.rs
@@ -12,7 +12,7 @@
 use crate::hand_over;
 use crate::identify::Unidentified;
 use crate::pick::{self, Refusal};
-use crate::poison::guard::{self, Pass};
+use crate::poison::guard::{self, SendDecision};
 use crate::reply;
 use crate::story::{self, Sent};
 
@@ -86,12 +86,12 @@
 /// Answers a request that has a route: by the home of its server, or from here.
 pub(crate) async fn answer(cx: &Rc<EdgeContext>, mut call: Call) -> Response {
     let mut tries = Tries::default();
-    guard::read_body(cx, &call).await;
+    guard::read_body_if_suspected(cx, &call).await;
     // Asked before it is handed over as well: a home that has not heard of it yet would send it.
-    match guard::ask(cx, &call) {
-        Pass::Free => {}
-        Pass::Apart(fingerprint, _) => call.set_apart(&fingerprint),
-        Pass::Stopped(cause, come_back) => {
+    match guard::check(cx, &call) {
+        SendDecision::Unrestricted => {}
+        SendDecision::Isolated(fingerprint, _) => call.set_apart(&fingerprint),
+        SendDecision::Refused(cause, come_back) => {
             let refusal = Refusal::stopped(cause, come_back);
             let response = give_up(cx, &call, &mut tries, &refusal);
             story::tell(cx, &call, &tries, &response);
@@ -110,13 +110,13 @@
 
 async fn serve(cx: &Rc<EdgeContext>, call: &mut Call, tries: &mut Tries) -> Response {
     while call.body.is_there() {
-        let under_way = match guard::ask(cx, call) {
-            Pass::Free => None,
-            Pass::Apart(fingerprint, under_way) => {
+        let under_way = match guard::check(cx, call) {
+            SendDecision::Unrestricted => None,
+            SendDecision::Isolated(fingerprint, under_way) => {
                 call.set_apart(&fingerprint);
                 Some(under_way)
             }
-            Pass::Stopped(cause, come_back) => {
+            SendDecision::Refused(cause, come_back) => {
                 let refusal = Refusal::stopped(cause, come_back);
                 return give_up(cx, call, tries, &refusal);
             }
@@ -159,7 +159,7 @@
 ) -> Option<Response> {
     match attempt {
         Attempt::Answer(response) => {
-            guard::note_clean_run(cx, call);
+            guard::record_clean_run(cx, call);
             return Some(response);
         }
         Attempt::CallerGone => {
@@ -179,7 +179,7 @@
             tries.cause = cause;
         }
         Attempt::Failure(response) => {
-            guard::note_clean_run(cx, call);
+            guard::record_clean_run(cx, call);
             tries.note_may_have_run("the server failed");
             tries.failure = Some(response);
         }
@@ -190,7 +190,7 @@
         Attempt::Broken(cause) => {
             tries.note_may_have_run(cause);
             tries.failure = None;
-            guard::look_into_break(cx, call, &prospect.upstream).await;
+            guard::investigate_broken_connection(cx, call, &prospect.upstream).await;
         }
     }
     None
--- a/crates/edge/src/hand_over.rs
+++ b/crates/edge/src/hand_over.rs
@@ -140,7 +140,7 @@
         Outcome::Answered(response) => Some(response),
         Outcome::NotBegun(_) => None,
         Outcome::Broken(cause) => {
-            guard::look_into_home(cx, call, &peer);
+            guard::investigate_broken_handover(cx, call, &peer);
             tries.note_may_have_run(cause);
             (!call.route.idempotent).then(|| reply::unknown(cause))
         }
--- a/crates/edge/src/poison/crash.rs
+++ b/crates/edge/src/poison/crash.rs
@@ -9,13 +9,13 @@
 
 /// A question whether a server has ended, asked once for all requests that broke off together.
 #[derive(Clone, Default)]
-pub struct EndProbe {
+pub struct CrashProbe {
     /// Fires when the answer is there.
     done: Flag,
     has_ended: Rc<Cell<bool>>,
 }
 
-impl EndProbe {
+impl CrashProbe {
     /// Says whether the server is known to have ended.
     fn tells_end(&self) -> bool {
         self.done.is_fired() && self.has_ended.get()
@@ -36,20 +36,20 @@
     probe.has_ended.get()
 }
 
-fn probe(upstream: &Rc<Upstream>) -> EndProbe {
+fn probe(upstream: &Rc<Upstream>) -> CrashProbe {
     let mut held = upstream.end_probe.borrow_mut();
-    let is_of_use = |probe: &&EndProbe| !probe.done.is_fired() || probe.tells_end();
+    let is_of_use = |probe: &&CrashProbe| !probe.done.is_fired() || probe.tells_end();
     if let Some(probe) = held.as_ref().filter(is_of_use) {
         return probe.clone();
     }
-    let probe = EndProbe::default();
+    let probe = CrashProbe::default();
     *held = Some(probe.clone());
     // A task of its own: the request that asks first may be dropped, and others wait, too.
     monoio::spawn(ask(Rc::clone(upstream), probe.clone()));
     probe
 }
 
-async fn ask(upstream: Rc<Upstream>, probe: EndProbe) {
+async fn ask(upstream: Rc<Upstream>, probe: CrashProbe) {
     let reopened = upstream.pool.reopen().await;
     let is_refused = reopened.is_err_and(|error| error.is_refused());
     probe.has_ended.set(is_refused);
--- a/crates/edge/src/poison/exchange.rs
+++ b/crates/edge/src/poison/exchange.rs
@@ -11,7 +11,7 @@
 use log::debug;
 use serde::{Deserialize, Serialize};
 
-use super::Poison;
+use super::PoisonDetector;
 use super::suspects::{Case, Origin};
 use super::told::{News, Peers, audiences};
 use crate::context::EdgeContext;
@@ -37,7 +37,11 @@
 type AllTold = Rc<RefCell<Peers>>;
 
 /// Registers the method that takes cases in.
-pub(crate) fn register(methods: &mut MethodTable, poison: &Rc<Poison>, domain: &DomainName) {
+pub(crate) fn register(
+    methods: &mut MethodTable,
+    poison: &Rc<PoisonDetector>,
+    domain: &DomainName,
+) {
     let (poison, domain) = (Rc::clone(poison), domain.clone());
     methods.register(CASES, move |from, told: Cases| {
         let origin = match from.domain == domain {
--- a/crates/edge/src/poison/guard.rs
+++ b/crates/edge/src/poison/guard.rs
@@ -29,28 +29,28 @@
 const UNDER_WAY_RETURN: Millis = Millis(1_000);
 
 /// Whether a request may go to a server now.
-pub(crate) enum Pass {
+pub(crate) enum SendDecision {
     /// It may. Nothing speaks against it.
-    Free,
+    Unrestricted,
     /// It may, and counts as under way meanwhile. It goes where its fingerprint leads.
-    Apart(Fingerprint, UnderWay),
+    Isolated(Fingerprint, UnderWay),
     /// It may not, for this cause; when its caller may come back.
-    Stopped(&'static str, Millis),
+    Refused(&'static str, Millis),
 }
 
 /// Says whether a request may go to a server now.
-pub(crate) fn ask(cx: &EdgeContext, call: &Call) -> Pass {
+pub(crate) fn check(cx: &EdgeContext, call: &Call) -> SendDecision {
     let Some(fingerprint) = find(cx, call) else {
-        return Pass::Free;
+        return SendDecision::Unrestricted;
     };
     let judgement = cx.poison.suspects().judge(&fingerprint, cx.now());
     match judgement {
-        Judgement::Free => Pass::Free,
-        Judgement::Rejected => Pass::Stopped(REJECTED, REJECTED_RETURN),
-        Judgement::Wait(left) => Pass::Stopped("servers ended under it just now", left),
+        Judgement::Free => SendDecision::Unrestricted,
+        Judgement::Rejected => SendDecision::Refused(REJECTED, REJECTED_RETURN),
+        Judgement::Wait(left) => SendDecision::Refused("servers ended under it just now", left),
         Judgement::Apart => match cx.poison.begin(fingerprint) {
-            Some(under_way) => Pass::Apart(fingerprint, under_way),
-            None => Pass::Stopped(
+            Some(under_way) => SendDecision::Isolated(fingerprint, under_way),
+            None => SendDecision::Refused(
                 "servers ended under one like it that is under way",
                 UNDER_WAY_RETURN,
             ),
@@ -73,7 +73,7 @@
 }
 
 /// Reads the rest of a long body where only that tells whether its request is known.
-pub(crate) async fn read_body(cx: &EdgeContext, call: &Call) {
+pub(crate) async fn read_body_if_suspected(cx: &EdgeContext, call: &Call) {
     let is_doubtful = {
         let suspects = cx.poison.suspects();
         !suspects.is_empty() && suspects.knows_quick(call.quick_hash(cx))
@@ -84,7 +84,7 @@
 }
 
 /// Takes in that a request ran and its server lived.
-pub(crate) fn note_clean_run(cx: &EdgeContext, call: &Call) {
+pub(crate) fn record_clean_run(cx: &EdgeContext, call: &Call) {
     if cx.switches.has(Mechanism::Poison) {
         cx.poison
             .note_clean_run(call.quick_hash(cx), find(cx, call));
@@ -102,7 +102,11 @@
 
 /// Finds out whether the server has ended to which a request's connection broke, and takes that in.
 /// Waits for the word where the request may be sent again.
-pub(crate) async fn look_into_break(cx: &Rc<EdgeContext>, call: &Call, upstream: &Rc<Upstream>) {
+pub(crate) async fn investigate_broken_connection(
+    cx: &Rc<EdgeContext>,
+    call: &Call,
+    upstream: &Rc<Upstream>,
+) {
     let broken = Broken {
         subject: subject_of(cx, call),
         id: call.id(cx).to_owned(),
@@ -145,7 +149,7 @@
 
 /// Finds out whether the home has ended to which a request was handed over, and takes that in: a
 /// request may end the daemons that read it as well as the servers that run it.
-pub(crate) fn look_into_home(cx: &Rc<EdgeContext>, call: &Call, peer: &Rc<HomePeer>) {
+pub(crate) fn investigate_broken_handover(cx: &Rc<EdgeContext>, call: &Call, peer: &Rc<HomePeer>) {
     if !cx.switches.has(Mechanism::Poison) {
         return;
     }
--- a/crates/edge/src/poison/mod.rs
+++ b/crates/edge/src/poison/mod.rs
@@ -9,17 +9,17 @@
 //! - [`suspects`] holds the cases and says which are rejected, [`clean_runs`] what speaks for a
 //!   request;
 //! - [`guard`] decides at each send whether the request may go;
-//! - [`told`] says whom a VM tells what, [`exchange`] does it, [`rows`] keeps rejected requests in the platform's store.
+//! - [`told`] says whom a VM tells what, [`exchange`] does it, [`records`] keeps rejected requests in the platform's store.
 
 pub mod clean_runs;
 pub(crate) mod crash;
 pub mod exchange;
 pub mod fingerprint;
 pub(crate) mod guard;
-pub(crate) mod rows;
+pub(crate) mod records;
 mod state;
 pub mod status;
 pub mod suspects;
 pub mod told;
 
-pub use state::Poison;
+pub use state::PoisonDetector;
--- a/crates/edge/src/poison/rows.rs
+++ b/crates/edge/src/poison/records.rs
@@ -10,7 +10,7 @@
 use log::{info, warn};
 use serde::{Deserialize, Serialize};
 
-use super::Poison;
+use super::PoisonDetector;
 use super::fingerprint::Fingerprint;
 use super::suspects::{Case, Held, Origin, Standing};
 use crate::context::EdgeContext;
@@ -50,7 +50,7 @@
 }
 
 /// Has rows of the store taken in as they come.
-pub(crate) fn follow(feed: &Rc<Feed>, poison: &Rc<Poison>) {
+pub(crate) fn subscribe(feed: &Rc<Feed>, poison: &Rc<PoisonDetector>) {
     let poison = Rc::clone(poison);
     feed.follow_keys(ROW_KEYS, move |change| {
         let Some(value) = &change.known.value else {
--- a/crates/edge/src/poison/state.rs
+++ b/crates/edge/src/poison/state.rs
@@ -13,7 +13,7 @@
 use super::suspects::{Case, EndId, Origin, Standing, Subject, Suspects};
 
 /// One VM's part in finding out requests that end servers.
-pub struct Poison {
+pub struct PoisonDetector {
     timer: Timer,
     /// What quick hashes are made with: nobody else can make two requests with the same one.
     key: u64,
@@ -29,7 +29,7 @@
 
 /// Counts a suspected request as under way for as long as it lives.
 pub(crate) struct UnderWay {
-    poison: Rc<Poison>,
+    poison: Rc<PoisonDetector>,
     fingerprint: Fingerprint,
 }
 
@@ -40,7 +40,7 @@
     }
 }
 
-impl Poison {
+impl PoisonDetector {
     /// Makes the part of a VM that knows nothing.
     pub fn new(timer: Timer, key: u64) -> Self {
         Self {
@@ -56,7 +56,7 @@
     }
 
     /// Gives what quick hashes are made with.
-    pub(crate) fn key(&self) -> u64 {
+    pub(crate) fn hash_key(&self) -> u64 {
         self.key
     }
 
--- a/crates/edge/src/poison/status.rs
+++ b/crates/edge/src/poison/status.rs
@@ -11,7 +11,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::fingerprint::Fingerprint;
-use super::rows::{self, Row};
+use super::records::{self, Row};
 use super::suspects::{Held, Standing};
 use crate::context::EdgeContext;
 
@@ -26,7 +26,7 @@
 
 /// What one VM knows of one request.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct CaseStatus {
+pub struct SuspectStatus {
     /// Which request.
     pub fingerprint: Fingerprint,
     /// Whether it is rejected; else it is suspected.
@@ -50,7 +50,7 @@
 /// What an operator wants to release.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Which {
+pub enum ReleaseTarget {
     /// One request.
     Fingerprint(Fingerprint),
     /// All of a route.
@@ -62,28 +62,28 @@
 /// A release of requests.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Release {
+pub struct ReleaseRequest {
     /// Which.
-    pub which: Which,
+    pub which: ReleaseTarget,
     /// Whether it is only to be told which they would be.
     pub dry_run: bool,
     /// Who releases them, for the audit trail.
     pub operator: String,
 }
 
-impl Which {
+impl ReleaseTarget {
     fn holds(&self, held: &Held) -> bool {
         let subject = &held.case.subject;
         match self {
-            Which::Fingerprint(fingerprint) => subject.fingerprint == *fingerprint,
-            Which::Route(route) => subject.route == *route,
-            Which::All => true,
+            ReleaseTarget::Fingerprint(fingerprint) => subject.fingerprint == *fingerprint,
+            ReleaseTarget::Route(route) => subject.route == *route,
+            ReleaseTarget::All => true,
         }
     }
 }
 
 /// Answers on the metrics address where the path is one of these; else gives nothing.
-pub(crate) async fn answer(cx: &Rc<EdgeContext>, req: Request) -> Response {
+pub(crate) async fn handle(cx: &Rc<EdgeContext>, req: Request) -> Response {
     match (req.head.path(), &req.head.method) {
         (REJECTED_PATH, &Method::GET) => json(&statuses(cx, |_| true)),
         (RELEASE_PATH, &Method::POST) => release(cx, req).await,
@@ -106,7 +106,7 @@
         Ok(body) => body,
         Err(error) => return Response::text(error.status(), format!("{error}\n")),
     };
-    let release: Release = match serde_json::from_slice(&body) {
+    let release: ReleaseRequest = match serde_json::from_slice(&body) {
         Ok(release) => release,
         Err(error) => {
             return Response::text(StatusCode::BAD_REQUEST, format!("release: {error}\n"));
@@ -131,24 +131,24 @@
     told.is_some_and(|told| crate::hand_over::is_same(told, token))
 }
 
-fn statuses(cx: &EdgeContext, is_wanted: impl Fn(&Held) -> bool) -> Vec<CaseStatus> {
+fn statuses(cx: &EdgeContext, is_wanted: impl Fn(&Held) -> bool) -> Vec<SuspectStatus> {
     let suspects = cx.poison.suspects();
     let now = cx.now();
     let of = |held: &Held| {
         let subject = &held.case.subject;
-        let row = rows::row_of(cx, &subject.fingerprint);
+        let row = records::row_of(cx, &subject.fingerprint);
         let standing = suspects.standing(&subject.fingerprint);
         status_of(held, standing, row.as_ref(), now)
     };
     let known = suspects.all().filter(|held| !held.case.ends.is_empty());
-    let mut all: Vec<CaseStatus> = known.filter(|held| is_wanted(held)).map(of).collect();
+    let mut all: Vec<SuspectStatus> = known.filter(|held| is_wanted(held)).map(of).collect();
     all.sort_by_key(|status| (!status.is_rejected, status.fingerprint));
     all
 }
 
-fn status_of(held: &Held, standing: Standing, row: Option<&Row>, now: Millis) -> CaseStatus {
+fn status_of(held: &Held, standing: Standing, row: Option<&Row>, now: Millis) -> SuspectStatus {
     let subject = &held.case.subject;
-    CaseStatus {
+    SuspectStatus {
         fingerprint: subject.fingerprint,
         is_rejected: standing == Standing::Rejected,
         route: Arc::clone(&subject.route),
@@ -157,7 +157,7 @@
         changed_ms_ago: now.since(held.changed),
         written_s: row.map(|row| row.at_s),
         written_by: row.map(|row| row.by.clone()),
-        until_s: row.map(|row| row.at_s + rows::KEPT_FOR_S),
+        until_s: row.map(|row| row.at_s + records::KEPT_FOR_S),
     }
 }
 
--- a/crates/edge/src/poison/suspects.rs
+++ b/crates/edge/src/poison/suspects.rs
@@ -135,7 +135,7 @@
 }
 
 /// Gives the number by which a suspected request is placed, in the stead of its object.
-pub fn place_of(fingerprint: &Fingerprint) -> u64 {
+pub fn placement_hash(fingerprint: &Fingerprint) -> u64 {
     hash::digest(fingerprint.as_bytes())
 }
 
--- a/crates/edge/src/upstream.rs
+++ b/crates/edge/src/upstream.rs
@@ -9,7 +9,7 @@
 use heatherknot_types::prelude::*;
 
 use crate::ewma::{Ewma, fade};
-use crate::poison::crash::EndProbe;
+use crate::poison::crash::CrashProbe;
 use crate::registration::Registration;
 
 /// Objects that are remembered of one backend server. Servers keep tens of objects at most,
@@ -63,7 +63,7 @@
     /// When it registered, on this process's clock.
     pub joined: Millis,
     /// The last question whether it has ended.
-    pub(crate) end_probe: RefCell<Option<EndProbe>>,
+    pub(crate) end_probe: RefCell<Option<CrashProbe>>,
     in_flight: Cell<u32>,
     others: Ewma,
     told_at: Cell<Millis>,
--- a/crates/edge/tests/support/poison_model.rs
+++ b/crates/edge/tests/support/poison_model.rs
@@ -8,7 +8,7 @@
 use heatherknot_edge::poison::exchange::{AGAIN, GATHER};
 use heatherknot_edge::poison::fingerprint::Fingerprint;
 use heatherknot_edge::poison::suspects::{
-    Case, EndId, Judgement, Origin, Standing, Subject, Suspects, place_of,
+    Case, EndId, Judgement, Origin, Standing, Subject, Suspects, placement_hash,
 };
 use heatherknot_edge::poison::told::{News, Peers, audiences};
 use heatherknot_edge::presence::VmEntry;
@@ -483,7 +483,7 @@
     fn choose(&self, call: &Call, is_apart: bool) -> Option<usize> {
         let vm = &self.vms[call.vm];
         let object = match is_apart {
-            true => place_of(&call.fingerprint),
+            true => placement_hash(&call.fingerprint),
             false => hash::digest(&call.fingerprint.as_bytes()[..15]),
         };
         let reached = |n: usize| !(vm.is_cut && self.servers[n].domain != vm.domain);
