--- a/crates/edge/src/budget.rs
+++ b/crates/edge/src/budget.rs
@@ -36,13 +36,13 @@
     }
 
     /// Counts a request for the service.
-    pub fn request(&mut self, now: Millis) {
+    pub fn record_request(&mut self, now: Millis) {
         self.requests.add(now, 1.0);
     }
 
     /// Takes one further send, where the budget has it; `vms` is the number of VMs that may
     /// be sending.
-    pub fn take(&mut self, now: Millis, vms: usize) -> bool {
+    pub fn try_take(&mut self, now: Millis, vms: usize) -> bool {
         let own_slack = self.slack / vms.max(1) as f64;
         let most = USED_PART * (self.ratio * self.requests.total(now) + own_slack);
         if self.further.total(now) + 1.0 > most {
--- a/crates/edge/src/call.rs
+++ b/crates/edge/src/call.rs
@@ -12,8 +12,8 @@
 use crate::accounts::{Account, AllowedRegions};
 use crate::catalog::{Catalog, Route};
 use crate::context::{EdgeContext, ServiceState};
-use crate::hand_over::HandedWord;
-use crate::identify::{self, Unidentified};
+use crate::hand_over::HandOverHeader;
+use crate::identify::{self, IdentifyError};
 use crate::poison::fingerprint::{Fingerprint, Identity, KnownBody, quick_hash};
 use crate::poison::suspects::placement_hash;
 use crate::presence;
@@ -195,7 +195,7 @@
     /// Its route leads to no service.
     NoTarget,
     /// It is not known whose it is.
-    Unidentified(Unidentified),
+    Unidentified(IdentifyError),
     /// Its route and its client account allow no region in common.
     NoRegion,
     /// It goes beyond the limit of its client account.
@@ -218,8 +218,8 @@
             Self::NoRoute => "no route takes this host and path",
             Self::UnreadRoute => "its route may be one that can't be read",
             Self::NoTarget => "the route has no service",
-            Self::Unidentified(Unidentified::NoAccount) => "it bears no key of a client account",
-            Self::Unidentified(Unidentified::Unsure) => {
+            Self::Unidentified(IdentifyError::NoAccount) => "it bears no key of a client account",
+            Self::Unidentified(IdentifyError::UnreadableAccount) => {
                 "its key may be that of an account that can't be read"
             }
             Self::NoRegion => "its route and its account allow no region in common",
@@ -264,11 +264,11 @@
     })?;
     let names = &cx.dialect.headers;
     let account = match is_handed {
-        true => identify::identified(&catalog, &route, names, head),
+        true => identify::account_named_by_peer(&catalog, &route, names, head),
         false => identify::identify(&catalog, &route, names, head),
     };
     let account = account.map_err(Unroutable::Unidentified)?;
-    identify::name_account(names, head, account.as_deref());
+    identify::set_account_header(names, head, account.as_deref());
     let regions = allowed_regions(&route, account.as_deref());
     if regions.are_none() {
         return Err(Unroutable::NoRegion);
@@ -290,7 +290,7 @@
 pub(crate) async fn admit(
     cx: &EdgeContext,
     req: Request,
-    handed: Option<HandedWord>,
+    handed: Option<HandOverHeader>,
 ) -> Result<Call, Unroutable> {
     let started = cx.now();
     let mut head = req.head;
--- a/crates/edge/src/context.rs
+++ b/crates/edge/src/context.rs
@@ -67,15 +67,15 @@
     /// The VMs' entries in the store.
     pub entries: Rc<VmEntries>,
     /// Whether those entries were read since this process started.
-    pub knows_vms: Cell<bool>,
+    pub has_read_vm_entries: Cell<bool>,
     /// How long the store took to answer this VM's first question.
-    pub store_way: Cell<Option<Millis>>,
+    pub store_latency: Cell<Option<Millis>>,
     /// Who hears from whom.
     pub relay: RefCell<Rc<Relay>>,
     /// The VMs that are there, as they were looked for last.
     pub vms: RefCell<Rc<Vec<VmEntry>>>,
     /// The most VMs that were ever known at once; zero until all keys of the store were heard of.
-    pub most_vms: Cell<usize>,
+    pub max_vms_seen: Cell<usize>,
     /// What is learned of each service.
     pub services: RefCell<HashMap<ServiceName, Rc<ServiceState>>>,
     /// How requests of routes with several targets were shared, by route.
@@ -120,9 +120,9 @@
     /// Which part of the objects other regions serve.
     pub spill: Spill,
     /// How many requests this VM sent to each region.
-    pub sent: RegionCounts,
+    pub sent_by_region: RegionCounts,
     /// Which part of its room each region leaves to requests that may run anywhere.
-    pub parts: RegionParts,
+    pub region_shares: RegionParts,
     /// Where objects are put, as far as this VM is the home of their servers.
     pub spread: Spread,
     /// When each cold backend server may get its next request from this VM.
@@ -144,8 +144,8 @@
                 budget: RefCell::new(RetryBudget::new(&self.bounds)),
                 asked: RefCell::new(Window::new(IDLE_KEPT)),
                 spill: Spill::default(),
-                sent: RegionCounts::default(),
-                parts: RegionParts::default(),
+                sent_by_region: RegionCounts::default(),
+                region_shares: RegionParts::default(),
                 spread: Spread::default(),
                 cold_next: RefCell::default(),
             })
@@ -164,10 +164,10 @@
     /// A VM that has just started knows those of its own domain, which may be few of hundreds.
     /// Were the shared part of a budget divided by those, a start of all VMs would overdraw it.
     pub fn vms_that_may_send(&self) -> usize {
-        if self.most_vms.get() == 0 {
+        if self.max_vms_seen.get() == 0 {
             presence::refresh(self);
         }
-        let seen = match self.most_vms.get() {
+        let seen = match self.max_vms_seen.get() {
             0 => return usize::MAX,
             seen => seen,
         };
--- a/crates/edge/src/daemon.rs
+++ b/crates/edge/src/daemon.rs
@@ -202,11 +202,11 @@
         membership,
         net,
         entries,
-        knows_vms: Cell::new(false),
-        store_way: Cell::new(None),
+        has_read_vm_entries: Cell::new(false),
+        store_latency: Cell::new(None),
         relay: RefCell::default(),
         vms: RefCell::default(),
-        most_vms: Cell::new(0),
+        max_vms_seen: Cell::new(0),
         services: RefCell::default(),
         splits: RefCell::default(),
         routes: RefCell::default(),
@@ -391,7 +391,7 @@
     let me = &cx.cfg.vm;
     let is_first_reading = cx.feed.is_patient() && relay.is_head(me, &cx.cfg.domain);
     let stands_in = cx.feed.stands_in() && relay.is_leader(me, &cx.cfg.domain);
-    cx.knows_vms.get() && (relay.reads_store(me) || is_first_reading || stands_in)
+    cx.has_read_vm_entries.get() && (relay.reads_store(me) || is_first_reading || stands_in)
 }
 
 /// Gives the pause between two tries of a store that does not answer, by a VM that is not one of
@@ -450,7 +450,7 @@
 fn ready_handler(cx: &Rc<EdgeContext>) -> Handler {
     let cx = Rc::clone(cx);
     Rc::new(move |req| {
-        let status = match ((cx.dialect.asks_ready)(&req), cx.is_ready()) {
+        let status = match ((cx.dialect.is_readiness_check)(&req), cx.is_ready()) {
             (false, _) => StatusCode::NOT_FOUND,
             (true, true) => StatusCode::OK,
             (true, false) => StatusCode::SERVICE_UNAVAILABLE,
--- a/crates/edge/src/dialect.rs
+++ b/crates/edge/src/dialect.rs
@@ -34,7 +34,7 @@
     /// Reads a request's object, by which sticky routes choose backend servers.
     pub object: ReadObject,
     /// Says whether a request asks whether this daemon is ready.
-    pub asks_ready: Rc<dyn Fn(&Request) -> bool>,
+    pub is_readiness_check: Rc<dyn Fn(&Request) -> bool>,
     /// Reads a look-up.
     pub lookup: ReadLookup,
     /// Writes the answer to a look-up.
@@ -68,10 +68,10 @@
     /// The catalog.
     pub catalog: &'static str,
     /// The beginning of the keys of backend servers.
-    pub servers: &'static str,
+    pub server_prefix: &'static str,
     /// The beginning of the keys that name failure domains whose backend servers are to get
     /// nothing.
-    pub evacuations: &'static str,
+    pub evacuation_prefix: &'static str,
 }
 
 /// A caller's question where to connect.
--- a/crates/edge/src/enter.rs
+++ b/crates/edge/src/enter.rs
@@ -47,7 +47,7 @@
             written = cx.now();
             is_entered = enter(&cx).await;
         }
-        if !cx.knows_vms.get() {
+        if !cx.has_read_vm_entries.get() {
             find_started_together(&cx).await;
         }
         delete_gone(&cx).await;
@@ -68,13 +68,13 @@
     if let Err(error) = found {
         info!(step:% = error.step, error:% = error.source; "the VMs' entries can't be read");
         cx.feed.end_patience();
-        cx.knows_vms.set(true);
+        cx.has_read_vm_entries.set(true);
         return false;
     }
-    cx.store_way.set(Some(cx.now().since(began)));
+    cx.store_latency.set(Some(cx.now().since(began)));
     let is_entered = shows_own_entry(cx);
     refresh(cx);
-    cx.knows_vms.set(is_entered);
+    cx.has_read_vm_entries.set(is_entered);
     is_entered
 }
 
@@ -90,7 +90,7 @@
         }
     }
     refresh(cx);
-    cx.knows_vms.set(true);
+    cx.has_read_vm_entries.set(true);
 }
 
 /// Says whether the copy of the store's keys has an entry of this VM that is still true.
--- a/crates/edge/src/forward.rs
+++ b/crates/edge/src/forward.rs
@@ -10,7 +10,7 @@
 use crate::choose::Prospect;
 use crate::context::EdgeContext;
 use crate::hand_over;
-use crate::identify::Unidentified;
+use crate::identify::IdentifyError;
 use crate::pick::{self, Refusal};
 use crate::poison::guard::{self, SendDecision};
 use crate::reply;
@@ -71,13 +71,13 @@
     let cause = unroutable.cause();
     match unroutable {
         Unroutable::NoRoute => reply::no_route(cause),
-        Unroutable::Unidentified(Unidentified::NoAccount) => reply::no_account(cause),
+        Unroutable::Unidentified(IdentifyError::NoAccount) => reply::no_account(cause),
         Unroutable::OverLimit(_, over) => reply::over_limit(cause, over.come_back),
         Unroutable::Body(error) => reply::bad_body(error.status(), cause),
         Unroutable::NoCatalog | Unroutable::UnreadRoute | Unroutable::NoTarget => {
             reply::not_run(cause, NO_CATALOG_RETURN)
         }
-        Unroutable::Unidentified(Unidentified::Unsure) | Unroutable::NoRegion => {
+        Unroutable::Unidentified(IdentifyError::UnreadableAccount) | Unroutable::NoRegion => {
             reply::not_run(cause, AMISS_RETURN)
         }
     }
@@ -102,7 +102,7 @@
         return response;
     }
     // A request that was handed over counts at the home, which makes its further sends.
-    call.state.budget.borrow_mut().request(call.started);
+    call.state.budget.borrow_mut().record_request(call.started);
     let response = serve(cx, &mut call, &mut tries).await;
     story::tell(cx, &call, &tries, &response);
     response
@@ -131,7 +131,8 @@
         tries.servers.push(prospect.upstream.id.clone());
         let at = cx.now();
         let is_callers = call.meant.is_none();
-        let _under_way = is_callers.then(|| call.state.sent.begin(&prospect.upstream.region));
+        let _under_way =
+            is_callers.then(|| call.state.sent_by_region.begin(&prospect.upstream.region));
         let attempt = attempt::send(cx, call, &prospect).await;
         drop(under_way);
         tries
@@ -215,7 +216,7 @@
         return within;
     }
     let mut budget = call.state.budget.borrow_mut();
-    budget.take(cx.now(), cx.vms_that_may_send())
+    budget.try_take(cx.now(), cx.vms_that_may_send())
 }
 
 /// Gives the final answer to a request that no server answered.
--- a/crates/edge/src/hand_over.rs
+++ b/crates/edge/src/hand_over.rs
@@ -37,7 +37,7 @@
 
 /// What another VM has decided of a request that it hands over.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct HandedWord {
+pub struct HandOverHeader {
     /// The version of the configuration that chose the route.
     pub version: u64,
     /// The service that runs it.
@@ -46,11 +46,11 @@
     pub server: UpstreamName,
 }
 
-impl HandedWord {
+impl HandOverHeader {
     /// Reads the header's value; nothing where its token is another one.
     pub fn parse(text: &str, token: &str) -> Option<Self> {
         let mut words = text.split(' ');
-        if !is_same(words.next()?, token) {
+        if !constant_time_eq(words.next()?, token) {
             return None;
         }
         let version = words.next()?.parse().ok()?;
@@ -72,7 +72,7 @@
 }
 
 /// Compares two tokens in a time that doesn't tell how much of them is the same.
-pub(crate) fn is_same(one: &str, other: &str) -> bool {
+pub(crate) fn constant_time_eq(one: &str, other: &str) -> bool {
     let pairs = one.bytes().zip(other.bytes());
     one.len() == other.len() && pairs.fold(0, |differs, (a, b)| differs | (a ^ b)) == 0
 }
@@ -128,7 +128,7 @@
         return None;
     }
     let began = cx.now();
-    let _under_way = call.state.sent.begin(&upstream.region);
+    let _under_way = call.state.sent_by_region.begin(&upstream.region);
     let outcome = send(cx, call, &peer, &upstream).await;
     let label = outcome.label();
     cx.metrics.handed.with_label_values(&[label]).inc();
@@ -217,7 +217,7 @@
 }
 
 fn head_for(cx: &EdgeContext, call: &Call, to: &Upstream) -> Option<RequestHead> {
-    let word = HandedWord {
+    let word = HandOverHeader {
         version: call.catalog.version,
         service: call.service.clone(),
         server: to.id.clone(),
@@ -282,7 +282,7 @@
 /// Answers a request that another VM has handed over.
 pub(crate) async fn handle(cx: Rc<EdgeContext>, mut req: Request) -> Response {
     let value = req.head.headers.remove(HANDED);
-    let word = value.and_then(|v| HandedWord::parse(v.to_str().ok()?, &cx.handed_token));
+    let word = value.and_then(|v| HandOverHeader::parse(v.to_str().ok()?, &cx.handed_token));
     let Some(word) = word else {
         return declined("it names no server, or holds no token of this deployment");
     };
--- a/crates/edge/src/identify.rs
+++ b/crates/edge/src/identify.rs
@@ -11,11 +11,11 @@
 
 /// Why it is not known whose a request is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Unidentified {
+pub enum IdentifyError {
     /// It bears no key of any account, or more than one key.
     NoAccount,
     /// Its key may be that of an account that can't be read.
-    Unsure,
+    UnreadableAccount,
 }
 
 /// Finds the client account of a caller's request.
@@ -31,15 +31,15 @@
     route: &Route,
     names: &HeaderNames,
     head: &RequestHead,
-) -> Result<Option<Arc<Account>>, Unidentified> {
+) -> Result<Option<Arc<Account>>, IdentifyError> {
     let Some(accounts) = catalog.accounts() else {
         return Ok(None);
     };
     match (owner(accounts, names, &head.headers), route.public) {
         (KeyOwner::Account(account), _) => Ok(Some(account)),
         (KeyOwner::Unsure | KeyOwner::Nobody, true) => Ok(None),
-        (KeyOwner::Unsure, false) => Err(Unidentified::Unsure),
-        (KeyOwner::Nobody, false) => Err(Unidentified::NoAccount),
+        (KeyOwner::Unsure, false) => Err(IdentifyError::UnreadableAccount),
+        (KeyOwner::Nobody, false) => Err(IdentifyError::NoAccount),
     }
 }
 
@@ -57,12 +57,12 @@
 /// # Errors
 ///
 /// Fails where there is no such account here, or it names none on a route that needs one.
-pub fn identified(
+pub fn account_named_by_peer(
     catalog: &Catalog,
     route: &Route,
     names: &HeaderNames,
     head: &RequestHead,
-) -> Result<Option<Arc<Account>>, Unidentified> {
+) -> Result<Option<Arc<Account>>, IdentifyError> {
     let Some(accounts) = catalog.accounts() else {
         return Ok(None);
     };
@@ -70,7 +70,7 @@
     match (named.and_then(|name| accounts.named(name)), route.public) {
         (Some(account), _) => Ok(Some(Arc::clone(account))),
         (None, true) if named.is_none() => Ok(None),
-        (None, _) => Err(Unidentified::NoAccount),
+        (None, _) => Err(IdentifyError::NoAccount),
     }
 }
 
@@ -79,7 +79,7 @@
 ///
 /// A server trusts the account that it is told. A caller that could set that header would act
 /// for any account, and a server that saw the key could act for the caller.
-pub fn name_account(names: &HeaderNames, head: &mut RequestHead, account: Option<&Account>) {
+pub fn set_account_header(names: &HeaderNames, head: &mut RequestHead, account: Option<&Account>) {
     head.headers.remove(&names.key);
     head.headers.remove(&names.account);
     let value = account.and_then(|account| HeaderValue::from_str(account.name.as_str()).ok());
--- a/crates/edge/src/metrics.rs
+++ b/crates/edge/src/metrics.rs
@@ -20,7 +20,7 @@
     /// Sends to backend servers by service and result.
     pub sends: IntCounterVec,
     /// Requests that a backend server had when it ended, by service.
-    pub server_ends: IntCounterVec,
+    pub requests_at_server_end: IntCounterVec,
     /// Requests handed to the homes of their servers, by result.
     pub handed: IntCounterVec,
     /// Refusals by service and cause.
@@ -69,7 +69,7 @@
                 "Sends to backend servers by service and result",
                 &["service", "result"],
             )?,
-            server_ends: counters(
+            requests_at_server_end: counters(
                 "heatherknot_requests_at_server_ends_total",
                 "Requests that a backend server had when it ended, by service",
                 &["service"],
--- a/crates/edge/src/peer_feed.rs
+++ b/crates/edge/src/peer_feed.rs
@@ -141,7 +141,7 @@
 pub async fn run(cx: Rc<EdgeContext>) {
     let mut avoided = HashMap::new();
     loop {
-        let knows_nobody = cx.feed.is_patient() && !cx.knows_vms.get();
+        let knows_nobody = cx.feed.is_patient() && !cx.has_read_vm_entries.get();
         let has_the_store = cx.feed.is_to_watch() && cx.feed.is_fresh();
         if cx.leaving.is_fired() || has_the_store || knows_nobody {
             cx.timer.wait(cx.feed.idle_pause()).await;
@@ -182,7 +182,7 @@
 /// one after the other and a second in all; a seed near the store has the whole copy by then, and
 /// gives it in one answer.
 pub async fn ask_seeds_first(cx: Rc<EdgeContext>) {
-    while !cx.knows_vms.get() {
+    while !cx.has_read_vm_entries.get() {
         cx.timer.wait(cx.feed.idle_pause()).await;
     }
     if !cx.relay.borrow().is_head(&cx.cfg.vm, &cx.cfg.domain) {
--- a/crates/edge/src/pick.rs
+++ b/crates/edge/src/pick.rs
@@ -136,7 +136,7 @@
     if call.meant.is_some() {
         return Place::Region;
     }
-    call.state.parts.note_use();
+    call.state.region_shares.note_use();
     let route = cx.route(&call.route.name);
     route.place(call.object, &call.state.spill, cx.switches)
 }
--- a/crates/edge/src/poison/guard.rs
+++ b/crates/edge/src/poison/guard.rs
@@ -136,7 +136,10 @@
     let others = upstream.in_flight();
     if crash::has_ended(&upstream).await {
         let service = upstream.service.as_str();
-        cx.metrics.server_ends.with_label_values(&[service]).inc();
+        cx.metrics
+            .requests_at_server_end
+            .with_label_values(&[service])
+            .inc();
         info!(id = id.as_str(), fingerprint:% = subject.fingerprint, route:% = subject.route,
             upstream:% = upstream.id, service, others; "a backend server ended while it had a request");
         if cx.switches.has(Mechanism::Poison) {
--- a/crates/edge/src/poison/status.rs
+++ b/crates/edge/src/poison/status.rs
@@ -128,7 +128,7 @@
 fn is_operator(headers: &HeaderMap, token: &str) -> bool {
     let told = headers.get(AUTHORIZATION).and_then(|v| v.to_str().ok());
     let told = told.and_then(|text| text.strip_prefix("Bearer "));
-    told.is_some_and(|told| crate::hand_over::is_same(told, token))
+    told.is_some_and(|told| crate::hand_over::constant_time_eq(told, token))
 }
 
 fn statuses(cx: &EdgeContext, is_wanted: impl Fn(&Held) -> bool) -> Vec<SuspectStatus> {
--- a/crates/edge/src/presence.rs
+++ b/crates/edge/src/presence.rs
@@ -177,7 +177,7 @@
     }
     cx.metrics.vms.set(vms.len() as i64);
     if cx.feed.mirror().at() > StoreRevision(0) {
-        cx.most_vms.set(cx.most_vms.get().max(vms.len()));
+        cx.max_vms_seen.set(cx.max_vms_seen.get().max(vms.len()));
         cx.quota.note_vms(vms.len());
     }
     vms.sort_by(|a, b| a.name.cmp(&b.name));
@@ -225,6 +225,6 @@
             .listen
             .handed
             .filter(|_| cx.switches.has(Mechanism::HandOver)),
-        store_way: cx.store_way.get(),
+        store_way: cx.store_latency.get(),
     }
 }
--- a/crates/edge/src/spill_step.rs
+++ b/crates/edge/src/spill_step.rs
@@ -53,7 +53,7 @@
 /// Tells where requests for a service were sent, and where its threshold stands.
 fn tell_sent(cx: &EdgeContext, service: &ServiceName, now: Millis) {
     let state = cx.service(service);
-    if let Some(summary) = state.sent.take_summary(now) {
+    if let Some(summary) = state.sent_by_region.take_summary(now) {
         info!(service:% = service, requests = summary.requests, sent = summary.sent.as_str(),
             under_way = summary.under_way.as_str(), part_away = state.spill.part(),
             span_ms = summary.span.0; "requests sent to regions");
@@ -67,7 +67,7 @@
         true => bound,
         false => &[],
     };
-    let parts = &cx.service(service).parts;
+    let parts = &cx.service(service).region_shares;
     if bound.is_empty() && parts.are_whole() {
         return;
     }
--- a/crates/edge/src/world.rs
+++ b/crates/edge/src/world.rs
@@ -107,9 +107,9 @@
             let keys = self.dialect.keys.clone();
             if change.key == keys.catalog {
                 self.take_catalog(change);
-            } else if let Some(domain) = change.key.strip_prefix(keys.evacuations) {
+            } else if let Some(domain) = change.key.strip_prefix(keys.evacuation_prefix) {
                 self.take_evacuation(domain, change.known.value.is_some());
-            } else if change.key.starts_with(keys.servers) {
+            } else if change.key.starts_with(keys.server_prefix) {
                 regrouped |= self.take_server(change, settled);
             }
         }
@@ -124,7 +124,7 @@
     /// Says whether peers need a change: an entry by which a backend server only says that
     /// it still lives is none. There are far more of those than of all others.
     pub fn matters(&self, change: &Change) -> bool {
-        let servers = self.dialect.keys.servers;
+        let servers = self.dialect.keys.server_prefix;
         let Some(value) = change
             .known
             .value
@@ -218,7 +218,7 @@
 
     /// Takes in a registration; says whether the set of servers changed.
     fn take_server(&mut self, change: &Change, settled: bool) -> bool {
-        let id = UpstreamName::from(&change.key[self.dialect.keys.servers.len()..]);
+        let id = UpstreamName::from(&change.key[self.dialect.keys.server_prefix.len()..]);
         let Some(value) = &change.known.value else {
             return match settled {
                 true => self.remove(&id, "its entry was removed"),
--- a/crates/edge/tests/accounts.rs
+++ b/crates/edge/tests/accounts.rs
@@ -7,7 +7,9 @@
 };
 use heatherknot_edge::catalog::{Catalog, CatalogParts, Route};
 use heatherknot_edge::dialect::HeaderNames;
-use heatherknot_edge::identify::{Unidentified, identified, identify, name_account};
+use heatherknot_edge::identify::{
+    IdentifyError, account_named_by_peer, identify, set_account_header,
+};
 use heatherknot_http::RequestHead;
 use heatherknot_test_support::property::check;
 use http::{HeaderName, HeaderValue, Method, Uri};
@@ -75,7 +77,7 @@
     header_names()
 }
 
-fn name_of(found: Result<Option<std::sync::Arc<Account>>, Unidentified>) -> Option<String> {
+fn name_of(found: Result<Option<std::sync::Arc<Account>>, IdentifyError>) -> Option<String> {
     found.ok()?.map(|account| account.name.to_string())
 }
 
@@ -93,8 +95,8 @@
     assert_eq!(name_of(of(&open(), &keyed)).as_deref(), Some("north"));
     assert_eq!(of(&open(), &bare), Ok(None));
     assert_eq!(of(&open(), &wrong), Ok(None));
-    assert_eq!(of(&closed(), &bare), Err(Unidentified::NoAccount));
-    assert_eq!(of(&closed(), &wrong), Err(Unidentified::NoAccount));
+    assert_eq!(of(&closed(), &bare), Err(IdentifyError::NoAccount));
+    assert_eq!(of(&closed(), &wrong), Err(IdentifyError::NoAccount));
     let none = Catalog::new(CatalogParts::default());
     assert_eq!(identify(&none, &closed(), &names, &bare), Ok(None));
 }
@@ -117,7 +119,7 @@
     for spelling in spellings {
         let headers: Vec<_> = spelling.iter().map(|value| (&names.key, *value)).collect();
         let found = identify(&catalog, &closed(), &names, &head(&headers));
-        assert_eq!(found, Err(Unidentified::NoAccount), "{spelling:?}");
+        assert_eq!(found, Err(IdentifyError::NoAccount), "{spelling:?}");
     }
 }
 
@@ -147,7 +149,7 @@
                 return;
             };
 
-            name_account(&names, &mut head, account.as_deref());
+            set_account_header(&names, &mut head, account.as_deref());
 
             assert!(!head.headers.contains_key(&names.key));
             let told: Vec<_> = head.headers.get_all(&names.account).iter().collect();
@@ -218,16 +220,16 @@
     let catalog = catalog(accounts(vec![entry("north", &[KEY])], Vec::new()));
     let of = |route: &Route, account: Option<&[u8]>| {
         let headers: Vec<_> = account.into_iter().map(|a| (&names.account, a)).collect();
-        identified(&catalog, route, &names, &head(&headers))
+        account_named_by_peer(&catalog, route, &names, &head(&headers))
     };
 
     assert_eq!(
         name_of(of(&closed(), Some(b"north"))).as_deref(),
         Some("north")
     );
-    assert_eq!(of(&closed(), Some(b"south")), Err(Unidentified::NoAccount));
-    assert_eq!(of(&open(), Some(b"south")), Err(Unidentified::NoAccount));
-    assert_eq!(of(&closed(), None), Err(Unidentified::NoAccount));
+    assert_eq!(of(&closed(), Some(b"south")), Err(IdentifyError::NoAccount));
+    assert_eq!(of(&open(), Some(b"south")), Err(IdentifyError::NoAccount));
+    assert_eq!(of(&closed(), None), Err(IdentifyError::NoAccount));
     assert_eq!(of(&open(), None), Ok(None));
 }
 
--- a/crates/edge/tests/decisions.rs
+++ b/crates/edge/tests/decisions.rs
@@ -195,8 +195,8 @@
     let mut taken = 0;
     for at in 0..100 {
         for budget in &mut budgets {
-            budget.request(Millis(at * 100));
-            taken += usize::from(budget.take(Millis(at * 100), vms));
+            budget.record_request(Millis(at * 100));
+            taken += usize::from(budget.try_take(Millis(at * 100), vms));
         }
     }
     let most = 0.2 * 900.0 + 58.0;
--- a/crates/edge/tests/homes.rs
+++ b/crates/edge/tests/homes.rs
@@ -5,7 +5,7 @@
 use std::collections::{HashMap, HashSet};
 use std::rc::Rc;
 
-use heatherknot_edge::hand_over::HandedWord;
+use heatherknot_edge::hand_over::HandOverHeader;
 use heatherknot_edge::homes::{Homes, home_of};
 use heatherknot_edge::presence::VmEntry;
 use heatherknot_edge::upstream::Upstream;
@@ -161,7 +161,7 @@
 
 #[test]
 fn a_word_is_read_as_it_was_written() {
-    let word = HandedWord {
+    let word = HandOverHeader {
         version: 12,
         service: "gallery".into(),
         server: "i-7".into(),
@@ -170,7 +170,7 @@
         .to_value(TOKEN)
         .expect("these names can stand in a header");
     assert_eq!(
-        HandedWord::parse(value.to_str().expect("text"), TOKEN),
+        HandOverHeader::parse(value.to_str().expect("text"), TOKEN),
         Some(word)
     );
 }
@@ -184,7 +184,7 @@
         "toke 12 gallery i-7",
         "12 gallery i-7",
     ] {
-        assert_eq!(HandedWord::parse(text, TOKEN), None, "{text}");
+        assert_eq!(HandOverHeader::parse(text, TOKEN), None, "{text}");
     }
 }
 
@@ -199,12 +199,12 @@
         "1 a b c",
     ] {
         assert_eq!(
-            HandedWord::parse(&format!("{TOKEN} {text}"), TOKEN),
+            HandOverHeader::parse(&format!("{TOKEN} {text}"), TOKEN),
             None,
             "{text}"
         );
     }
-    let with_space = HandedWord {
+    let with_space = HandOverHeader {
         version: 1,
         service: "two words".into(),
         server: "i-7".into(),
--- a/crates/edge/tests/support/mod.rs
+++ b/crates/edge/tests/support/mod.rs
@@ -184,13 +184,13 @@
         headers: header_names(),
         keys: KeyNames {
             catalog: "catalog",
-            servers: "server/",
-            evacuations: "evacuated/",
+            server_prefix: "server/",
+            evacuation_prefix: "evacuated/",
         },
         catalog: Rc::new(read_catalog),
         registration: Rc::new(read_registration),
         object: Rc::new(|_| None::<Arc<str>>),
-        asks_ready: Rc::new(|_| true),
+        is_readiness_check: Rc::new(|_| true),
         lookup: Rc::new(|_| {
             Ok(LookupQuery {
                 region: None,
