--- a/crates/edge/examples/choice_bench.rs
+++ b/crates/edge/examples/choice_bench.rs
@@ -28,8 +28,8 @@
         domain: "north-1".into(),
         slots: 3,
         leaving: false,
-        cold_left: Millis(0),
-        born: None,
+        cold_remaining: Millis(0),
+        started_at: None,
     };
     Rc::new(Upstream::new(
         &reg,
--- a/crates/edge/src/accounts.rs
+++ b/crates/edge/src/accounts.rs
@@ -68,7 +68,7 @@
 
 /// An account that can't be read.
 #[derive(Clone, Debug)]
-pub struct UnreadAccount {
+pub struct InvalidAccount {
     /// Its keys, where those can be read.
     pub keys: Option<Vec<ApiKey>>,
     /// Why it can't be read. It repeats nothing of the entry, which may hold keys.
@@ -81,18 +81,18 @@
     /// The key of an account.
     Account(Arc<Account>),
     /// The key of an account that can't be read, or of more than one.
-    Unsure,
+    Undetermined,
     /// The key of no account.
-    Nobody,
+    Unknown,
 }
 
 /// A part of all requests that only some regions may run.
 #[derive(Clone, Debug, PartialEq)]
-pub struct BoundShare {
+pub struct RestrictedShare {
     /// The regions.
     pub regions: Vec<RegionName>,
     /// The part, as far as the accounts' limits tell it.
-    pub part: f64,
+    pub fraction: f64,
 }
 
 /// The client accounts of one configuration.
@@ -103,7 +103,7 @@
     by_key: HashMap<ApiKey, Option<Arc<Account>>>,
     /// Whether there may be accounts whose keys can't be read.
     hides_keys: bool,
-    bound: Vec<BoundShare>,
+    bound: Vec<RestrictedShare>,
     has_limits: bool,
 }
 
@@ -113,7 +113,7 @@
     /// A key that is taken away must not run any more, and one that is there must not be told
     /// for good that it is unknown. So a key whose account can't be read, or that two accounts
     /// hold, is known and of no sure owner: its requests are not run and may come back.
-    pub fn new(entries: Vec<AccountEntry>, unread: Vec<UnreadAccount>) -> (Self, Vec<String>) {
+    pub fn new(entries: Vec<AccountEntry>, unread: Vec<InvalidAccount>) -> (Self, Vec<String>) {
         let mut accounts = Self::default();
         let mut remarks = Vec::new();
         for entry in entries {
@@ -135,7 +135,7 @@
     }
 
     /// Makes the accounts of a configuration that says there are some and can't be read in that.
-    pub fn unread() -> Self {
+    pub fn unreadable() -> Self {
         Self {
             hides_keys: true,
             ..Self::default()
@@ -175,9 +175,9 @@
     pub fn owner(&self, key: &str) -> KeyOwner {
         match self.by_key.get(key) {
             Some(Some(account)) => KeyOwner::Account(Arc::clone(account)),
-            Some(None) => KeyOwner::Unsure,
-            None if self.hides_keys => KeyOwner::Unsure,
-            None => KeyOwner::Nobody,
+            Some(None) => KeyOwner::Undetermined,
+            None if self.hides_keys => KeyOwner::Undetermined,
+            None => KeyOwner::Unknown,
         }
     }
 
@@ -192,7 +192,7 @@
     }
 
     /// Gives which parts of all requests only some regions may run.
-    pub fn bound(&self) -> &[BoundShare] {
+    pub fn restricted_shares(&self) -> &[RestrictedShare] {
         &self.bound
     }
 
@@ -210,7 +210,7 @@
 /// Gives the shares of accounts with home regions. An account's limit stands for what it sends:
 /// all VMs know it alike, and limits are set by what accounts need. One without a limit counts as
 /// the mean of the others.
-fn bound_shares(accounts: &HashMap<AccountName, Arc<Account>>) -> Vec<BoundShare> {
+fn bound_shares(accounts: &HashMap<AccountName, Arc<Account>>) -> Vec<RestrictedShare> {
     let limits = accounts.values().filter_map(|account| account.limit);
     let limits: Vec<f64> = limits.map(|limit| limit.per_second).collect();
     let mean = match limits.len() {
@@ -224,9 +224,9 @@
         .filter(|account| !account.home_regions.is_empty())
         .collect();
     bound.sort_by(|a, b| a.name.cmp(&b.name));
-    let shares = bound.into_iter().map(|account| BoundShare {
+    let shares = bound.into_iter().map(|account| RestrictedShare {
         regions: account.home_regions.clone(),
-        part: sends(account) / all,
+        fraction: sends(account) / all,
     });
     shares.collect()
 }
@@ -243,7 +243,7 @@
 impl AllowedRegions {
     /// Gives the regions that a route's home regions and those of its caller's account allow; an
     /// empty list allows all.
-    pub fn of(route: &[RegionName], account: &[RegionName]) -> Self {
+    pub fn intersect(route: &[RegionName], account: &[RegionName]) -> Self {
         match (route, account) {
             ([], []) => Self::Any,
             (homes, []) | ([], homes) => Self::Only(homes.to_vec()),
@@ -255,7 +255,7 @@
     }
 
     /// Says whether a region may run the request.
-    pub fn allow(&self, region: &RegionName) -> bool {
+    pub fn allows(&self, region: &RegionName) -> bool {
         match self {
             Self::Any => true,
             Self::Only(regions) => regions.contains(region),
@@ -263,7 +263,7 @@
     }
 
     /// Says whether no region may.
-    pub fn are_none(&self) -> bool {
+    pub fn is_empty(&self) -> bool {
         matches!(self, Self::Only(regions) if regions.is_empty())
     }
 }
--- a/crates/edge/src/call.rs
+++ b/crates/edge/src/call.rs
@@ -17,7 +17,7 @@
 use crate::poison::fingerprint::{Fingerprint, Identity, KnownBody, quick_hash};
 use crate::poison::suspects::placement_hash;
 use crate::presence;
-use crate::quota::meter::{Over, Verdict};
+use crate::quota::meter::{OverLimit, Verdict};
 use crate::switches::Mechanism;
 
 /// The longest request body that is read whole before it is sent. Longer ones are sent as they
@@ -199,7 +199,7 @@
     /// Its route and its client account allow no region in common.
     NoRegion,
     /// It goes beyond the limit of its client account.
-    OverLimit(Arc<Account>, Over),
+    OverLimit(Arc<Account>, OverLimit),
     /// Its body could not be read.
     Body(BodyError),
 }
@@ -258,7 +258,7 @@
     let catalog = cx.world.borrow().catalog().cloned();
     let catalog = catalog.ok_or(Unroutable::NoCatalog)?;
     let route = route_of(&catalog, head).cloned();
-    let route = route.ok_or_else(|| match catalog.hides_routes() {
+    let route = route.ok_or_else(|| match catalog.has_unmatchable_routes() {
         true => Unroutable::UnreadRoute,
         false => Unroutable::NoRoute,
     })?;
@@ -270,7 +270,7 @@
     let account = account.map_err(Unroutable::Unidentified)?;
     identify::set_account_header(names, head, account.as_deref());
     let regions = allowed_regions(&route, account.as_deref());
-    if regions.are_none() {
+    if regions.is_empty() {
         return Err(Unroutable::NoRegion);
     }
     if route.targets.is_empty() {
@@ -320,7 +320,7 @@
     let body = HeldBody::hold(req.body, &cx.kept_bodies).await;
     let body = body.map_err(|error| {
         if let Some(account) = account.as_ref().filter(|_| handed.is_none()) {
-            cx.quota.give_back(account);
+            cx.quota.refund(account);
         }
         Unroutable::Body(error)
     })?;
@@ -352,15 +352,15 @@
         presence::refresh(cx);
     }
     let draw = cx.rng.borrow_mut().f64();
-    match cx.quota.ask(account, draw) {
+    match cx.quota.admit(account, draw) {
         Verdict::Admitted => Ok(()),
-        Verdict::Over(over) => Err(Unroutable::OverLimit(Arc::clone(account), over)),
+        Verdict::OverLimit(over) => Err(Unroutable::OverLimit(Arc::clone(account), over)),
     }
 }
 
 fn allowed_regions(route: &Route, account: Option<&Account>) -> AllowedRegions {
     let of_account = account.map_or(&[][..], |account| &account.home_regions);
-    AllowedRegions::of(&route.home_regions, of_account)
+    AllowedRegions::intersect(&route.home_regions, of_account)
 }
 
 /// Gives a service that another VM has chosen, where the route leads to it.
--- a/crates/edge/src/catalog.rs
+++ b/crates/edge/src/catalog.rs
@@ -36,14 +36,14 @@
     /// The client accounts; nothing where callers need no key.
     pub accounts: Option<Accounts>,
     /// The routes that are there and can't be read.
-    pub unread_routes: Vec<UnreadRoute>,
+    pub invalid_routes: Vec<InvalidRoute>,
     /// What else can't be read, one text each.
-    pub remarks: Vec<String>,
+    pub problems: Vec<String>,
 }
 
 /// A route that can't be read.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct UnreadRoute {
+pub struct InvalidRoute {
     /// The host that its requests name, where that can be read.
     pub host: Option<Arc<str>>,
     /// The beginning of its paths, where that can be read.
@@ -134,10 +134,10 @@
     /// its requests are not run. Left out, they would take a shorter route to another service,
     /// or be told for good that nothing takes them.
     pub fn new(parts: CatalogParts) -> Self {
-        let mut remarks = parts.remarks;
+        let mut remarks = parts.problems;
         let mut routes = parts.routes;
         let mut hides_routes = false;
-        for unread in parts.unread_routes {
+        for unread in parts.invalid_routes {
             remarks.push(unread.cause);
             match (unread.host, unread.prefix) {
                 (Some(host), Some(prefix)) => routes.push(Route::without_service(host, prefix)),
@@ -166,12 +166,12 @@
     }
 
     /// Says whether a request that no route takes may belong to one that can't be read.
-    pub fn hides_routes(&self) -> bool {
+    pub fn has_unmatchable_routes(&self) -> bool {
         self.hides_routes
     }
 
     /// Gives what of the configuration can't be read, one text each.
-    pub fn remarks(&self) -> &[String] {
+    pub fn problems(&self) -> &[String] {
         &self.remarks
     }
 
--- a/crates/edge/src/context.rs
+++ b/crates/edge/src/context.rs
@@ -33,7 +33,7 @@
 use crate::switches::Switches;
 use crate::upstream::IDLE_KEPT;
 use crate::window::Window;
-use crate::world::World;
+use crate::world::RoutingState;
 
 /// What all tasks of one daemon share. Tasks run on one thread; no borrow is held across an
 /// `await`.
@@ -55,7 +55,7 @@
     /// Chance.
     pub rng: RefCell<fastrand::Rng>,
     /// What is believed of routes and backend servers.
-    pub world: Rc<RefCell<World>>,
+    pub world: Rc<RefCell<RoutingState>>,
     /// The copy of the store's keys, and where it comes from.
     pub feed: Rc<Feed>,
     /// The platform's store.
--- a/crates/edge/src/daemon.rs
+++ b/crates/edge/src/daemon.rs
@@ -34,7 +34,7 @@
 use crate::settings::{Bounds, EdgeConfig};
 use crate::switches::{Mechanism, Switches};
 use crate::upstream::{self, IDLE_KEPT};
-use crate::world::World;
+use crate::world::RoutingState;
 use crate::{
     call, distance, enter, forward, hand_over, lookup, peer_feed, poison, presence, reply,
     spill_step, stop,
@@ -258,8 +258,8 @@
     })
 }
 
-fn make_world(cfg: &EdgeConfig, dialect: &Dialect, timer: &Timer) -> Rc<RefCell<World>> {
-    let world = World::new(
+fn make_world(cfg: &EdgeConfig, dialect: &Dialect, timer: &Timer) -> Rc<RefCell<RoutingState>> {
+    let world = RoutingState::new(
         dialect.clone(),
         cfg.domains.clone(),
         upstream_pool(dialect),
@@ -368,14 +368,14 @@
     presence::refresh(cx);
     let reader = Rc::downgrade(cx);
     let tries = Rc::downgrade(cx);
-    cx.feed.watch_where(
+    cx.feed.set_watch_policy(
         move || reader.upgrade().is_none_or(|cx| is_to_read_store(&cx)),
         move || tries.upgrade().map(|cx| pause_alone(&cx)),
     );
     monoio::spawn(Rc::clone(&cx.feed).follow());
     monoio::spawn(enter::run(Rc::clone(cx)));
     monoio::spawn(peer_feed::run(Rc::clone(cx)));
-    monoio::spawn(peer_feed::ask_seeds_first(Rc::clone(cx)));
+    monoio::spawn(peer_feed::fetch_from_seeds(Rc::clone(cx)));
     monoio::spawn(distance::run(Rc::clone(cx)));
     monoio::spawn(exchange::run(Rc::clone(cx)));
     monoio::spawn(poison::exchange::run(Rc::clone(cx)));
@@ -389,8 +389,8 @@
 fn is_to_read_store(cx: &EdgeContext) -> bool {
     let relay = cx.relay.borrow();
     let me = &cx.cfg.vm;
-    let is_first_reading = cx.feed.is_patient() && relay.is_head(me, &cx.cfg.domain);
-    let stands_in = cx.feed.stands_in() && relay.is_leader(me, &cx.cfg.domain);
+    let is_first_reading = cx.feed.is_awaiting_peers() && relay.is_head(me, &cx.cfg.domain);
+    let stands_in = cx.feed.is_substitute_watcher() && relay.is_leader(me, &cx.cfg.domain);
     cx.has_read_vm_entries.get() && (relay.reads_store(me) || is_first_reading || stands_in)
 }
 
@@ -401,7 +401,7 @@
     let is_leader = cx.relay.borrow().is_leader(&cx.cfg.vm, &cx.cfg.domain);
     let vms = match is_leader {
         true => 1,
-        false => presence::alive(cx).len() as u64,
+        false => presence::live_vms(cx).len() as u64,
     };
     let longest = LEADER_PAUSE.0.saturating_mul(vms).min(LONGEST_ALONE.0);
     Millis(cx.rng.borrow_mut().u64(longest / 2..=longest.max(1)))
@@ -411,7 +411,7 @@
     for round in 1_u64.. {
         cx.timer.wait(TICK).await;
         if cx.feed.is_settled() {
-            cx.world.borrow_mut().settle();
+            cx.world.borrow_mut().remove_missing();
         }
         presence::refresh(&cx);
         spill_step::run(&cx);
--- a/crates/edge/src/distance.rs
+++ b/crates/edge/src/distance.rs
@@ -65,7 +65,7 @@
 }
 
 fn one_of_each(cx: &EdgeContext) -> BTreeMap<RegionName, VmName> {
-    let mut vms = presence::alive(cx).to_vec();
+    let mut vms = presence::live_vms(cx).to_vec();
     cx.rng.borrow_mut().shuffle(&mut vms);
     let elsewhere = vms.into_iter().filter(|vm| vm.region != cx.region);
     elsewhere.map(|vm| (vm.region, vm.name)).collect()
--- a/crates/edge/src/feed.rs
+++ b/crates/edge/src/feed.rs
@@ -18,8 +18,8 @@
 use heatherknot_types::prelude::*;
 use log::{info, warn};
 
-use crate::mirror::{Change, Known, Mirror};
-use crate::world::World;
+use crate::mirror::{Change, Mirror, VersionedValue};
+use crate::world::RoutingState;
 
 /// The pause before a VM looks again whether it is to watch the store.
 const IDLE_PAUSE: Millis = Millis(200);
@@ -52,7 +52,7 @@
     store: Store,
     timer: Timer,
     mirror: RefCell<Mirror>,
-    world: Rc<RefCell<World>>,
+    world: Rc<RefCell<RoutingState>>,
     settle: Millis,
     /// The time of the newest word of the store, first hand or through peers.
     last_word: Cell<Option<Millis>>,
@@ -78,7 +78,12 @@
 
 impl Feed {
     /// Makes a feed that has read nothing.
-    pub fn new(store: Store, timer: Timer, world: Rc<RefCell<World>>, settle: Millis) -> Rc<Self> {
+    pub fn new(
+        store: Store,
+        timer: Timer,
+        world: Rc<RefCell<RoutingState>>,
+        settle: Millis,
+    ) -> Rc<Self> {
         let patient_until = Cell::new(timer.now() + START_PATIENCE);
         Rc::new(Self {
             patient_until,
@@ -106,7 +111,7 @@
 
     /// Sets what tells whether this VM is one of those that watch the store, and how long it
     /// waits between two tries of a store that does not answer where it is not.
-    pub fn watch_where(
+    pub fn set_watch_policy(
         &self,
         is_watcher: impl Fn() -> bool + 'static,
         pause_alone: impl Fn() -> Option<Millis> + 'static,
@@ -117,7 +122,7 @@
 
     /// Has `follower` take in each change of keys that begin with `prefix`, before anything that
     /// came with it has an effect.
-    pub fn follow_keys(&self, prefix: &'static str, follower: impl Fn(&Change) + 'static) {
+    pub fn subscribe(&self, prefix: &'static str, follower: impl Fn(&Change) + 'static) {
         let mut followers = self.followers.borrow_mut();
         followers.push((prefix, Rc::new(follower)));
     }
@@ -131,7 +136,7 @@
     /// anything lately.
     pub fn is_to_watch(&self) -> bool {
         let is_spared = self.timer.now() < self.spared_until.get();
-        let is_left_alone = !self.is_fresh() && !self.is_patient() && !is_spared;
+        let is_left_alone = !self.is_fresh() && !self.is_awaiting_peers() && !is_spared;
         is_left_alone || self.is_watcher()
     }
 
@@ -160,13 +165,13 @@
 
     /// Says whether this process has just started and leaves it to its peers to tell it what
     /// the store holds.
-    pub fn is_patient(&self) -> bool {
+    pub fn is_awaiting_peers(&self) -> bool {
         self.last_word.get().is_none() && self.timer.now() < self.patient_until.get()
     }
 
     /// Gives the pause before a VM looks again whether it is to call anybody.
     pub fn idle_pause(&self) -> Millis {
-        if self.is_patient() {
+        if self.is_awaiting_peers() {
             START_PAUSE
         } else {
             IDLE_PAUSE
@@ -278,7 +283,7 @@
     ///
     /// A leader of a domain then watches in their place. Otherwise its word would be over a
     /// second old half of the time, and the VMs that ask it would take it for cut off as well.
-    pub fn stands_in(&self) -> bool {
+    pub fn is_substitute_watcher(&self) -> bool {
         self.timer.now() < self.stands_in_until.get()
     }
 
@@ -330,7 +335,7 @@
             let wanted = news.iter().filter(|change| change.key.starts_with(prefix));
             wanted.for_each(|change| follower(change));
         }
-        self.world.borrow_mut().take(news, settled);
+        self.world.borrow_mut().apply(news, settled);
         let mut mirror = self.mirror.borrow_mut();
         mattering
             .iter()
@@ -360,7 +365,7 @@
     /// A VM whose own way to the store is cut, while its peers' is not, could otherwise not tell
     /// a server that was taken away from an entry that lapsed, and would go on sending to it.
     pub fn confirm(&self) {
-        self.world.borrow_mut().settle();
+        self.world.borrow_mut().remove_missing();
     }
 
     fn heard(&self) {
@@ -401,7 +406,7 @@
         Event::Put(kv) => Change::from(kv),
         Event::Delete(key, revision) => Change {
             key,
-            known: Known {
+            current: VersionedValue {
                 revision,
                 value: None,
             },
--- a/crates/edge/src/forward.rs
+++ b/crates/edge/src/forward.rs
@@ -55,7 +55,7 @@
             let account = call.account.clone();
             let response = answer(&cx, call).await;
             if let Some(account) = account.filter(|_| reply::tells_not_run(&response)) {
-                cx.quota.give_back(&account);
+                cx.quota.refund(&account);
             }
             response
         }
@@ -72,7 +72,7 @@
     match unroutable {
         Unroutable::NoRoute => reply::no_route(cause),
         Unroutable::Unidentified(IdentifyError::NoAccount) => reply::no_account(cause),
-        Unroutable::OverLimit(_, over) => reply::over_limit(cause, over.come_back),
+        Unroutable::OverLimit(_, over) => reply::over_limit(cause, over.retry_after),
         Unroutable::Body(error) => reply::bad_body(error.status(), cause),
         Unroutable::NoCatalog | Unroutable::UnreadRoute | Unroutable::NoTarget => {
             reply::not_run(cause, NO_CATALOG_RETURN)
--- a/crates/edge/src/identify.rs
+++ b/crates/edge/src/identify.rs
@@ -37,9 +37,9 @@
     };
     match (owner(accounts, names, &head.headers), route.public) {
         (KeyOwner::Account(account), _) => Ok(Some(account)),
-        (KeyOwner::Unsure | KeyOwner::Nobody, true) => Ok(None),
-        (KeyOwner::Unsure, false) => Err(IdentifyError::UnreadableAccount),
-        (KeyOwner::Nobody, false) => Err(IdentifyError::NoAccount),
+        (KeyOwner::Undetermined | KeyOwner::Unknown, true) => Ok(None),
+        (KeyOwner::Undetermined, false) => Err(IdentifyError::UnreadableAccount),
+        (KeyOwner::Unknown, false) => Err(IdentifyError::NoAccount),
     }
 }
 
@@ -48,7 +48,7 @@
 fn owner(accounts: &Accounts, names: &HeaderNames, headers: &HeaderMap) -> KeyOwner {
     match only(headers, &names.key) {
         Some(key) => accounts.owner(key),
-        None => KeyOwner::Nobody,
+        None => KeyOwner::Unknown,
     }
 }
 
--- a/crates/edge/src/lookup.rs
+++ b/crates/edge/src/lookup.rs
@@ -4,7 +4,7 @@
 
 use crate::context::EdgeContext;
 use crate::dialect::{LookupAnswer, LookupQuery};
-use crate::presence::{VmEntry, alive};
+use crate::presence::{VmEntry, live_vms};
 
 /// The most addresses in one answer.
 const MAX_ADDRESSES: usize = 64;
@@ -18,7 +18,7 @@
 /// caller of another domain asks here because its own VMs did not answer it: it gets VMs of
 /// its region in other domains, whatever is believed of its own.
 pub fn look_up(cx: &EdgeContext, query: &LookupQuery) -> Option<LookupAnswer> {
-    let vms = alive(cx);
+    let vms = live_vms(cx);
     let own = &cx.cfg.domain;
     let domain = query.domain.as_ref().unwrap_or(own);
     let region = query.region.as_ref().unwrap_or(&cx.region);
--- a/crates/edge/src/mirror.rs
+++ b/crates/edge/src/mirror.rs
@@ -16,7 +16,7 @@
 
 /// What is known of one key.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Known {
+pub struct VersionedValue {
     /// The revision of its last change.
     pub revision: StoreRevision,
     /// Its value; nothing where it was deleted.
@@ -26,7 +26,7 @@
 /// What is held of one key.
 #[derive(Debug)]
 struct Held {
-    known: Known,
+    known: VersionedValue,
     /// The revision of the last change that peers need. A backend server's entry that only
     /// says that the server still lives is none.
     mattered: StoreRevision,
@@ -38,7 +38,7 @@
     /// The key.
     pub key: String,
     /// What is known of it now.
-    pub known: Known,
+    pub current: VersionedValue,
 }
 
 /// The keys as far as they are known.
@@ -91,8 +91,10 @@
     /// Takes in one change; says whether it was news.
     pub fn apply(&mut self, change: &Change) -> bool {
         match self.keys.get(&change.key) {
-            Some(held) if held.known.revision >= change.known.revision => false,
-            None if change.known.value.is_none() && change.known.revision <= self.floor => false,
+            Some(held) if held.known.revision >= change.current.revision => false,
+            None if change.current.value.is_none() && change.current.revision <= self.floor => {
+                false
+            }
             _ => {
                 self.insert(change);
                 true
@@ -102,7 +104,7 @@
 
     fn insert(&mut self, change: &Change) {
         self.generation += 1;
-        let known = change.known.clone();
+        let known = change.current.clone();
         match self.keys.get_mut(&change.key) {
             Some(held) => held.known = known,
             None => {
@@ -141,7 +143,7 @@
             })
             .map(|(key, _)| Change {
                 key: key.clone(),
-                known: Known {
+                current: VersionedValue {
                     revision: at,
                     value: None,
                 },
@@ -205,7 +207,7 @@
 fn to_change((key, held): (&String, &Held)) -> Change {
     Change {
         key: key.clone(),
-        known: held.known.clone(),
+        current: held.known.clone(),
     }
 }
 
@@ -213,7 +215,7 @@
     fn from(kv: KeyValue) -> Self {
         Self {
             key: kv.key,
-            known: Known {
+            current: VersionedValue {
                 revision: kv.mod_revision,
                 value: Some(kv.value),
             },
--- a/crates/edge/src/peer_feed.rs
+++ b/crates/edge/src/peer_feed.rs
@@ -16,7 +16,7 @@
 
 use crate::context::EdgeContext;
 use crate::feed::Feed;
-use crate::mirror::{Change, Known, Mirror};
+use crate::mirror::{Change, Mirror, VersionedValue};
 use crate::packed;
 use crate::presence;
 
@@ -141,7 +141,7 @@
 pub async fn run(cx: Rc<EdgeContext>) {
     let mut avoided = HashMap::new();
     loop {
-        let knows_nobody = cx.feed.is_patient() && !cx.has_read_vm_entries.get();
+        let knows_nobody = cx.feed.is_awaiting_peers() && !cx.has_read_vm_entries.get();
         let has_the_store = cx.feed.is_to_watch() && cx.feed.is_fresh();
         if cx.leaving.is_fired() || has_the_store || knows_nobody {
             cx.timer.wait(cx.feed.idle_pause()).await;
@@ -159,7 +159,7 @@
         let is_stale = match ask(&cx, source.as_ref()).await {
             Ok(Some(age)) if age < STALE => continue,
             // Where VMs start together, the one that is asked may just not have read it yet.
-            Ok(None) if cx.feed.is_patient() => false,
+            Ok(None) if cx.feed.is_awaiting_peers() => false,
             Ok(_) => {
                 note_quiet_peer(&cx);
                 true
@@ -181,7 +181,7 @@
 /// Its domain waits for it. Where the store is in another region, reading it takes five questions
 /// one after the other and a second in all; a seed near the store has the whole copy by then, and
 /// gives it in one answer.
-pub async fn ask_seeds_first(cx: Rc<EdgeContext>) {
+pub async fn fetch_from_seeds(cx: Rc<EdgeContext>) {
     while !cx.has_read_vm_entries.get() {
         cx.timer.wait(cx.feed.idle_pause()).await;
     }
@@ -195,7 +195,7 @@
 }
 
 async fn ask_first(cx: Rc<EdgeContext>, seed: SocketAddr) {
-    while cx.feed.is_patient() {
+    while cx.feed.is_awaiting_peers() {
         if let Err(error) = ask_at(&cx, seed).await {
             debug!(seed:% = seed, error:% = error; "a seed could not be asked for everything");
         }
@@ -227,7 +227,7 @@
 /// Gives the pause after a question that brought nothing of use. It is longer while the store is
 /// away for everybody, who would otherwise all ask each other five times a second.
 fn failed_pause(cx: &EdgeContext) -> Millis {
-    if cx.feed.is_patient() {
+    if cx.feed.is_awaiting_peers() {
         // The one that is asked is about to hear, and holds its answer back until then.
         return cx.feed.idle_pause();
     }
@@ -327,9 +327,9 @@
 fn to_sent(changes: Vec<Change>) -> Vec<SentKey> {
     let sent = changes.into_iter().map(|change| SentKey {
         key: change.key,
-        revision: change.known.revision.0,
+        revision: change.current.revision.0,
         value: change
-            .known
+            .current
             .value
             .map(|v| String::from_utf8_lossy(&v).into_owned()),
     });
@@ -339,7 +339,7 @@
 fn from_sent(sent: SentKey) -> Change {
     Change {
         key: sent.key,
-        known: Known {
+        current: VersionedValue {
             revision: StoreRevision(sent.revision),
             value: sent.value.map(Bytes::from),
         },
--- a/crates/edge/src/pick.rs
+++ b/crates/edge/src/pick.rs
@@ -202,7 +202,7 @@
         u.takes_requests()
             && wanted(u)
             && !world.is_evacuated(&u.domain)
-            && call.regions.allow(&u.region)
+            && call.regions.allows(&u.region)
             && u.is_reachable(now)
             && !tried.contains(&u.id)
     });
@@ -236,7 +236,7 @@
     let me = &cx.cfg.vm;
     let rank = |vm: &VmName| hash::rendezvous(&[id.as_str().as_bytes()], vm.as_str());
     let own = rank(me);
-    crate::presence::alive(cx)
+    crate::presence::live_vms(cx)
         .iter()
         .all(|vm| vm.name == *me || rank(&vm.name) < own)
 }
--- a/crates/edge/src/poison/exchange.rs
+++ b/crates/edge/src/poison/exchange.rs
@@ -70,7 +70,7 @@
 }
 
 fn step(cx: &Rc<EdgeContext>, told: &AllTold) {
-    let vms = presence::alive(cx);
+    let vms = presence::live_vms(cx);
     let audiences = audiences(&cx.relay.borrow(), &vms, &cx.cfg.vm, &cx.cfg.domain);
     let incarnations = incarnations(cx);
     let suspects = cx.poison.suspects();
--- a/crates/edge/src/poison/records.rs
+++ b/crates/edge/src/poison/records.rs
@@ -52,8 +52,8 @@
 /// Has rows of the store taken in as they come.
 pub(crate) fn subscribe(feed: &Rc<Feed>, poison: &Rc<PoisonDetector>) {
     let poison = Rc::clone(poison);
-    feed.follow_keys(ROW_KEYS, move |change| {
-        let Some(value) = &change.known.value else {
+    feed.subscribe(ROW_KEYS, move |change| {
+        let Some(value) = &change.current.value else {
             match change.key[ROW_KEYS.len()..].parse::<Fingerprint>() {
                 Ok(fingerprint) => poison.remove(&fingerprint),
                 Err(error) => warn!(key = change.key.as_str(), error:% = error; "a row of a rejected request was deleted that names none"),
--- a/crates/edge/src/presence.rs
+++ b/crates/edge/src/presence.rs
@@ -51,8 +51,9 @@
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub handed: Option<SocketAddr>,
     /// How long the store took to answer it, once that was measured.
+    #[serde(rename = "store_way")]
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub store_way: Option<Millis>,
+    pub store_rtt: Option<Millis>,
 }
 
 /// The entries of VMs, read from the copy of the store's keys.
@@ -77,7 +78,7 @@
     pub fn says_the_same(&self, other: &VmEntry) -> bool {
         let own = Self {
             incarnation: other.incarnation,
-            store_way: other.store_way,
+            store_rtt: other.store_rtt,
             ..self.clone()
         };
         own == *other
@@ -145,7 +146,7 @@
 
 /// Gives the VMs that are there as far as the store and the peers say, this one included
 /// unless it is leaving. [`refresh`] brings what it gives up to date.
-pub fn alive(cx: &EdgeContext) -> Rc<Vec<VmEntry>> {
+pub fn live_vms(cx: &EdgeContext) -> Rc<Vec<VmEntry>> {
     Rc::clone(&cx.vms.borrow())
 }
 
@@ -225,6 +226,6 @@
             .listen
             .handed
             .filter(|_| cx.switches.has(Mechanism::HandOver)),
-        store_way: cx.store_latency.get(),
+        store_rtt: cx.store_latency.get(),
     }
 }
--- a/crates/edge/src/quota/exchange.rs
+++ b/crates/edge/src/quota/exchange.rs
@@ -67,7 +67,7 @@
     if heard > 0 {
         tell_other_heads(cx, heard);
     }
-    let there = presence::alive(cx);
+    let there = presence::live_vms(cx);
     quota.retain_reporters(|name| there.iter().any(|vm| vm.name == *name));
 }
 
--- a/crates/edge/src/quota/meter.rs
+++ b/crates/edge/src/quota/meter.rs
@@ -42,19 +42,19 @@
     /// It may run.
     Admitted,
     /// It would go beyond the limit.
-    Over(Over),
+    OverLimit(OverLimit),
 }
 
 /// What decided that a request goes beyond its account's limit.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Over {
+pub struct OverLimit {
     /// The part of the account's requests that is admitted; nothing where the VM was not told, and
     /// goes by its own share of the limit.
-    pub part: Option<f64>,
+    pub fraction: Option<f64>,
     /// How old that is.
-    pub age: Option<Millis>,
+    pub fraction_age: Option<Millis>,
     /// When the caller may come back.
-    pub come_back: Millis,
+    pub retry_after: Millis,
 }
 
 /// What one VM was asked for and admits, by account.
@@ -128,7 +128,7 @@
         self.count(account, share, is_admitted);
         match is_admitted {
             true => Verdict::Admitted,
-            false => Verdict::Over(self.over(part, now)),
+            false => Verdict::OverLimit(self.over(part, now)),
         }
     }
 
@@ -161,17 +161,17 @@
         self.has_surge |= asked >= SURGE && f64::from(asked) >= usual * SURGE_OF_SHARE;
     }
 
-    fn over(&self, part: Option<f64>, now: Millis) -> Over {
+    fn over(&self, part: Option<f64>, now: Millis) -> OverLimit {
         let come_back = match part {
             // What was refused within a second needs this long at the rate that is admitted.
             Some(part) => 1.0 / part.max(f64::MIN_POSITIVE) - 1.0,
             None => UNHEARD_RETURN,
         };
         let longest = LONGEST_RETURN.as_secs_f64();
-        Over {
-            part,
-            age: self.told_age(now),
-            come_back: Millis((come_back.min(longest) * 1000.0) as u64),
+        OverLimit {
+            fraction: part,
+            fraction_age: self.told_age(now),
+            retry_after: Millis((come_back.min(longest) * 1000.0) as u64),
         }
     }
 
--- a/crates/edge/src/quota/state.rs
+++ b/crates/edge/src/quota/state.rs
@@ -13,7 +13,7 @@
 use super::usage::{Counts, Reporter, UsageReport};
 use crate::accounts::{Account, Accounts};
 use crate::catalog::Catalog;
-use crate::world::World;
+use crate::world::RoutingState;
 
 /// How long a VM that is not seen any more may still be there and admit requests: longer than
 /// most cuts last. Beyond it, those that are left use its share as well.
@@ -25,7 +25,7 @@
 /// One VM's part in keeping to the quotas of all accounts.
 pub struct Quota {
     timer: Timer,
-    world: Rc<RefCell<World>>,
+    world: Rc<RefCell<RoutingState>>,
     meter: RefCell<Meter>,
     totals: RefCell<Totals>,
     reporters: RefCell<HashMap<VmName, Reporter>>,
@@ -75,7 +75,7 @@
 
 impl Quota {
     /// Makes the part of a VM that has just started.
-    pub fn new(timer: Timer, world: Rc<RefCell<World>>) -> Self {
+    pub fn new(timer: Timer, world: Rc<RefCell<RoutingState>>) -> Self {
         let totals = Totals::new(timer.now());
         Self {
             timer,
@@ -101,7 +101,7 @@
 
     /// Says whether a request of an account may run, and counts it; `draw` is drawn evenly from 0
     /// to 1.
-    pub fn ask(&self, account: &Account, draw: f64) -> Verdict {
+    pub fn admit(&self, account: &Account, draw: f64) -> Verdict {
         let Some(limit) = account.limit else {
             return Verdict::Admitted;
         };
@@ -119,7 +119,7 @@
     }
 
     /// Takes in that a request that was admitted did not run.
-    pub fn give_back(&self, account: &Account) {
+    pub fn refund(&self, account: &Account) {
         if account.limit.is_some() {
             self.meter.borrow_mut().give_back(&account.name);
         }
--- a/crates/edge/src/registration.rs
+++ b/crates/edge/src/registration.rs
@@ -20,8 +20,8 @@
     /// Whether it is about to leave and takes no further requests.
     pub leaving: bool,
     /// How long it stays cold, counted from when it wrote this.
-    pub cold_left: Millis,
+    pub cold_remaining: Millis,
     /// When this run began, in the server's own Unix time; tells runs under one identifier
     /// apart. Servers of some deployments don't tell it.
-    pub born: Option<Millis>,
+    pub started_at: Option<Millis>,
 }
--- a/crates/edge/src/relay.rs
+++ b/crates/edge/src/relay.rs
@@ -118,6 +118,6 @@
 fn nearest_region(vms: &[VmEntry]) -> Option<&RegionName> {
     let measured = vms
         .iter()
-        .filter_map(|vm| Some((vm.store_way?, &vm.region)));
+        .filter_map(|vm| Some((vm.store_rtt?, &vm.region)));
     measured.min().map(|(_, region)| region)
 }
--- a/crates/edge/src/room.rs
+++ b/crates/edge/src/room.rs
@@ -11,7 +11,7 @@
 
 use heatherknot_types::prelude::*;
 
-use crate::accounts::BoundShare;
+use crate::accounts::RestrictedShare;
 
 /// How far a region's part moves in a second at most. The requests that move with it may be no
 /// more than the callers' caches and the links between regions bear.
@@ -24,7 +24,7 @@
 /// slots are to be used alike. `bound` are the shares of all requests that certain regions must run.
 pub fn parts_left(
     slots: &BTreeMap<RegionName, f64>,
-    bound: &[BoundShare],
+    bound: &[RestrictedShare],
 ) -> BTreeMap<RegionName, f64> {
     let mut taken: BTreeMap<&RegionName, f64> = BTreeMap::new();
     let mut free = 1.0;
@@ -34,9 +34,9 @@
         if room <= 0.0 {
             continue;
         }
-        free -= share.part;
+        free -= share.fraction;
         for (region, slots) in homes {
-            *taken.entry(region).or_default() += share.part * slots / room;
+            *taken.entry(region).or_default() += share.fraction * slots / room;
         }
     }
     let level = fill_level(slots, &taken, free.max(0.0));
--- a/crates/edge/src/spill_step.rs
+++ b/crates/edge/src/spill_step.rs
@@ -15,7 +15,7 @@
 use crate::spill::Room;
 use crate::switches::Mechanism;
 use crate::upstream::Upstream;
-use crate::world::World;
+use crate::world::RoutingState;
 
 /// Moves each threshold once.
 pub(crate) fn run(cx: &EdgeContext) {
@@ -33,7 +33,7 @@
         let state = cx.service(&spec.name);
         state.spill.step(room(cx, &spec.name, now), now);
     }
-    let here = presence::alive(cx);
+    let here = presence::live_vms(cx);
     let vms_here = here.iter().filter(|vm| vm.domain == cx.cfg.domain).count();
     for route in catalog.routes() {
         let carried = Carried {
@@ -62,7 +62,9 @@
 
 /// Moves the parts of a service's regions that are left to requests which may run anywhere.
 fn step_parts(cx: &EdgeContext, catalog: &Catalog, service: &ServiceName, now: Millis) {
-    let bound = catalog.accounts().map_or(&[][..], Accounts::bound);
+    let bound = catalog
+        .accounts()
+        .map_or(&[][..], Accounts::restricted_shares);
     let bound = match cx.switches.has(Mechanism::GiveWay) {
         true => bound,
         false => &[],
@@ -84,7 +86,7 @@
 }
 
 fn usable<'a>(
-    world: &'a World,
+    world: &'a RoutingState,
     upstreams: &'a [Rc<Upstream>],
     now: Millis,
 ) -> impl Iterator<Item = &'a Rc<Upstream>> {
--- a/crates/edge/src/story.rs
+++ b/crates/edge/src/story.rs
@@ -18,7 +18,7 @@
 use crate::choose::Prospect;
 use crate::context::EdgeContext;
 use crate::forward::Tries;
-use crate::quota::meter::Over;
+use crate::quota::meter::OverLimit;
 
 /// Of the requests that went well, one in this many is told of.
 const SAMPLED: u64 = 64;
@@ -132,13 +132,13 @@
 
 /// Tells of a request that its account's limit refused. Of those every VM tells a few a second:
 /// an account that sends many times its limit would else fill the log.
-fn tell_over_limit(cx: &EdgeContext, id: &str, config: u64, account: &Account, over: &Over) {
+fn tell_over_limit(cx: &EdgeContext, id: &str, config: u64, account: &Account, over: &OverLimit) {
     if !cx.refused_lines.borrow_mut().take(cx.now()) {
         return;
     }
     let limit = account.limit.map_or(0.0, |limit| limit.per_second);
     info!(id, status = 429, account:% = account.name, limit, config,
-        part:? = over.part, told_ms_ago:? = over.age.map(|age| age.0), come_back_ms = over.come_back.0;
+        part:? = over.fraction, told_ms_ago:? = over.fraction_age.map(|age| age.0), come_back_ms = over.retry_after.0;
         "request over its account's limit");
 }
 
--- a/crates/edge/src/upstream.rs
+++ b/crates/edge/src/upstream.rs
@@ -122,7 +122,7 @@
     pub fn new(reg: &Registration, region: RegionName, pool: PoolConfig, clock: &Clock) -> Self {
         Self {
             id: reg.id.clone(),
-            born: reg.born,
+            born: reg.started_at,
             service: reg.service.clone(),
             domain: reg.domain.clone(),
             region,
--- a/crates/edge/src/world.rs
+++ b/crates/edge/src/world.rs
@@ -29,7 +29,7 @@
 const MAX_CAUSE: usize = 200;
 
 /// What this VM believes.
-pub struct World {
+pub struct RoutingState {
     dialect: Dialect,
     regions: BTreeMap<DomainName, RegionName>,
     clock: Clock,
@@ -47,7 +47,7 @@
     tells_each: bool,
 }
 
-impl World {
+impl RoutingState {
     /// Makes a world that knows nothing.
     pub fn new(
         dialect: Dialect,
@@ -98,8 +98,8 @@
     }
 
     /// Takes in changes of the store. While `settled` is false a missing entry of a backend
-    /// server may be the store's doing, and the server is kept until [`World::settle`].
-    pub fn take(&mut self, changes: &[Change], settled: bool) {
+    /// server may be the store's doing, and the server is kept until [`RoutingState::remove_missing`].
+    pub fn apply(&mut self, changes: &[Change], settled: bool) {
         let mut regrouped = false;
         let before = self.upstreams.len();
         self.tells_each = changes.len() <= MAX_TOLD;
@@ -108,7 +108,7 @@
             if change.key == keys.catalog {
                 self.take_catalog(change);
             } else if let Some(domain) = change.key.strip_prefix(keys.evacuation_prefix) {
-                self.take_evacuation(domain, change.known.value.is_some());
+                self.take_evacuation(domain, change.current.value.is_some());
             } else if change.key.starts_with(keys.server_prefix) {
                 regrouped |= self.take_server(change, settled);
             }
@@ -126,7 +126,7 @@
     pub fn matters(&self, change: &Change) -> bool {
         let servers = self.dialect.keys.server_prefix;
         let Some(value) = change
-            .known
+            .current
             .value
             .as_ref()
             .filter(|_| change.key.starts_with(servers))
@@ -139,9 +139,9 @@
         };
         match (self.dialect.registration)(&change.key, value) {
             Ok(reg) => {
-                reg.cold_left.0 > 0
+                reg.cold_remaining.0 > 0
                     || reg.leaving != upstream.leaving.get()
-                    || reg.born != upstream.born
+                    || reg.started_at != upstream.born
                     || self.missing.contains(&reg.id)
             }
             Err(_) => true,
@@ -149,7 +149,7 @@
     }
 
     /// Drops the backend servers whose entries are still missing.
-    pub fn settle(&mut self) {
+    pub fn remove_missing(&mut self) {
         let missing = std::mem::take(&mut self.missing);
         if missing.is_empty() {
             return;
@@ -161,14 +161,14 @@
     }
 
     fn take_catalog(&mut self, change: &Change) {
-        let Some(value) = &change.known.value else {
+        let Some(value) = &change.current.value else {
             warn!(key = change.key.as_str(); "the configuration was deleted; the last one stays in force");
             return;
         };
         match (self.dialect.catalog)(&change.key, value) {
-            Ok(catalog) => self.put_catalog(catalog, change.known.revision),
+            Ok(catalog) => self.put_catalog(catalog, change.current.revision),
             Err(cause) => {
-                warn!(key = change.key.as_str(), revision:% = change.known.revision, cause = bounded(&cause);
+                warn!(key = change.key.as_str(), revision:% = change.current.revision, cause = bounded(&cause);
                     "a configuration can't be read; the last one stays in force");
             }
         }
@@ -219,7 +219,7 @@
     /// Takes in a registration; says whether the set of servers changed.
     fn take_server(&mut self, change: &Change, settled: bool) -> bool {
         let id = UpstreamName::from(&change.key[self.dialect.keys.server_prefix.len()..]);
-        let Some(value) = &change.known.value else {
+        let Some(value) = &change.current.value else {
             return match settled {
                 true => self.remove(&id, "its entry was removed"),
                 false => {
@@ -234,7 +234,7 @@
                 self.put(&reg)
             }
             Err(cause) => {
-                warn!(key = change.key.as_str(), revision:% = change.known.revision, cause = bounded(&cause);
+                warn!(key = change.key.as_str(), revision:% = change.current.revision, cause = bounded(&cause);
                     "a backend server's entry can't be read");
                 // What stands there now may be anybody's. It says of no server that it still
                 // takes requests, so the one that it named before gets nothing more.
@@ -252,7 +252,7 @@
     /// not bring that run back.
     fn put(&mut self, reg: &Registration) -> bool {
         let now = self.clock.now();
-        match (self.newest_run(&reg.id), reg.born) {
+        match (self.newest_run(&reg.id), reg.started_at) {
             (Some(_), None) => return self.remove(&reg.id, "its entry doesn't tell its start"),
             (Some(known), Some(born)) if born < known => {
                 info!(upstream:% = reg.id, service:% = reg.service; "an entry of an earlier run was passed over");
@@ -261,7 +261,7 @@
             _ => {}
         }
         if let Some(upstream) = self.upstreams.get(&reg.id) {
-            if upstream.born == reg.born {
+            if upstream.born == reg.started_at {
                 refresh(upstream, reg, now);
                 return false;
             }
@@ -272,7 +272,7 @@
         refresh(&upstream, reg, now);
         if self.tells_each {
             info!(upstream:% = reg.id, service:% = reg.service, address:% = reg.address, domain:% = reg.domain,
-                slots = reg.slots, leaving = reg.leaving, cold_ms = reg.cold_left.0; "backend server joined");
+                slots = reg.slots, leaving = reg.leaving, cold_ms = reg.cold_remaining.0; "backend server joined");
         }
         self.upstreams.insert(reg.id.clone(), upstream);
         true
@@ -320,7 +320,7 @@
 
 /// Logs what of a configuration can't be read.
 fn tell_remarks(catalog: &Catalog) {
-    let remarks = catalog.remarks();
+    let remarks = catalog.problems();
     for remark in remarks.iter().take(MAX_REMARKS) {
         warn!(version = catalog.version, cause = bounded(remark); "a part of the configuration can't be read");
     }
@@ -340,11 +340,11 @@
         info!(upstream:% = upstream.id, service:% = upstream.service; "backend server is leaving");
     }
     upstream.slots.set(reg.slots.max(1));
-    if reg.cold_left.0 > 0 {
+    if reg.cold_remaining.0 > 0 {
         if !upstream.is_cold(now) {
-            info!(upstream:% = upstream.id, service:% = upstream.service, cold_ms = reg.cold_left.0; "backend server is cold");
+            info!(upstream:% = upstream.id, service:% = upstream.service, cold_ms = reg.cold_remaining.0; "backend server is cold");
         }
-        upstream.cold_until.set(now + reg.cold_left);
+        upstream.cold_until.set(now + reg.cold_remaining);
         upstream.cold_unless_told.set(false);
     } else if upstream.cold_unless_told.replace(false) {
         upstream.cold_until.set(now);
--- a/crates/edge/tests/accounts.rs
+++ b/crates/edge/tests/accounts.rs
@@ -3,7 +3,7 @@
 mod support;
 
 use heatherknot_edge::accounts::{
-    Account, AccountEntry, Accounts, AllowedRegions, ApiKey, KeyOwner, UnreadAccount,
+    Account, AccountEntry, Accounts, AllowedRegions, ApiKey, InvalidAccount, KeyOwner,
 };
 use heatherknot_edge::catalog::{Catalog, CatalogParts, Route};
 use heatherknot_edge::dialect::HeaderNames;
@@ -29,13 +29,13 @@
     }
 }
 
-fn accounts(entries: Vec<AccountEntry>, unread: Vec<UnreadAccount>) -> Accounts {
+fn accounts(entries: Vec<AccountEntry>, unread: Vec<InvalidAccount>) -> Accounts {
     Accounts::new(entries, unread).0
 }
 
-fn unread(keys: Option<&[&str]>) -> UnreadAccount {
+fn unread(keys: Option<&[&str]>) -> InvalidAccount {
     let keys = keys.map(|keys| keys.iter().filter_map(|key| ApiKey::new(key)).collect());
-    UnreadAccount {
+    InvalidAccount {
         keys,
         cause: "its entry can't be read".to_owned(),
     }
@@ -174,12 +174,12 @@
     let no_keys = accounts(vec![entry("north", &["k-n"])], vec![unread(None)]);
 
     for accounts in [&shared, &one_row, &no_keys] {
-        assert_eq!(accounts.owner(KEY), KeyOwner::Unsure);
+        assert_eq!(accounts.owner(KEY), KeyOwner::Undetermined);
         assert!(matches!(accounts.owner("k-n"), KeyOwner::Account(_)));
     }
-    assert_eq!(one_row.owner("guess"), KeyOwner::Nobody);
-    assert_eq!(no_keys.owner("guess"), KeyOwner::Unsure);
-    assert_eq!(Accounts::unread().owner(KEY), KeyOwner::Unsure);
+    assert_eq!(one_row.owner("guess"), KeyOwner::Unknown);
+    assert_eq!(no_keys.owner("guess"), KeyOwner::Undetermined);
+    assert_eq!(Accounts::unreadable().owner(KEY), KeyOwner::Undetermined);
 }
 
 #[test]
@@ -193,7 +193,7 @@
     let (accounts, remarks) = Accounts::new(entries, Vec::new());
 
     assert!(matches!(accounts.owner("k-1"), KeyOwner::Account(_)));
-    assert_eq!(accounts.owner("k-2"), KeyOwner::Unsure);
+    assert_eq!(accounts.owner("k-2"), KeyOwner::Undetermined);
     assert!(
         remarks
             .iter()
@@ -237,7 +237,7 @@
 fn homes_of_route_and_account_both_bind() {
     let regions = |names: &[&str]| -> Vec<_> { names.iter().map(|n| (*n).into()).collect() };
     let allowed = |route: &[&str], account: &[&str], region: &str| {
-        AllowedRegions::of(&regions(route), &regions(account)).allow(&region.into())
+        AllowedRegions::intersect(&regions(route), &regions(account)).allows(&region.into())
     };
 
     assert!(allowed(&[], &[], "north"));
@@ -245,6 +245,6 @@
     assert!(allowed(&[], &["north"], "north") && !allowed(&[], &["north"], "south"));
     assert!(allowed(&["north", "south"], &["south"], "south"));
     assert!(!allowed(&["north", "south"], &["south"], "north"));
-    assert!(AllowedRegions::of(&regions(&["north"]), &regions(&["south"])).are_none());
-    assert!(!AllowedRegions::of(&regions(&["north"]), &[]).are_none());
+    assert!(AllowedRegions::intersect(&regions(&["north"]), &regions(&["south"])).is_empty());
+    assert!(!AllowedRegions::intersect(&regions(&["north"]), &[]).is_empty());
 }
--- a/crates/edge/tests/feed.rs
+++ b/crates/edge/tests/feed.rs
@@ -8,7 +8,7 @@
 
 use heatherknot_edge::feed::Feed;
 use heatherknot_edge::peer_feed::whom_to_ask;
-use heatherknot_edge::world::World;
+use heatherknot_edge::world::RoutingState;
 use heatherknot_store::port::{Store, StoreRevision};
 use heatherknot_types::prelude::*;
 use support::{TestClock, delete, entry, put, world};
@@ -27,16 +27,16 @@
 }
 
 /// Makes the feed of a VM that is not among those that watch the store, and has run for long.
-fn feed(clock: &TestClock) -> (Rc<Feed>, Rc<RefCell<World>>) {
+fn feed(clock: &TestClock) -> (Rc<Feed>, Rc<RefCell<RoutingState>>) {
     let world = Rc::new(RefCell::new(world(&clock.clock())));
     let settle = Millis(2_500);
     let feed = Feed::new(silent_store(), clock.timer(), Rc::clone(&world), settle);
-    feed.watch_where(|| false, || None);
+    feed.set_watch_policy(|| false, || None);
     feed.end_patience();
     (feed, world)
 }
 
-fn servers(world: &RefCell<World>) -> usize {
+fn servers(world: &RefCell<RoutingState>) -> usize {
     world.borrow().upstreams(&"gallery".into()).len()
 }
 
@@ -153,7 +153,7 @@
     let clock = TestClock::default();
     let world = Rc::new(RefCell::new(world(&clock.clock())));
     let feed = Feed::new(silent_store(), clock.timer(), world, Millis(2_500));
-    feed.watch_where(|| false, || None);
+    feed.set_watch_policy(|| false, || None);
     assert!(!feed.is_to_watch(), "peers may tell it");
 
     clock.advance(2_100);
@@ -170,7 +170,7 @@
     let clock = TestClock::default();
     clock.advance(10_000);
     let (feed, _) = feed(&clock);
-    feed.watch_where(|| false, || Some(Millis(30_000)));
+    feed.set_watch_policy(|| false, || Some(Millis(30_000)));
     feed.heard_from_peer(Millis(0));
 
     clock.advance(1_300);
@@ -194,7 +194,7 @@
     let clock = TestClock::default();
     clock.advance(10_000);
     let (feed, _) = feed(&clock);
-    feed.watch_where(|| false, || Some(Millis(5_000)));
+    feed.set_watch_policy(|| false, || Some(Millis(5_000)));
     feed.heard_from_peer(Millis(0));
 
     clock.advance(1_300);
@@ -212,7 +212,7 @@
     let clock = TestClock::default();
     clock.advance(10_000);
     let (feed, _) = feed(&clock);
-    feed.watch_where(|| true, || Some(Millis(30_000)));
+    feed.set_watch_policy(|| true, || Some(Millis(30_000)));
 
     feed.note_quiet_peer();
 
--- a/crates/edge/tests/homes.rs
+++ b/crates/edge/tests/homes.rs
@@ -23,7 +23,7 @@
         link_mbps,
         cpu_permille,
         handed: Some("127.0.0.1:3".parse().expect("an address")),
-        store_way: None,
+        store_rtt: None,
     }
 }
 
--- a/crates/edge/tests/relay.rs
+++ b/crates/edge/tests/relay.rs
@@ -17,7 +17,7 @@
         link_mbps: 100,
         cpu_permille: 200,
         handed: None,
-        store_way: store_way.map(Millis),
+        store_rtt: store_way.map(Millis),
     }
 }
 
@@ -56,7 +56,7 @@
 #[test]
 fn a_domain_reads_for_itself_while_nobody_has_measured_the_way() {
     let mut vms = vms();
-    vms.iter_mut().for_each(|vm| vm.store_way = None);
+    vms.iter_mut().for_each(|vm| vm.store_rtt = None);
 
     assert_eq!(readers(&vms).len(), 4);
 }
--- a/crates/edge/tests/room.rs
+++ b/crates/edge/tests/room.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use heatherknot_edge::accounts::BoundShare;
+use heatherknot_edge::accounts::RestrictedShare;
 use heatherknot_edge::room::{RegionParts, parts_left};
 use heatherknot_test_support::property::check;
 use heatherknot_types::prelude::*;
@@ -14,10 +14,10 @@
     regions.collect()
 }
 
-fn bound(region: &str, part: f64) -> BoundShare {
-    BoundShare {
+fn bound(region: &str, part: f64) -> RestrictedShare {
+    RestrictedShare {
         regions: vec![region.into()],
-        part,
+        fraction: part,
     }
 }
 
@@ -26,15 +26,15 @@
 }
 
 /// Gives the requests for each slot of a region, bound ones and others, as the parts put them.
-fn load(slots: &BTreeMap<RegionName, f64>, shares: &[BoundShare], region: &str) -> f64 {
+fn load(slots: &BTreeMap<RegionName, f64>, shares: &[RestrictedShare], region: &str) -> f64 {
     let parts = parts_left(slots, shares);
-    let free = 1.0 - shares.iter().map(|share| share.part).sum::<f64>();
+    let free = 1.0 - shares.iter().map(|share| share.fraction).sum::<f64>();
     let weight: f64 = slots.iter().map(|(r, slots)| slots * parts[r]).sum();
     let own = slots[region];
     let homes = shares
         .iter()
         .filter(|share| share.regions.contains(&region.into()));
-    let taken: f64 = homes.map(|share| share.part).sum();
+    let taken: f64 = homes.map(|share| share.fraction).sum();
     (taken + free * own * parts[region] / weight) / own
 }
 
--- a/crates/edge/tests/support/mod.rs
+++ b/crates/edge/tests/support/mod.rs
@@ -15,10 +15,10 @@
 use heatherknot_edge::accounts::Accounts;
 use heatherknot_edge::catalog::{Catalog, CatalogParts, Route, ServiceSpec, Target};
 use heatherknot_edge::dialect::{Dialect, HeaderNames, KeyNames, LookupAnswer, LookupQuery};
-use heatherknot_edge::mirror::{Change, Known};
+use heatherknot_edge::mirror::{Change, VersionedValue};
 use heatherknot_edge::registration::Registration;
 use heatherknot_edge::upstream::Upstream;
-use heatherknot_edge::world::World;
+use heatherknot_edge::world::RoutingState;
 use heatherknot_http::{PoolConfig, Response};
 use heatherknot_store::port::StoreRevision;
 use heatherknot_types::prelude::*;
@@ -56,8 +56,8 @@
         domain: domain.into(),
         slots: 3,
         leaving: false,
-        cold_left: Millis(0),
-        born: None,
+        cold_remaining: Millis(0),
+        started_at: None,
     }
 }
 
@@ -84,7 +84,7 @@
 pub fn put(key: &str, value: impl Into<Bytes>, revision: u64) -> Change {
     Change {
         key: key.to_owned(),
-        known: Known {
+        current: VersionedValue {
             revision: StoreRevision(revision),
             value: Some(value.into()),
         },
@@ -94,7 +94,7 @@
 pub fn delete(key: &str, revision: u64) -> Change {
     Change {
         key: key.to_owned(),
-        known: Known {
+        current: VersionedValue {
             revision: StoreRevision(revision),
             value: None,
         },
@@ -158,9 +158,9 @@
     let mut reg = registration(key.trim_start_matches("server/"), domain);
     reg.service = service.into();
     reg.leaving = state == "leaving";
-    reg.cold_left = Millis(cold.parse().map_err(|_| "no time")?);
+    reg.cold_remaining = Millis(cold.parse().map_err(|_| "no time")?);
     let born = born.map(str::parse).transpose();
-    reg.born = born.map_err(|_| "no start")?.map(Millis);
+    reg.started_at = born.map_err(|_| "no start")?.map(Millis);
     Ok(reg)
 }
 
@@ -201,13 +201,13 @@
     }
 }
 
-pub fn world(clock: &Clock) -> World {
+pub fn world(clock: &Clock) -> RoutingState {
     let regions = BTreeMap::from([("north-1".into(), "north".into())]);
-    World::new(dialect(), regions, PoolConfig::default(), clock.clone())
+    RoutingState::new(dialect(), regions, PoolConfig::default(), clock.clone())
 }
 
 /// Makes a world whose configuration has these client accounts.
-pub fn world_with(accounts: Accounts, clock: &Clock) -> World {
+pub fn world_with(accounts: Accounts, clock: &Clock) -> RoutingState {
     let read = move |_: &str, _: &Bytes| {
         Ok(Catalog::new(CatalogParts {
             version: 1,
@@ -219,12 +219,12 @@
         catalog: Rc::new(read),
         ..dialect()
     };
-    let mut world = World::new(
+    let mut world = RoutingState::new(
         dialect,
         BTreeMap::new(),
         PoolConfig::default(),
         clock.clone(),
     );
-    world.take(&[put("catalog", "1", 1)], true);
+    world.apply(&[put("catalog", "1", 1)], true);
     world
 }
--- a/crates/edge/tests/support/poison_model.rs
+++ b/crates/edge/tests/support/poison_model.rs
@@ -934,6 +934,6 @@
         link_mbps: 10,
         cpu_permille: 100,
         handed: None,
-        store_way: None,
+        store_rtt: None,
     }
 }
--- a/crates/edge/tests/world.rs
+++ b/crates/edge/tests/world.rs
@@ -5,7 +5,7 @@
 use heatherknot_types::prelude::*;
 use support::{TestClock, delete, entry, entry_of_run, put, world};
 
-fn version(world: &heatherknot_edge::world::World) -> Option<u64> {
+fn version(world: &heatherknot_edge::world::RoutingState) -> Option<u64> {
     world.catalog().map(|catalog| catalog.version)
 }
 
@@ -13,9 +13,9 @@
 fn a_configuration_that_cannot_be_read_leaves_the_last_one_in_force() {
     let clock = TestClock::default().clock();
     let mut world = world(&clock);
-    world.take(&[put("catalog", "3 gallery", 5)], true);
-    world.take(&[put("catalog", "nonsense", 6)], true);
-    world.take(&[delete("catalog", 7)], true);
+    world.apply(&[put("catalog", "3 gallery", 5)], true);
+    world.apply(&[put("catalog", "nonsense", 6)], true);
+    world.apply(&[delete("catalog", 7)], true);
     assert_eq!(version(&world), Some(3));
 }
 
@@ -25,11 +25,11 @@
 fn no_configuration_goes_back() {
     let clock = TestClock::default().clock();
     let mut world = world(&clock);
-    world.take(&[put("catalog", "3 gallery", 5)], true);
-    world.take(&[put("catalog", "2 gallery", 9)], true);
+    world.apply(&[put("catalog", "3 gallery", 5)], true);
+    world.apply(&[put("catalog", "2 gallery", 9)], true);
     assert_eq!(version(&world), Some(3));
-    world.take(&[put("catalog", "4 gallery", 10)], true);
-    world.take(&[put("catalog", "9 gallery", 5)], true);
+    world.apply(&[put("catalog", "4 gallery", 10)], true);
+    world.apply(&[put("catalog", "9 gallery", 5)], true);
     assert_eq!(version(&world), Some(4));
 }
 
@@ -40,12 +40,12 @@
     let clock = TestClock::default().clock();
     let mut world = world(&clock);
     let service = "gallery".into();
-    world.take(&[put("server/a", entry("ready", 0, 1), 1)], true);
-    world.take(&[put("server/b", entry("ready", 0, 1), 2)], true);
-    world.take(&[delete("server/a", 3), delete("server/b", 4)], false);
+    world.apply(&[put("server/a", entry("ready", 0, 1), 1)], true);
+    world.apply(&[put("server/b", entry("ready", 0, 1), 2)], true);
+    world.apply(&[delete("server/a", 3), delete("server/b", 4)], false);
     assert_eq!(world.upstreams(&service).len(), 2);
-    world.take(&[put("server/a", entry("ready", 0, 2), 5)], false);
-    world.settle();
+    world.apply(&[put("server/a", entry("ready", 0, 2), 5)], false);
+    world.remove_missing();
     let left = world.upstreams(&service);
     assert_eq!(left.len(), 1);
     assert_eq!(left[0].id.as_str(), "a");
@@ -59,18 +59,18 @@
     let clock = test.clock();
     let mut world = world(&clock);
     let service = "gallery".into();
-    world.take(&[put("catalog", "1 gallery", 1)], true);
-    world.take(&[put("server/a", entry("ready", 0, 1), 2)], true);
-    world.take(&[put("evacuated/north-1", "{}", 3)], true);
+    world.apply(&[put("catalog", "1 gallery", 1)], true);
+    world.apply(&[put("server/a", entry("ready", 0, 1), 2)], true);
+    world.apply(&[put("evacuated/north-1", "{}", 3)], true);
     assert!(world.is_evacuated(&"north-1".into()));
-    world.take(&[delete("evacuated/north-1", 4)], true);
+    world.apply(&[delete("evacuated/north-1", 4)], true);
 
     let a = world.upstreams(&service)[0].clone();
     assert!(!world.is_evacuated(&"north-1".into()));
     assert!(a.is_cold(clock.now()));
     let told = put("server/a", entry("ready", 0, 2), 5);
     assert!(world.matters(&told), "other VMs wait for it too");
-    world.take(&[told], true);
+    world.apply(&[told], true);
     assert!(!a.is_cold(clock.now()));
 }
 
@@ -79,12 +79,12 @@
     let test = TestClock::default();
     let clock = test.clock();
     let mut world = world(&clock);
-    world.take(&[put("server/a", entry("ready", 2_000, 1), 1)], true);
+    world.apply(&[put("server/a", entry("ready", 2_000, 1), 1)], true);
     let a = world.upstreams(&"gallery".into())[0].clone();
     assert!(a.is_cold(clock.now()));
     test.advance(2_000);
     assert!(!a.is_cold(clock.now()));
-    world.take(&[put("server/a", entry("leaving", 0, 2), 2)], true);
+    world.apply(&[put("server/a", entry("leaving", 0, 2), 2)], true);
     assert!(!a.takes_requests());
 }
 
@@ -117,21 +117,21 @@
     let clock = test.clock();
     let mut world = world(&clock);
     let service = "gallery".into();
-    world.take(&[put("server/a", entry_of_run(100, "ready", 0), 1)], true);
+    world.apply(&[put("server/a", entry_of_run(100, "ready", 0), 1)], true);
     let old = world.upstreams(&service)[0].clone();
     let _at_old = old.begin();
     old.note_answer(7, Some(1.0), clock.now());
 
     let again = put("server/a", entry_of_run(200, "ready", 3_000), 2);
     assert!(world.matters(&again), "other VMs wait for it too");
-    world.take(&[again], true);
+    world.apply(&[again], true);
 
     let new = world.upstreams(&service)[0].clone();
     assert!(!old.takes_requests(), "sends to the old run are over");
     assert!(new.takes_requests() && new.is_cold(clock.now()));
     assert!(!new.keeps(7, clock.now()));
     assert_eq!(new.in_flight(), 0);
-    world.take(&[put("server/a", entry_of_run(100, "leaving", 0), 3)], true);
+    world.apply(&[put("server/a", entry_of_run(100, "leaving", 0), 3)], true);
     let kept = world.upstreams(&service)[0].clone();
     assert_eq!(kept.born, Some(Millis(200)));
     assert!(
@@ -146,11 +146,11 @@
 fn a_word_of_an_ended_run_names_no_server() {
     let clock = TestClock::default().clock();
     let mut world = world(&clock);
-    world.take(&[put("server/a", entry_of_run(200, "ready", 0), 1)], true);
-    world.take(&[delete("server/a", 2)], true);
-    world.take(&[put("server/a", entry_of_run(100, "ready", 0), 3)], true);
+    world.apply(&[put("server/a", entry_of_run(200, "ready", 0), 1)], true);
+    world.apply(&[delete("server/a", 2)], true);
+    world.apply(&[put("server/a", entry_of_run(100, "ready", 0), 3)], true);
     assert!(world.upstreams(&"gallery".into()).is_empty());
-    world.take(&[put("server/a", entry_of_run(200, "ready", 0), 4)], true);
+    world.apply(&[put("server/a", entry_of_run(200, "ready", 0), 4)], true);
     assert_eq!(world.upstreams(&"gallery".into()).len(), 1);
 }
 
@@ -161,20 +161,20 @@
     let clock = TestClock::default().clock();
     let mut world = world(&clock);
     let service = "gallery".into();
-    world.take(&[put("server/a", entry_of_run(100, "ready", 0), 1)], true);
-    world.take(&[put("server/b", entry("ready", 0, 1), 2)], true);
+    world.apply(&[put("server/a", entry_of_run(100, "ready", 0), 1)], true);
+    world.apply(&[put("server/b", entry("ready", 0, 1), 2)], true);
     for damaged in [&b"\xff\xfe"[..], b"{}", b""] {
-        world.take(&[put("server/a", damaged, 3)], true);
+        world.apply(&[put("server/a", damaged, 3)], true);
         let left = world.upstreams(&service);
         assert_eq!(left.len(), 1, "the others hold");
         assert_eq!(left[0].id.as_str(), "b");
     }
-    world.take(&[put("server/a", entry("ready", 0, 2), 4)], true);
+    world.apply(&[put("server/a", entry("ready", 0, 2), 4)], true);
     assert_eq!(
         world.upstreams(&service).len(),
         1,
         "an entry without its start"
     );
-    world.take(&[put("server/a", entry_of_run(100, "ready", 0), 5)], true);
+    world.apply(&[put("server/a", entry_of_run(100, "ready", 0), 5)], true);
     assert_eq!(world.upstreams(&service).len(), 2);
 }
