--- a/crates/edge/examples/choice_bench.rs
+++ b/crates/edge/examples/choice_bench.rs
@@ -8,9 +8,9 @@
 use std::rc::Rc;
 use std::time::Instant;
 
-use heatherknot_edge::choose::{Place, Wish, choose, first};
-use heatherknot_edge::pace::Pace;
 use heatherknot_edge::registration::Registration;
+use heatherknot_edge::selection::{Locality, SelectionParams, first_ranked, select};
+use heatherknot_edge::service_times::ServiceTimes;
 use heatherknot_edge::switches::Switches;
 use heatherknot_edge::upstream::Upstream;
 use heatherknot_http::PoolConfig;
@@ -55,36 +55,36 @@
 fn main() {
     let clock = Clock::new(|| Millis(0));
     let (region, domain) = ("north".into(), "north-1".into());
-    let pace = Pace::default();
-    let wish = |object| Wish {
+    let pace = ServiceTimes::default();
+    let wish = |object| SelectionParams {
         object,
         sticky: true,
         region: &region,
         domain: &domain,
-        target: Millis(600),
-        left: Millis(2_500),
+        latency_target: Millis(600),
+        time_left: Millis(2_500),
         now: Millis(0),
         switches: Switches::default(),
-        is_bound: false,
-        named: None,
+        is_region_bound: false,
+        assigned: None,
         is_home: &|_| false,
-        spread: None,
+        placement: None,
     };
     println!("microseconds a choice: least, median, most of {ROUNDS} rounds");
     for count in [100, 1_000, 10_000] {
         let servers: Vec<_> = (0..count).map(|i| server(i, &clock)).collect();
         let free = time(|object| {
-            black_box(choose(&wish(object), &servers, &pace, Place::Region));
+            black_box(select(&wish(object), &servers, &pace, Locality::Region));
         });
         let by_rank = time(|object| {
-            black_box(first(&wish(object), &servers, Place::Region));
+            black_box(first_ranked(&wish(object), &servers, Locality::Region));
         });
         let busy: Vec<_> = servers
             .iter()
-            .flat_map(|s| [s.begin(), s.begin(), s.begin()])
+            .flat_map(|s| [s.start_request(), s.start_request(), s.start_request()])
             .collect();
         let full = time(|object| {
-            black_box(choose(&wish(object), &servers, &pace, Place::Region));
+            black_box(select(&wish(object), &servers, &pace, Locality::Region));
         });
         drop(busy);
         println!("{count:>6} servers: free {free:.1?}, full {full:.1?}, handed over {by_rank:.1?}");
--- a/crates/edge/src/attempt.rs
+++ b/crates/edge/src/attempt.rs
@@ -10,10 +10,10 @@
 use http::{HeaderMap, HeaderValue, StatusCode};
 
 use crate::call::Call;
-use crate::choose::Prospect;
 use crate::context::EdgeContext;
+use crate::selection::Candidate;
 use crate::switches::Mechanism;
-use crate::upstream::{InFlight, ServerLoad};
+use crate::upstream::{InFlightGuard, ServerLoad};
 
 /// The longest response body that is read whole before the caller gets its first byte. A
 /// short answer that breaks off can then still be had from another server.
@@ -63,7 +63,7 @@
 }
 
 /// Sends a request to the backend server of `prospect`.
-pub(crate) async fn send(cx: &EdgeContext, call: &mut Call, prospect: &Prospect) -> Attempt {
+pub(crate) async fn send(cx: &EdgeContext, call: &mut Call, prospect: &Candidate) -> Attempt {
     let Some(body) = call.body.take() else {
         return Attempt::NotSent("its body can't be sent again");
     };
@@ -89,30 +89,30 @@
 /// answered nobody meanwhile hangs, or is cut off in a way that no connection shows: it is left
 /// alone as one that can't be reached. Otherwise each request for one of its objects would wait
 /// for nothing, for as long as it hangs.
-fn learn_unanswered(cx: &EdgeContext, call: &Call, prospect: &Prospect, sent: Millis) {
+fn learn_unanswered(cx: &EdgeContext, call: &Call, prospect: &Candidate, sent: Millis) {
     let upstream = &prospect.upstream;
     let now = cx.now();
-    let kept = upstream.keeps(call.object, now);
+    let kept = upstream.likely_caches(call.object, now);
     let waited = now.since(sent);
     let slowness = call.state.pace.slowness(&upstream.region, kept, waited);
     let Some(slowness) = slowness.filter(|slowness| *slowness >= SLOW_FROM) else {
         return;
     };
-    upstream.note_unanswered(slowness, now);
+    upstream.record_unanswered(slowness, now);
     let hangs = slowness >= HANGS_FROM && upstream.is_silent_since(sent);
-    if hangs && cx.switches.has(Mechanism::HangingServers) {
+    if hangs && cx.switches.is_on(Mechanism::HangingServers) {
         log::info!(upstream:% = upstream.id, waited_ms = waited.0; "a backend server answers nothing and is left alone");
-        upstream.note_failure_after(waited, now);
+        upstream.record_hang(waited, now);
     }
 }
 
-async fn exchange(cx: &EdgeContext, call: &Call, body: Body, prospect: &Prospect) -> Attempt {
+async fn exchange(cx: &EdgeContext, call: &Call, body: Body, prospect: &Candidate) -> Attempt {
     let upstream = &prospect.upstream;
     let sent = cx.now();
     let Some(head) = head_for(cx, call, prospect, sent) else {
         return Attempt::NotSent("its server's identifier is no header value");
     };
-    let flight = upstream.begin();
+    let flight = upstream.start_request();
     let options = SendOptions {
         deadline: Some(call.deadline),
         idempotent: call.route.idempotent,
@@ -125,19 +125,19 @@
     // Only a daemon says what became of a request. A server that could would have its runs counted
     // as none against its account's limit.
     response.headers.remove(OUTCOME_HEADER);
-    upstream.note_sign_of_life(cx.now());
+    upstream.record_response(cx.now());
     note_load(cx, call, prospect, &response.headers, sent);
     if let Some(attempt) = refused(cx, prospect, &response) {
         return attempt;
     }
     if !is_own_answer(cx, &response) {
-        upstream.note_refusal(cx.now());
+        upstream.record_error_response(cx.now());
         return Attempt::Unknown("the response is not the server's own");
     }
     match hold(call, cx, response).await {
         Ok(response) => answered(cx, call, prospect, response, sent, flight),
         Err(cause) => {
-            upstream.note_refusal(cx.now());
+            upstream.record_error_response(cx.now());
             Attempt::Broken(cause)
         }
     }
@@ -147,7 +147,7 @@
 fn head_for(
     cx: &EdgeContext,
     call: &Call,
-    prospect: &Prospect,
+    prospect: &Candidate,
     now: Millis,
 ) -> Option<RequestHead> {
     let names = &cx.dialect.headers;
@@ -163,19 +163,19 @@
 fn answered(
     cx: &EdgeContext,
     call: &Call,
-    prospect: &Prospect,
+    prospect: &Candidate,
     response: Response,
     sent: Millis,
-    flight: InFlight,
+    flight: InFlightGuard,
 ) -> Attempt {
     if response.status.is_server_error() {
-        prospect.upstream.note_refusal(cx.now());
+        prospect.upstream.record_error_response(cx.now());
         return Attempt::Failure(response);
     }
     if response.status.is_success() {
         if let Some(bytes) = response.body.known_len() {
             cx.route(&call.route.name)
-                .note_bytes(bytes + call.body.len());
+                .record_bytes(bytes + call.body.len());
         }
         learn(cx, call, prospect, cx.now().since(sent));
     }
@@ -226,7 +226,7 @@
 }
 
 /// Tells a response by which the server says that it did not run the request.
-fn refused(cx: &EdgeContext, prospect: &Prospect, response: &Response) -> Option<Attempt> {
+fn refused(cx: &EdgeContext, prospect: &Candidate, response: &Response) -> Option<Attempt> {
     let upstream = &prospect.upstream;
     if response.status == StatusCode::MISDIRECTED_REQUEST {
         // The server is gone and another one answers at its address.
@@ -235,7 +235,7 @@
         return Some(Attempt::NotRun("another server has the address"));
     }
     if response.headers.contains_key(&cx.dialect.headers.not_run) {
-        upstream.note_refusal(cx.now());
+        upstream.record_error_response(cx.now());
         return Some(Attempt::NotRun("the server refused it unrun"));
     }
     None
@@ -251,7 +251,7 @@
 fn note_load(
     cx: &EdgeContext,
     call: &Call,
-    prospect: &Prospect,
+    prospect: &Candidate,
     headers: &HeaderMap,
     sent: Millis,
 ) {
@@ -259,16 +259,16 @@
     let load = told.and_then(|v| ServerLoad::parse(v.to_str().ok()?));
     if let Some(load) = load {
         let now = cx.now();
-        let others = prospect.upstream.note_load(load, now);
-        call.state.pace.note_others(others, now);
+        let others = prospect.upstream.record_load(load, now);
+        call.state.pace.record_other_load(others, now);
         let is_own = prospect.upstream.region == cx.region;
-        if cx.route(&call.route.name).may_leave(cx.switches) {
-            call.state.spill.note(is_own, load, now.since(sent), now);
+        if cx.route(&call.route.name).may_spill_over(cx.switches) {
+            call.state.spill.record(is_own, load, now.since(sent), now);
         }
     }
 }
 
-fn failed(cx: &EdgeContext, call: &Call, prospect: &Prospect, error: &SendError) -> Attempt {
+fn failed(cx: &EdgeContext, call: &Call, prospect: &Candidate, error: &SendError) -> Attempt {
     let upstream = &prospect.upstream;
     let now = cx.now();
     log::debug!(id = call.id(cx), upstream:% = upstream.id, error:% = error; "a send failed");
@@ -280,7 +280,7 @@
     }
     // A kept connection that was closed by the server says nothing about the server.
     if !error.is_stale_connection() && !matches!(error, SendError::Expired { .. }) {
-        upstream.note_failure(now);
+        upstream.record_connection_failure(now);
     }
     match (error.handed(), now >= call.deadline) {
         (Handed::NotSent, _) => Attempt::NotSent("the server could not be reached"),
@@ -290,14 +290,14 @@
 }
 
 /// Takes in how long a good answer took.
-fn learn(cx: &EdgeContext, call: &Call, prospect: &Prospect, took: Millis) {
+fn learn(cx: &EdgeContext, call: &Call, prospect: &Candidate, took: Millis) {
     let upstream = &prospect.upstream;
     let now = cx.now();
-    let kept = upstream.keeps(call.object, now);
-    let slowness = prospect.free.then(|| {
+    let kept = upstream.likely_caches(call.object, now);
+    let slowness = prospect.has_free_slot.then(|| {
         let slowness = call.state.pace.slowness(&upstream.region, kept, took);
-        call.state.pace.note(&upstream.region, kept, took);
+        call.state.pace.record(&upstream.region, kept, took);
         slowness
     });
-    upstream.note_answer(call.object, slowness.flatten(), now);
+    upstream.record_success(call.object, slowness.flatten(), now);
 }
--- a/crates/edge/src/budget.rs
+++ b/crates/edge/src/budget.rs
@@ -9,7 +9,7 @@
 use heatherknot_types::prelude::*;
 
 use crate::settings::Bounds;
-use crate::window::Window;
+use crate::window::SlidingWindow;
 
 /// The part of the bound that is used. The rest covers requests whose first send fell out
 /// of the window while their further sends are still in it.
@@ -18,8 +18,8 @@
 /// One VM's part of a service's budget.
 #[derive(Debug)]
 pub struct RetryBudget {
-    requests: Window,
-    further: Window,
+    requests: SlidingWindow,
+    further: SlidingWindow,
     ratio: f64,
     slack: f64,
 }
@@ -28,8 +28,8 @@
     /// Makes a budget under `bounds`.
     pub fn new(bounds: &Bounds) -> Self {
         Self {
-            requests: Window::new(bounds.retry_window),
-            further: Window::new(bounds.retry_window),
+            requests: SlidingWindow::new(bounds.retry_window),
+            further: SlidingWindow::new(bounds.retry_window),
             ratio: bounds.retry_ratio,
             slack: bounds.retry_slack,
         }
--- a/crates/edge/src/call.rs
+++ b/crates/edge/src/call.rs
@@ -315,7 +315,7 @@
     let object = object_of(cx, &head);
     if handed.is_none() {
         state.asked.borrow_mut().add(started, 1.0);
-        cx.route(&route.name).note_request(object, started);
+        cx.route(&route.name).record_request(object, started);
     }
     let body = HeldBody::hold(req.body, &cx.kept_bodies).await;
     let body = body.map_err(|error| {
@@ -345,7 +345,7 @@
 /// Counts a request of an account, and refuses it where it goes beyond the account's limit. What
 /// another VM has handed over it has counted, too.
 fn keep_to_limit(cx: &EdgeContext, account: Option<&Arc<Account>>) -> Result<(), Unroutable> {
-    let Some(account) = account.filter(|_| cx.switches.has(Mechanism::Quota)) else {
+    let Some(account) = account.filter(|_| cx.switches.is_on(Mechanism::Quota)) else {
         return Ok(());
     };
     if !cx.quota.knows_vms() {
--- a/crates/edge/src/context.rs
+++ b/crates/edge/src/context.rs
@@ -13,26 +13,26 @@
 
 use crate::budget::RetryBudget;
 use crate::dialect::Dialect;
-use crate::distance::Distances;
 use crate::feed::Feed;
-use crate::homes::Homes;
+use crate::homes::HomeDirectory;
 use crate::lines::LineBudget;
+use crate::locality::RouteLocality;
 use crate::metrics::EdgeMetrics;
-use crate::pace::Pace;
+use crate::placement::ObjectPlacement;
 use crate::poison::PoisonDetector;
 use crate::presence::{self, VmEntries, VmEntry};
 use crate::quota::state::Quota;
-use crate::reach::RouteReach;
 use crate::region_counts::RegionCounts;
 use crate::relay::Relay;
-use crate::room::RegionParts;
+use crate::round_trip::RegionRoundTrips;
+use crate::service_times::ServiceTimes;
 use crate::settings::{Bounds, EdgeConfig};
-use crate::spill::Spill;
-use crate::split::Split;
-use crate::spread::Spread;
+use crate::spillover::Spillover;
+use crate::split::TrafficSplit;
 use crate::switches::Switches;
-use crate::upstream::IDLE_KEPT;
-use crate::window::Window;
+use crate::unbound_share::UnboundShares;
+use crate::upstream::IDLE_TIMEOUT;
+use crate::window::SlidingWindow;
 use crate::world::RoutingState;
 
 /// What all tasks of one daemon share. Tasks run on one thread; no borrow is held across an
@@ -79,13 +79,13 @@
     /// What is learned of each service.
     pub services: RefCell<HashMap<ServiceName, Rc<ServiceState>>>,
     /// How requests of routes with several targets were shared, by route.
-    pub splits: RefCell<HashMap<Arc<str>, Split>>,
+    pub splits: RefCell<HashMap<Arc<str>, TrafficSplit>>,
     /// What is learned of each route, by its name.
-    pub routes: RefCell<HashMap<Arc<str>, Rc<RouteReach>>>,
+    pub routes: RefCell<HashMap<Arc<str>, Rc<RouteLocality>>>,
     /// The memory for long request bodies that may have to be sent again.
     pub kept_bodies: Rc<KeepRoom>,
     /// The homes of backend servers, and the connections to them.
-    pub homes: Homes,
+    pub homes: HomeDirectory,
     /// Shows that a request was handed over by a VM of this deployment.
     pub handed_token: String,
     /// By which operators release rejected requests.
@@ -95,7 +95,7 @@
     /// This VM's part in finding out requests that end servers.
     pub poison: Rc<PoisonDetector>,
     /// How far other regions are.
-    pub distances: Distances,
+    pub distances: RegionRoundTrips,
     /// The log lines that tell of requests over their accounts' limits.
     pub refused_lines: RefCell<LineBudget>,
     /// Metrics.
@@ -111,20 +111,20 @@
 /// What is learned of one service.
 pub struct ServiceState {
     /// How long its backend servers take.
-    pub pace: Pace,
+    pub pace: ServiceTimes,
     /// The budget of further sends.
     pub budget: RefCell<RetryBudget>,
     /// The requests that callers sent to this VM, in the time for which an idle connection to a
     /// backend server is kept.
-    pub asked: RefCell<Window>,
+    pub asked: RefCell<SlidingWindow>,
     /// Which part of the objects other regions serve.
-    pub spill: Spill,
+    pub spill: Spillover,
     /// How many requests this VM sent to each region.
     pub sent_by_region: RegionCounts,
     /// Which part of its room each region leaves to requests that may run anywhere.
-    pub region_shares: RegionParts,
+    pub region_shares: UnboundShares,
     /// Where objects are put, as far as this VM is the home of their servers.
-    pub spread: Spread,
+    pub spread: ObjectPlacement,
     /// When each cold backend server may get its next request from this VM.
     pub cold_next: RefCell<HashMap<UpstreamName, Millis>>,
 }
@@ -140,13 +140,13 @@
         let mut services = self.services.borrow_mut();
         let state = services.entry(name.clone()).or_insert_with(|| {
             Rc::new(ServiceState {
-                pace: Pace::default(),
+                pace: ServiceTimes::default(),
                 budget: RefCell::new(RetryBudget::new(&self.bounds)),
-                asked: RefCell::new(Window::new(IDLE_KEPT)),
-                spill: Spill::default(),
+                asked: RefCell::new(SlidingWindow::new(IDLE_TIMEOUT)),
+                spill: Spillover::default(),
                 sent_by_region: RegionCounts::default(),
-                region_shares: RegionParts::default(),
-                spread: Spread::default(),
+                region_shares: UnboundShares::default(),
+                spread: ObjectPlacement::default(),
                 cold_next: RefCell::default(),
             })
         });
@@ -154,7 +154,7 @@
     }
 
     /// Gives what is learned of a route.
-    pub fn route(&self, name: &Arc<str>) -> Rc<RouteReach> {
+    pub fn route(&self, name: &Arc<str>) -> Rc<RouteLocality> {
         let mut routes = self.routes.borrow_mut();
         Rc::clone(routes.entry(Arc::clone(name)).or_default())
     }
--- a/crates/edge/src/daemon.rs
+++ b/crates/edge/src/daemon.rs
@@ -22,22 +22,22 @@
 
 use crate::context::EdgeContext;
 use crate::dialect::Dialect;
-use crate::distance::Distances;
 use crate::feed::Feed;
-use crate::homes::Homes;
+use crate::homes::HomeDirectory;
 use crate::metrics::EdgeMetrics;
 use crate::poison::PoisonDetector;
 use crate::poison::status::{REJECTED_PATH, RELEASE_PATH, RELEASE_PURPOSE};
 use crate::presence::VmEntries;
 use crate::quota::state::Quota;
 use crate::quota::{exchange, status};
+use crate::round_trip::RegionRoundTrips;
 use crate::settings::{Bounds, EdgeConfig};
 use crate::switches::{Mechanism, Switches};
-use crate::upstream::{self, IDLE_KEPT};
+use crate::upstream::{self, IDLE_TIMEOUT};
 use crate::world::RoutingState;
 use crate::{
-    call, distance, enter, forward, hand_over, lookup, peer_feed, poison, presence, reply,
-    spill_step, stop,
+    call, enter, forward, hand_over, lookup, peer_feed, poison, presence, reply, round_trip,
+    spillover_update, stop,
 };
 
 /// How often idle connections are looked through, and missing backend servers.
@@ -186,7 +186,7 @@
     let entries = Rc::new(VmEntries::new(Rc::clone(&feed)));
     let mut methods = MethodTable::default();
     peer_feed::register(&mut methods, &feed, &timer);
-    distance::register(&mut methods);
+    round_trip::register(&mut methods);
     let quota = Rc::new(Quota::new(timer.clone(), Rc::clone(&world)));
     exchange::register(&mut methods, &quota);
     let poison = make_poison(&cfg, &timer, &feed, &mut methods);
@@ -211,13 +211,13 @@
         splits: RefCell::default(),
         routes: RefCell::default(),
         kept_bodies: KeepRoom::new(cfg.kept_bodies_bytes()),
-        homes: Homes::default(),
+        homes: HomeDirectory::default(),
         handed_token: token(&cfg, HANDED_PURPOSE),
         release_token: token(&cfg, RELEASE_PURPOSE),
         quota,
         poison,
         refused_lines: RefCell::default(),
-        distances: Distances::default(),
+        distances: RegionRoundTrips::default(),
         metrics,
         registry,
         leaving: Flag::new(),
@@ -331,10 +331,10 @@
 fn upstream_pool(dialect: &Dialect) -> PoolConfig {
     PoolConfig {
         max_connections: 64,
-        max_idle: IDLE_KEPT,
+        max_idle: IDLE_TIMEOUT,
         max_idle_once: Millis(2_000),
         connect_timeout: Duration::from_millis(500),
-        liveness: upstream::liveness(),
+        liveness: upstream::liveness_options(),
         may_end_with_connection: true,
         echoed: Some(dialect.headers.request_id.clone()),
         ..PoolConfig::default()
@@ -345,7 +345,7 @@
     let finishing = stop::finishing_time(cx.bounds.grace);
     let caller_cx = Rc::clone(cx);
     Limits {
-        ahead: cx.switches.has(Mechanism::Ahead).then(|| AheadRule {
+        ahead: cx.switches.is_on(Mechanism::Ahead).then(|| AheadRule {
             most: MOST_AHEAD,
             may: Rc::new(move |head| call::may_go_ahead(&caller_cx, head)),
         }),
@@ -376,7 +376,7 @@
     monoio::spawn(enter::run(Rc::clone(cx)));
     monoio::spawn(peer_feed::run(Rc::clone(cx)));
     monoio::spawn(peer_feed::fetch_from_seeds(Rc::clone(cx)));
-    monoio::spawn(distance::run(Rc::clone(cx)));
+    monoio::spawn(round_trip::run(Rc::clone(cx)));
     monoio::spawn(exchange::run(Rc::clone(cx)));
     monoio::spawn(poison::exchange::run(Rc::clone(cx)));
     monoio::spawn(poison::records::run(Rc::clone(cx)));
@@ -414,7 +414,7 @@
             cx.world.borrow_mut().remove_missing();
         }
         presence::refresh(&cx);
-        spill_step::run(&cx);
+        spillover_update::run(&cx);
         if round.is_multiple_of(TICKS_A_SWEEP) {
             let world = cx.world.borrow();
             world
--- a/crates/edge/src/forward.rs
+++ b/crates/edge/src/forward.rs
@@ -7,13 +7,13 @@
 
 use crate::attempt::{self, Attempt};
 use crate::call::{self, Call, Unroutable};
-use crate::choose::Prospect;
 use crate::context::EdgeContext;
 use crate::hand_over;
 use crate::identify::IdentifyError;
 use crate::pick::{self, Refusal};
 use crate::poison::guard::{self, SendDecision};
 use crate::reply;
+use crate::selection::Candidate;
 use crate::story::{self, Sent};
 
 /// When a caller may come back to a daemon that has no configuration yet.
@@ -44,7 +44,7 @@
     failure: Option<Response>,
     pub(crate) cause: &'static str,
     /// The server that was the best one when the request was refused.
-    pub(crate) refused_by: Option<Prospect>,
+    pub(crate) refused_by: Option<Candidate>,
 }
 
 /// Answers a request.
@@ -131,8 +131,11 @@
         tries.servers.push(prospect.upstream.id.clone());
         let at = cx.now();
         let is_callers = call.meant.is_none();
-        let _under_way =
-            is_callers.then(|| call.state.sent_by_region.begin(&prospect.upstream.region));
+        let _under_way = is_callers.then(|| {
+            call.state
+                .sent_by_region
+                .start_request(&prospect.upstream.region)
+        });
         let attempt = attempt::send(cx, call, &prospect).await;
         drop(under_way);
         tries
@@ -155,7 +158,7 @@
     cx: &Rc<EdgeContext>,
     call: &Call,
     tries: &mut Tries,
-    prospect: &Prospect,
+    prospect: &Candidate,
     attempt: Attempt,
 ) -> Option<Response> {
     match attempt {
--- a/crates/edge/src/hand_over.rs
+++ b/crates/edge/src/hand_over.rs
@@ -21,7 +21,7 @@
 use crate::call::{self, Call, Unroutable};
 use crate::context::EdgeContext;
 use crate::forward::{self, Tries};
-use crate::homes::{Home, HomePeer};
+use crate::homes::{HomePeer, HomeVm};
 use crate::pick;
 use crate::poison::guard;
 use crate::reply;
@@ -128,7 +128,7 @@
         return None;
     }
     let began = cx.now();
-    let _under_way = call.state.sent_by_region.begin(&upstream.region);
+    let _under_way = call.state.sent_by_region.start_request(&upstream.region);
     let outcome = send(cx, call, &peer, &upstream).await;
     let label = outcome.label();
     cx.metrics.handed.with_label_values(&[label]).inc();
@@ -155,12 +155,12 @@
 
 /// Gives the first server of a request's rank and that server's home, where the request is to be
 /// handed over.
-fn wanted_home(cx: &EdgeContext, call: &Call) -> Option<(Rc<Upstream>, Home)> {
+fn wanted_home(cx: &EdgeContext, call: &Call) -> Option<(Rc<Upstream>, HomeVm)> {
     if call.meant.is_some() || !goes_by_home(cx, call) {
         return None;
     }
     let first = pick::first(cx, call)?;
-    let home = cx.homes.of(&first, &cx.vms.borrow())?;
+    let home = cx.homes.home_of(&first, &cx.vms.borrow())?;
     (home.vm != cx.cfg.vm).then_some((first, home))
 }
 
@@ -170,14 +170,14 @@
 /// them itself, and knows their load; nor where the request carries much, which would go through
 /// the links of one VM more.
 pub(crate) fn goes_by_home(cx: &EdgeContext, call: &Call) -> bool {
-    let takes_part = cx.cfg.listen.handed.is_some() && cx.switches.has(Mechanism::HandOver);
-    takes_part && !cx.route(&call.route.name).is_large() && is_seldom(cx, call)
+    let takes_part = cx.cfg.listen.handed.is_some() && cx.switches.is_on(Mechanism::HandOver);
+    takes_part && !cx.route(&call.route.name).has_large_transfers() && is_seldom(cx, call)
 }
 
 /// Says whether objects may be put where this VM, as the home of their servers, likes: a request
 /// came here over another VM, or this VM would hand it over if it were not the home itself.
 pub(crate) fn may_put(cx: &EdgeContext, call: &Call) -> bool {
-    cx.switches.has(Mechanism::Spread) && (call.meant.is_some() || goes_by_home(cx, call))
+    cx.switches.is_on(Mechanism::Spread) && (call.meant.is_some() || goes_by_home(cx, call))
 }
 
 /// Says whether this VM has so few requests for each server of a service, in the time for which an
@@ -239,7 +239,7 @@
     response: Response,
     began: Millis,
 ) -> Outcome {
-    peer.note_answer();
+    peer.record_success();
     if response.headers.contains_key(DECLINED) {
         return Outcome::NotBegun("the home declined it");
     }
@@ -247,8 +247,8 @@
     if let Some(load) = told.and_then(|v| ServerLoad::parse(v.to_str().ok()?)) {
         let is_own = to.region == cx.region;
         let now = cx.now();
-        if cx.route(&call.route.name).may_leave(cx.switches) {
-            call.state.spill.note(is_own, load, now.since(began), now);
+        if cx.route(&call.route.name).may_spill_over(cx.switches) {
+            call.state.spill.record(is_own, load, now.since(began), now);
         }
     }
     if let Some(bytes) = response
@@ -257,7 +257,7 @@
         .filter(|_| response.status.is_success())
     {
         let route = cx.route(&call.route.name);
-        route.note_bytes(bytes + call.body.len());
+        route.record_bytes(bytes + call.body.len());
     }
     match attempt::hold(call, cx, response).await {
         Ok(response) => Outcome::Answered(response),
@@ -270,7 +270,7 @@
     log::debug!(id = call.id(cx), home:% = peer.pool.address(), error:% = error; "a request was not handed over");
     let is_callers = matches!(error, SendError::RequestBody { .. });
     if !is_callers && !error.is_stale_connection() {
-        peer.note_failure(now);
+        peer.record_failure(now);
     }
     match (error.handed(), now >= call.deadline) {
         (Handed::NotSent, _) => Outcome::NotBegun("its home could not be reached"),
--- a/crates/edge/src/homes.rs
+++ b/crates/edge/src/homes.rs
@@ -28,15 +28,15 @@
 
 /// The connections to the homes of backend servers, and who those are.
 #[derive(Default)]
-pub struct Homes {
+pub struct HomeDirectory {
     /// The home of each server that was asked for since the VMs changed last.
-    of: RefCell<HashMap<UpstreamName, Option<Home>>>,
+    of: RefCell<HashMap<UpstreamName, Option<HomeVm>>>,
     peers: RefCell<HashMap<SocketAddr, Rc<HomePeer>>>,
 }
 
 /// The home of a backend server.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Home {
+pub struct HomeVm {
     /// The VM.
     pub vm: VmName,
     /// Where it takes requests that are handed to it.
@@ -56,7 +56,7 @@
 /// VMs with more processor time and wider links are the home of more servers, in proportion to
 /// both: a few wide ones among many small ones meet most requests, so that connections to them
 /// are used again.
-pub fn home_of(upstream: &Upstream, vms: &[VmEntry]) -> Option<Home> {
+pub fn home_of(upstream: &Upstream, vms: &[VmEntry]) -> Option<HomeVm> {
     let here = vms.iter().filter(|vm| vm.domain == upstream.domain);
     let taking = here.filter_map(|vm| Some((vm, vm.handed?)));
     let place = |vm: &VmEntry| {
@@ -65,7 +65,7 @@
     };
     let placed = taking.map(|(vm, handed)| (place(vm), vm, handed));
     let (_, vm, handed) = placed.min_by(|a, b| a.0.total_cmp(&b.0))?;
-    Some(Home {
+    Some(HomeVm {
         vm: vm.name.clone(),
         handed,
     })
@@ -76,9 +76,9 @@
     f64::from(vm.cpu_permille.max(1)) * f64::from(vm.link_mbps.max(1))
 }
 
-impl Homes {
+impl HomeDirectory {
     /// Gives the home of a backend server.
-    pub fn of(&self, upstream: &Upstream, vms: &[VmEntry]) -> Option<Home> {
+    pub fn home_of(&self, upstream: &Upstream, vms: &[VmEntry]) -> Option<HomeVm> {
         let mut of = self.of.borrow_mut();
         if let Some(home) = of.get(&upstream.id) {
             return home.clone();
@@ -96,7 +96,7 @@
     }
 
     /// Gives the connections to a home.
-    pub fn peer(&self, home: &Home, dialect: &Dialect, clock: &Clock) -> Rc<HomePeer> {
+    pub fn peer(&self, home: &HomeVm, dialect: &Dialect, clock: &Clock) -> Rc<HomePeer> {
         let mut peers = self.peers.borrow_mut();
         let peer = peers.entry(home.handed).or_insert_with(|| {
             Rc::new(HomePeer {
@@ -122,14 +122,14 @@
     }
 
     /// Takes in that it answered.
-    pub fn note_answer(&self) {
+    pub fn record_success(&self) {
         self.failures.set(0);
     }
 
     /// Takes in that it could not be reached, broke off or did not answer in time. A VM that is
     /// gone without a word would cost each request for its servers the time of a connect until
     /// the peers have noticed.
-    pub fn note_failure(&self, now: Millis) {
+    pub fn record_failure(&self, now: Millis) {
         let failures = self.failures.get();
         self.failures.set(failures + 1);
         let pause = Millis(FIRST_PAUSE.0 << failures.min(MAX_DOUBLINGS));
@@ -146,7 +146,7 @@
         max_idle: Millis(40_000),
         max_idle_once: Millis(40_000),
         connect_timeout: Duration::from_millis(500),
-        liveness: upstream::liveness(),
+        liveness: upstream::liveness_options(),
         may_end_with_connection: true,
         echoed: Some(dialect.headers.request_id.clone()),
         ..PoolConfig::default()
--- a/crates/edge/src/reach.rs
+++ b/crates/edge/src/locality.rs
@@ -12,11 +12,11 @@
 use heatherknot_types::hash;
 use heatherknot_types::prelude::*;
 
-use crate::choose::Place;
 use crate::ewma::Ewma;
-use crate::spill::Spill;
+use crate::selection::Locality;
+use crate::spillover::Spillover;
 use crate::switches::{Mechanism, Switches};
-use crate::window::Window;
+use crate::window::SlidingWindow;
 
 /// Bytes of a request's body and its answer together from which they count as large: their
 /// transfer then costs more than the work that a second copy of the object takes.
@@ -44,9 +44,9 @@
 
 /// What is learned of one route.
 #[derive(Debug)]
-pub struct RouteReach {
+pub struct RouteLocality {
     size: Ewma,
-    requests: RefCell<Window>,
+    requests: RefCell<SlidingWindow>,
     objects: RefCell<HashSet<u64>>,
     in_domain: Cell<f64>,
     moved: Cell<Millis>,
@@ -54,11 +54,11 @@
     is_large: Cell<bool>,
 }
 
-impl Default for RouteReach {
+impl Default for RouteLocality {
     fn default() -> Self {
         Self {
             size: Ewma::default(),
-            requests: RefCell::new(Window::new(RATE_SPAN)),
+            requests: RefCell::new(SlidingWindow::new(RATE_SPAN)),
             objects: RefCell::default(),
             in_domain: Cell::new(0.0),
             moved: Cell::new(Millis(0)),
@@ -76,9 +76,9 @@
     pub vms_here: usize,
 }
 
-impl RouteReach {
+impl RouteLocality {
     /// Takes in a request for an object.
-    pub fn note_request(&self, object: u64, now: Millis) {
+    pub fn record_request(&self, object: u64, now: Millis) {
         self.requests.borrow_mut().add(now, 1.0);
         let mut objects = self.objects.borrow_mut();
         if objects.len() < MAX_OBJECTS {
@@ -88,7 +88,7 @@
 
     /// Takes in the bytes of a request's body and its answer together. Both take the same way: a
     /// body of 60 KB whose answer has 1.5 KB costs as much far off as an answer of that size.
-    pub fn note_bytes(&self, bytes: u64) {
+    pub fn record_bytes(&self, bytes: u64) {
         self.size.add(bytes as f64, SIZE_PART);
     }
 
@@ -102,13 +102,13 @@
     }
 
     /// Says whether its requests carry much.
-    pub fn is_large(&self) -> bool {
+    pub fn has_large_transfers(&self) -> bool {
         self.is_large.get()
     }
 
     /// Says whether other regions may serve its objects for want of room in the own one.
-    pub fn may_leave(&self, switches: Switches) -> bool {
-        !self.is_large.get() || !switches.has(Mechanism::LargeStays)
+    pub fn may_spill_over(&self, switches: Switches) -> bool {
+        !self.is_large.get() || !switches.is_on(Mechanism::LargeStays)
     }
 
     /// Gives where an object is served, if `spill` sends a part of its service's objects away.
@@ -116,11 +116,13 @@
     /// What carries much stays: where a region's servers are too few, others are sent away in its
     /// stead. Bytes between regions, a quarter to a third of the prices of a day with uploads of
     /// 60 KB, fell by 40 to 55 %; worth 0.010 on days with trouble, means of three seeds.
-    pub fn place(&self, object: u64, spill: &Spill, switches: Switches) -> Place {
+    pub fn locality_of(&self, object: u64, spill: &Spillover, switches: Switches) -> Locality {
         match self.of(object) {
-            Reach::Domain => Place::Domain,
-            Reach::Region if self.may_leave(switches) && spill.is_away(object) => Place::Away,
-            Reach::Region => Place::Region,
+            Reach::Domain => Locality::Domain,
+            Reach::Region if self.may_spill_over(switches) && spill.is_away(object) => {
+                Locality::OtherRegions
+            }
+            Reach::Region => Locality::Region,
         }
     }
 
--- a/crates/edge/src/pick.rs
+++ b/crates/edge/src/pick.rs
@@ -7,9 +7,9 @@
 
 use crate::accounts::AllowedRegions;
 use crate::call::Call;
-use crate::choose::{self, Place, Prospect, Wish, choose};
 use crate::context::EdgeContext;
 use crate::hand_over;
+use crate::selection::{self, Candidate, Locality, SelectionParams, select};
 use crate::switches::Mechanism;
 use crate::upstream::Upstream;
 
@@ -27,7 +27,7 @@
     pub(crate) cause: &'static str,
     pub(crate) come_back: Millis,
     /// The best server that there was, where one was expected to be too late.
-    pub(crate) best: Option<Prospect>,
+    pub(crate) best: Option<Candidate>,
 }
 
 impl Refusal {
@@ -50,7 +50,7 @@
     cx: &EdgeContext,
     call: &Call,
     tried: &[UpstreamName],
-) -> Result<Prospect, Refusal> {
+) -> Result<Candidate, Refusal> {
     let now = cx.now();
     let left = call.left(now);
     if left.0 == 0 {
@@ -60,23 +60,23 @@
     let is_home = |u: &Upstream| is_home(cx, u);
     // A request that is sent once more leaves its object where it is.
     let may_put = tried.is_empty() && !call.is_apart && hand_over::may_put(cx, call);
-    let wish = Wish {
-        spread: may_put.then_some(&call.state.spread),
+    let wish = SelectionParams {
+        placement: may_put.then_some(&call.state.spread),
         ..wish(cx, call, now, &is_home)
     };
     let place = place(cx, call);
-    let Some(best) = choose(&wish, &candidates, &call.state.pace, place) else {
+    let Some(best) = select(&wish, &candidates, &call.state.pace, place) else {
         return Err(refuse("no backend server can take it", USUAL_RETURN));
     };
     // An answer after the latency target is worth little, and the work on it would make the
     // next requests late as well: what would wait that long is refused at once.
     let spent = now.since(call.started).0 as f64;
-    let late = best.finish + spent > latest(cx, call, &best, now);
+    let late = best.response_ms + spent > latest(cx, call, &best, now);
     // A free server gets the request even if it is expected to end late: what is expected is
     // learned from other routes' requests, and a refusal would leave the server idle.
-    let useless = best.finish > left.0 as f64 * USEFUL_PART;
-    if !best.free && (late || useless) && cx.switches.has(Mechanism::Refusal) {
-        let over = (best.finish - best.work).max(0.0);
+    let useless = best.response_ms > left.0 as f64 * USEFUL_PART;
+    if !best.has_free_slot && (late || useless) && cx.switches.is_on(Mechanism::Refusal) {
+        let over = (best.response_ms - best.service_ms).max(0.0);
         let come_back = Millis(over as u64).min(Millis(left.0 / 3));
         return Err(Refusal {
             cause: "every backend server is busy for too long",
@@ -93,7 +93,7 @@
     let now = cx.now();
     let warm = warm_candidates(cx, call, &[], now);
     let is_home = |u: &Upstream| is_home(cx, u);
-    choose::first(&wish(cx, call, now, &is_home), &warm, place(cx, call))
+    selection::first_ranked(&wish(cx, call, now, &is_home), &warm, place(cx, call))
 }
 
 fn wish<'a>(
@@ -101,20 +101,20 @@
     call: &'a Call,
     now: Millis,
     is_home: &'a dyn Fn(&Upstream) -> bool,
-) -> Wish<'a> {
-    Wish {
+) -> SelectionParams<'a> {
+    SelectionParams {
         object: call.object,
         sticky: call.route.sticky,
         region: &cx.region,
         domain: &cx.cfg.domain,
-        target: call.route.latency_target,
-        left: call.left(now),
+        latency_target: call.route.latency_target,
+        time_left: call.left(now),
         now,
-        is_bound: call.regions != AllowedRegions::Any,
+        is_region_bound: call.regions != AllowedRegions::Any,
         switches: cx.switches,
-        named: call.meant.as_ref().filter(|_| !call.is_apart),
+        assigned: call.meant.as_ref().filter(|_| !call.is_apart),
         is_home,
-        spread: None,
+        placement: None,
     }
 }
 
@@ -123,22 +123,22 @@
     is_here
         && cx
             .homes
-            .of(upstream, &cx.vms.borrow())
+            .home_of(upstream, &cx.vms.borrow())
             .is_some_and(|home| home.vm == cx.cfg.vm)
 }
 
 /// Gives where the object of a request is served. One that was handed over is served in the
 /// region that the other VM has chosen, which is that of its server's home.
-fn place(cx: &EdgeContext, call: &Call) -> Place {
+fn place(cx: &EdgeContext, call: &Call) -> Locality {
     if call.is_apart {
-        return Place::Anywhere;
+        return Locality::AnyRegion;
     }
     if call.meant.is_some() {
-        return Place::Region;
+        return Locality::Region;
     }
-    call.state.region_shares.note_use();
+    call.state.region_shares.mark_used();
     let route = cx.route(&call.route.name);
-    route.place(call.object, &call.state.spill, cx.switches)
+    route.locality_of(call.object, &call.state.spill, cx.switches)
 }
 
 /// Gives the longest expected time with which a request still waits in a server's queue, in
@@ -147,9 +147,9 @@
 /// Where nothing was heard of a server lately, its load is taken from the average of all. Held
 /// to the latency target, a VM then refuses everything as soon as the average is high, though
 /// many servers are below it. With a large fleet each VM hears seldom of a server.
-fn latest(cx: &EdgeContext, call: &Call, best: &Prospect, now: Millis) -> f64 {
-    let doubt = match cx.switches.has(Mechanism::Doubt) {
-        true => 1.0 - best.upstream.load_trust(now),
+fn latest(cx: &EdgeContext, call: &Call, best: &Candidate, now: Millis) -> f64 {
+    let doubt = match cx.switches.is_on(Mechanism::Doubt) {
+        true => 1.0 - best.upstream.load_confidence(now),
         false => 0.0,
     };
     call.route.latency_target.0 as f64 * (1.0 + DOUBT_PART * doubt)
@@ -199,7 +199,7 @@
     let world = cx.world.borrow();
     let all = world.upstreams(&call.service);
     let eligible = all.iter().filter(|u| {
-        u.takes_requests()
+        u.accepts_requests()
             && wanted(u)
             && !world.is_evacuated(&u.domain)
             && call.regions.allows(&u.region)
--- a/crates/edge/src/spread.rs
+++ b/crates/edge/src/placement.rs
@@ -25,7 +25,7 @@
 
 /// Where the objects of one service are, as far as this VM is the home of their servers.
 #[derive(Debug, Default)]
-pub struct Spread {
+pub struct ObjectPlacement {
     placed: RefCell<HashMap<u64, Placed>>,
     /// The objects at each server.
     counts: RefCell<HashMap<UpstreamName, u32>>,
@@ -38,7 +38,7 @@
     asked: Millis,
 }
 
-impl Spread {
+impl ObjectPlacement {
     /// Gives the server of an object: where it was put before, if that is one of `own`, else
     /// `first`, the first one of its rank, or the one of `own` with the fewest objects where `first`
     /// has two more than that.
--- a/crates/edge/src/poison/crash.rs
+++ b/crates/edge/src/poison/crash.rs
@@ -28,7 +28,7 @@
 /// that has ended refuses new ones. One that left as it had said takes what it was still working
 /// on with it, which says nothing of that.
 pub(crate) async fn has_ended(upstream: &Rc<Upstream>) -> bool {
-    if !upstream.takes_requests() {
+    if !upstream.accepts_requests() {
         return false;
     }
     let probe = probe(upstream);
--- a/crates/edge/src/poison/guard.rs
+++ b/crates/edge/src/poison/guard.rs
@@ -62,7 +62,7 @@
 /// quick hash tells.
 fn find(cx: &EdgeContext, call: &Call) -> Option<Fingerprint> {
     let suspects = cx.poison.suspects();
-    if suspects.is_empty() || !cx.switches.has(Mechanism::Poison) {
+    if suspects.is_empty() || !cx.switches.is_on(Mechanism::Poison) {
         return None;
     }
     if !suspects.knows_quick(call.quick_hash(cx)) {
@@ -85,7 +85,7 @@
 
 /// Takes in that a request ran and its server lived.
 pub(crate) fn record_clean_run(cx: &EdgeContext, call: &Call) {
-    if cx.switches.has(Mechanism::Poison) {
+    if cx.switches.is_on(Mechanism::Poison) {
         cx.poison
             .note_clean_run(call.quick_hash(cx), find(cx, call));
     }
@@ -142,8 +142,8 @@
             .inc();
         info!(id = id.as_str(), fingerprint:% = subject.fingerprint, route:% = subject.route,
             upstream:% = upstream.id, service, others; "a backend server ended while it had a request");
-        if cx.switches.has(Mechanism::Poison) {
-            let end = EndId::of(&upstream.id, upstream.born);
+        if cx.switches.is_on(Mechanism::Poison) {
+            let end = EndId::of(&upstream.id, upstream.started_at);
             cx.poison.note_end(&subject, end);
         }
     }
@@ -153,7 +153,7 @@
 /// Finds out whether the home has ended to which a request was handed over, and takes that in: a
 /// request may end the daemons that read it as well as the servers that run it.
 pub(crate) fn investigate_broken_handover(cx: &Rc<EdgeContext>, call: &Call, peer: &Rc<HomePeer>) {
-    if !cx.switches.has(Mechanism::Poison) {
+    if !cx.switches.is_on(Mechanism::Poison) {
         return;
     }
     let subject = subject_of(cx, call);
--- a/crates/edge/src/presence.rs
+++ b/crates/edge/src/presence.rs
@@ -225,7 +225,7 @@
             .cfg
             .listen
             .handed
-            .filter(|_| cx.switches.has(Mechanism::HandOver)),
+            .filter(|_| cx.switches.is_on(Mechanism::HandOver)),
         store_rtt: cx.store_latency.get(),
     }
 }
--- a/crates/edge/src/quota/exchange.rs
+++ b/crates/edge/src/quota/exchange.rs
@@ -54,7 +54,7 @@
         return;
     }
     let counts = quota.take_untold();
-    if !cx.switches.has(Mechanism::ToldQuota) {
+    if !cx.switches.is_on(Mechanism::ToldQuota) {
         return;
     }
     let leaders = leaders_to_tell(cx, &cx.cfg.domain);
--- a/crates/edge/src/quota/totals.rs
+++ b/crates/edge/src/quota/totals.rs
@@ -7,7 +7,7 @@
 use super::SILENT_AFTER;
 use super::usage::{Counts, UsageReport, add};
 use crate::accounts::{Accounts, RateLimit};
-use crate::window::Window;
+use crate::window::SlidingWindow;
 
 /// The time over which what is left of a burst is given out, or what was admitted too much is
 /// taken back. It is over twice as long as a report takes from one VM to another and back: with
@@ -58,7 +58,7 @@
     /// What may be admitted at once; below zero where too much was.
     level: f64,
     filled: Millis,
-    asked: Window,
+    asked: SlidingWindow,
     span: Millis,
     /// The part by which VMs are taken to admit now.
     in_force: f64,
@@ -260,7 +260,7 @@
             limit,
             level: 0.0,
             filled: started,
-            asked: Window::new(span),
+            asked: SlidingWindow::new(span),
             span,
             in_force: 1.0,
             judged: started,
--- a/crates/edge/src/region_counts.rs
+++ b/crates/edge/src/region_counts.rs
@@ -48,7 +48,7 @@
 impl RegionCounts {
     /// Counts a request that is sent to `region`. It is under way for as long as the returned guard
     /// lives.
-    pub fn begin(&self, region: &RegionName) -> UnderWay {
+    pub fn start_request(&self, region: &RegionName) -> UnderWay {
         let mut regions = self.regions.borrow_mut();
         let counts = Rc::clone(regions.entry(region.clone()).or_default());
         counts.sent.set(counts.sent.get() + 1);
--- a/crates/edge/src/distance.rs
+++ b/crates/edge/src/round_trip.rs
@@ -26,12 +26,12 @@
 
 /// The shortest round trips seen to other regions.
 #[derive(Debug, Default)]
-pub struct Distances {
+pub struct RegionRoundTrips {
     shortest: RefCell<BTreeMap<RegionName, Millis>>,
     measured: Cell<u32>,
 }
 
-impl Distances {
+impl RegionRoundTrips {
     /// Gives the longest of the shortest round trips, where one is known.
     pub fn round_trip(&self) -> Option<Millis> {
         self.shortest.borrow().values().max().copied()
--- a/crates/edge/src/choose.rs
+++ b/crates/edge/src/selection.rs
@@ -10,8 +10,8 @@
 use heatherknot_types::hash;
 use heatherknot_types::prelude::*;
 
-use crate::pace::Pace;
-use crate::spread::Spread;
+use crate::placement::ObjectPlacement;
+use crate::service_times::ServiceTimes;
 use crate::switches::{Mechanism, Switches};
 use crate::upstream::Upstream;
 
@@ -36,19 +36,19 @@
 
 /// Where an object is served.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Place {
+pub enum Locality {
     /// In the VM's own failure domain.
     Domain,
     /// In the VM's own region.
     Region,
     /// In other regions.
-    Away,
+    OtherRegions,
     /// In any region.
-    Anywhere,
+    AnyRegion,
 }
 
 /// What a choice is made for.
-pub struct Wish<'a> {
+pub struct SelectionParams<'a> {
     /// The object, or any number where the route has none.
     pub object: u64,
     /// Whether servers are faster at objects that they know.
@@ -58,42 +58,42 @@
     /// The VM's own failure domain.
     pub domain: &'a DomainName,
     /// The time within which an answer is worth most.
-    pub target: Millis,
+    pub latency_target: Millis,
     /// The time that is left for the request.
-    pub left: Millis,
+    pub time_left: Millis,
     /// Now.
     pub now: Millis,
     /// Whether it may run in some regions only.
-    pub is_bound: bool,
+    pub is_region_bound: bool,
     /// Which mechanisms are on.
     pub switches: Switches,
     /// The server that another VM has found to be the first of the rank.
-    pub named: Option<&'a UpstreamName>,
+    pub assigned: Option<&'a UpstreamName>,
     /// Says whether this VM is the home of a server.
     pub is_home: &'a dyn Fn(&Upstream) -> bool,
     /// Where the homes of servers put objects, while all requests for them come there.
-    pub spread: Option<&'a Spread>,
+    pub placement: Option<&'a ObjectPlacement>,
 }
 
 /// A server that may get the request, as it is expected to do.
 #[derive(Clone)]
-pub struct Prospect {
+pub struct Candidate {
     /// The server.
     pub upstream: Rc<Upstream>,
     /// Whether it is taken to keep the object.
-    pub warm: bool,
+    pub is_warm: bool,
     /// Whether a slot is expected to be free.
-    pub free: bool,
+    pub has_free_slot: bool,
     /// The expected time to its answer, in milliseconds, were it free.
-    pub work: f64,
+    pub service_ms: f64,
     /// The expected time to its answer, in milliseconds.
-    pub finish: f64,
+    pub response_ms: f64,
     /// The requests that it is expected to have, of this VM and of others.
     pub load: f64,
     /// How old what it told of its load is.
     pub load_age: Millis,
     /// This VM's own requests at it.
-    pub own: u32,
+    pub own_in_flight: u32,
     /// What taking it costs, in milliseconds: the time, and what others lose.
     pub cost: f64,
 }
@@ -104,12 +104,12 @@
 /// gets a copy only where it is free and the first one is so busy that even the work without a
 /// copy is done sooner there. With more copies, an overload spreads every object over every
 /// server, none of which then keeps any, and the overload stays.
-pub fn choose(
-    wish: &Wish<'_>,
+pub fn select(
+    wish: &SelectionParams<'_>,
     candidates: &[Rc<Upstream>],
-    pace: &Pace,
-    place: Place,
-) -> Option<Prospect> {
+    pace: &ServiceTimes,
+    place: Locality,
+) -> Option<Candidate> {
     let (there, others): (Vec<_>, Vec<_>) =
         candidates.iter().partition(|u| is_there(wish, u, place));
     if there.is_empty() {
@@ -118,11 +118,11 @@
         return choose_ranked(wish, &others, pace, &order);
     }
     let here = choose_ranked(wish, &there, pace, &|_| 0);
-    let may_leave = wish.switches.has(Mechanism::OtherRegions);
+    let may_leave = wish.switches.is_on(Mechanism::OtherRegions);
     if !may_leave
         || here
             .as_ref()
-            .is_some_and(|p| p.free || p.finish <= wish.target.0 as f64)
+            .is_some_and(|p| p.has_free_slot || p.response_ms <= wish.latency_target.0 as f64)
     {
         return here;
     }
@@ -130,12 +130,16 @@
     // servers that it was sent to before.
     let ranked = ranked(wish, &others, &|u| near_first(wish, u));
     let mut elsewhere = ranked.iter().map(|u| prospect(wish, u, false, pace));
-    elsewhere.find(|p| p.free && p.warm).or(here)
+    elsewhere.find(|p| p.has_free_slot && p.is_warm).or(here)
 }
 
 /// Gives the server of `candidates` that gets an object at its `place` where it has room, as all
 /// VMs work it out alike.
-pub fn first(wish: &Wish<'_>, candidates: &[Rc<Upstream>], place: Place) -> Option<Rc<Upstream>> {
+pub fn first_ranked(
+    wish: &SelectionParams<'_>,
+    candidates: &[Rc<Upstream>],
+    place: Locality,
+) -> Option<Rc<Upstream>> {
     let there = candidates.iter().filter(|u| is_there(wish, u, place));
     let best = first_of_rank(wish, there, &|_| 0);
     let anywhere = || first_of_rank(wish, candidates.iter(), &|u| near_first(wish, u));
@@ -145,29 +149,29 @@
 /// Which servers come before others, whatever their rank: those with the least number.
 type Order<'a> = &'a dyn Fn(&Upstream) -> u8;
 
-fn near_first(wish: &Wish<'_>, upstream: &Upstream) -> u8 {
+fn near_first(wish: &SelectionParams<'_>, upstream: &Upstream) -> u8 {
     u8::from(upstream.region != *wish.region)
 }
 
-fn is_there(wish: &Wish<'_>, upstream: &Upstream, place: Place) -> bool {
+fn is_there(wish: &SelectionParams<'_>, upstream: &Upstream, place: Locality) -> bool {
     match place {
-        Place::Domain => upstream.domain == *wish.domain,
-        Place::Region => upstream.region == *wish.region,
-        Place::Away => upstream.region != *wish.region,
-        Place::Anywhere => true,
+        Locality::Domain => upstream.domain == *wish.domain,
+        Locality::Region => upstream.region == *wish.region,
+        Locality::OtherRegions => upstream.region != *wish.region,
+        Locality::AnyRegion => true,
     }
 }
 
 fn choose_ranked(
-    wish: &Wish<'_>,
+    wish: &SelectionParams<'_>,
     servers: &[&Rc<Upstream>],
-    pace: &Pace,
+    pace: &ServiceTimes,
     order: Order<'_>,
-) -> Option<Prospect> {
+) -> Option<Candidate> {
     let ranked_first = first_of_rank(wish, servers.iter().copied(), order)?;
     let chosen = &put_evenly(wish, ranked_first, servers);
     let first = prospect(wish, chosen, true, pace);
-    if first.free {
+    if first.has_free_slot {
         return Some(first);
     }
     let others = servers.iter().filter(|u| u.id != chosen.id);
@@ -176,16 +180,22 @@
     let known_first = |u: &Upstream| 2 * order(u) + u8::from(!(wish.is_home)(u));
     let ranked = ranked(wish, &others, &known_first);
     let others = ranked.iter().map(|u| prospect(wish, u, false, pace));
-    let may_copy = first.finish > wish.target.0 as f64 && has_room(wish, servers, pace);
-    let is_better = |p: &Prospect| p.cost < first.cost || (may_copy && (wish.is_home)(&p.upstream));
-    let mut spares = others.filter(|p| p.free);
+    let may_copy =
+        first.response_ms > wish.latency_target.0 as f64 && has_room(wish, servers, pace);
+    let is_better =
+        |p: &Candidate| p.cost < first.cost || (may_copy && (wish.is_home)(&p.upstream));
+    let mut spares = others.filter(|p| p.has_free_slot);
     let spare = spares.find(is_better);
     Some(spare.unwrap_or(first))
 }
 
 /// Gives where the home of the first server of an object's rank puts the object.
-fn put_evenly(wish: &Wish<'_>, first: &Rc<Upstream>, servers: &[&Rc<Upstream>]) -> Rc<Upstream> {
-    match wish.spread.filter(|_| (wish.is_home)(first)) {
+fn put_evenly(
+    wish: &SelectionParams<'_>,
+    first: &Rc<Upstream>,
+    servers: &[&Rc<Upstream>],
+) -> Rc<Upstream> {
+    match wish.placement.filter(|_| (wish.is_home)(first)) {
         Some(spread) => {
             let own = servers.iter().copied().filter(|u| (wish.is_home)(u));
             let own: Vec<&Rc<Upstream>> = own.collect();
@@ -202,7 +212,7 @@
 /// answer in time is then worth a copy at a server that is idle: the request that makes it comes
 /// late, the ones after it come in time. Where all servers are busy the copies would push
 /// other objects out, and every request would be work afresh.
-fn has_room(wish: &Wish<'_>, servers: &[&Rc<Upstream>], pace: &Pace) -> bool {
+fn has_room(wish: &SelectionParams<'_>, servers: &[&Rc<Upstream>], pace: &ServiceTimes) -> bool {
     let own = servers.iter().filter(|u| (wish.is_home)(u));
     let usual = pace.usual_others(wish.now);
     let (load, slots) = own.fold((0.0, 0.0), |(load, slots), u| {
@@ -217,11 +227,11 @@
 /// Gives the first server of an object's rank: the one that another VM named, where it is among
 /// them.
 fn first_of_rank<'a>(
-    wish: &Wish<'_>,
+    wish: &SelectionParams<'_>,
     mut servers: impl Iterator<Item = &'a Rc<Upstream>> + Clone,
     order: Order<'_>,
 ) -> Option<&'a Rc<Upstream>> {
-    if let Some(named) = wish.named
+    if let Some(named) = wish.assigned
         && let Some(upstream) = servers.clone().find(|u| u.id == *named)
     {
         return Some(upstream);
@@ -240,7 +250,7 @@
 
 /// Ranks servers for an object.
 fn ranked<'a>(
-    wish: &Wish<'_>,
+    wish: &SelectionParams<'_>,
     servers: &[&'a Rc<Upstream>],
     order: Order<'_>,
 ) -> Vec<&'a Rc<Upstream>> {
@@ -254,26 +264,31 @@
 
 /// Gives a server's place in the rank of an object, by weighted rendezvous hashing alike on every
 /// VM: the least comes first.
-fn place_in_rank(wish: &Wish<'_>, upstream: &Upstream) -> f64 {
+fn place_in_rank(wish: &SelectionParams<'_>, upstream: &Upstream) -> f64 {
     let object = wish.object.to_le_bytes();
     let drawn = hash::rendezvous(&[&object], upstream.id.as_str());
-    let open = match wish.is_bound {
+    let open = match wish.is_region_bound {
         true => 1.0,
         false => upstream.open_part.get(),
     };
     -hash::unit_interval(drawn).ln() / (f64::from(upstream.slots.get()) * open)
 }
 
-fn prospect(wish: &Wish<'_>, upstream: &Rc<Upstream>, is_first: bool, pace: &Pace) -> Prospect {
-    let warm = wish.sticky && (is_first || upstream.keeps(wish.object, wish.now));
-    let target = wish.target.0 as f64;
+fn prospect(
+    wish: &SelectionParams<'_>,
+    upstream: &Rc<Upstream>,
+    is_first: bool,
+    pace: &ServiceTimes,
+) -> Candidate {
+    let warm = wish.sticky && (is_first || upstream.likely_caches(wish.object, wish.now));
+    let target = wish.latency_target.0 as f64;
     let often = pace.expected(&upstream.region, true, target * UNKNOWN_WARM);
     let usual = match warm {
         true => often,
         false => pace.expected(&upstream.region, false, target * UNKNOWN_COLD),
     };
     let slots = f64::from(upstream.slots.get());
-    let has = |mechanism| wish.switches.has(mechanism);
+    let has = |mechanism| wish.switches.is_on(mechanism);
     let load = match has(Mechanism::ToldLoad) {
         true => upstream.load(pace.usual_others(wish.now), wish.now),
         false => f64::from(upstream.in_flight()),
@@ -294,14 +309,14 @@
     let wait = ahead.max(0.0) / slots * often * slowness;
     let work = usual * slowness;
     let extra = (usual - often).max(0.0) * (cold_cost - 1.0);
-    Prospect {
-        warm,
-        free: ahead <= 0.0,
-        work,
-        finish: work + wait,
+    Candidate {
+        is_warm: warm,
+        has_free_slot: ahead <= 0.0,
+        service_ms: work,
+        response_ms: work + wait,
         load,
         load_age: upstream.load_age(wish.now),
-        own: upstream.in_flight(),
+        own_in_flight: upstream.in_flight(),
         cost: work * (1.0 + FAILING_COST * failing) + wait + extra,
         upstream: Rc::clone(upstream),
     }
--- a/crates/edge/src/pace.rs
+++ b/crates/edge/src/service_times.rs
@@ -25,7 +25,7 @@
 ///
 /// They are kept by the backend server's region, so that the way there is part of them.
 #[derive(Debug, Default)]
-pub struct Pace {
+pub struct ServiceTimes {
     by_region: RefCell<HashMap<RegionName, Times>>,
     overall: Times,
     others: Ewma,
@@ -53,13 +53,13 @@
     }
 }
 
-impl Pace {
+impl ServiceTimes {
     /// Takes in that a free server in `region` took `took` for an object that it was known
     /// to keep, or not known to keep.
     ///
     /// Other VMs may have sent it the object meanwhile, and it may have dropped the object
     /// for others, so a time that is far off the usual one counts for the other kind.
-    pub fn note(&self, region: &RegionName, kept: bool, took: Millis) {
+    pub fn record(&self, region: &RegionName, kept: bool, took: Millis) {
         let took = took.0 as f64;
         let usual = self.overall.warm.get();
         let warm = kept || usual.is_none_or(|usual| took < usual * COLD_FROM);
@@ -70,7 +70,7 @@
     }
 
     /// Takes in how many requests of other VMs a server has.
-    pub fn note_others(&self, others: f64, now: Millis) {
+    pub fn record_other_load(&self, others: f64, now: Millis) {
         self.others_at.set(now);
         self.others.add(others, OTHERS_PART);
     }
--- a/crates/edge/src/spill.rs
+++ b/crates/edge/src/spillover.rs
@@ -59,7 +59,7 @@
 
 /// The threshold of one service.
 #[derive(Debug)]
-pub struct Spill {
+pub struct Spillover {
     part: Cell<Option<f64>>,
     /// Whether a request has gone by the threshold.
     is_used: Cell<bool>,
@@ -70,7 +70,7 @@
     moved: Cell<Millis>,
 }
 
-impl Default for Spill {
+impl Default for Spillover {
     fn default() -> Self {
         Self {
             part: Cell::new(None),
@@ -103,14 +103,14 @@
     }
 }
 
-impl Spill {
+impl Spillover {
     /// Takes in what an answer tells: the load of its server, and how long it took.
     ///
     /// Only servers that have requests tell anything, so the mean of the loads told is far above
     /// that of all servers: with a third of all slots busy two thirds were told, and a region that
     /// had once been busy never took its objects back. The wait that the next request would have is
     /// what its caller would feel, whoever tells it.
-    pub fn note(&self, is_own: bool, load: ServerLoad, took: Millis, now: Millis) {
+    pub fn record(&self, is_own: bool, load: ServerLoad, took: Millis, now: Millis) {
         if is_own {
             self.usual.add(took.0 as f64);
         }
--- a/crates/edge/src/spill_step.rs
+++ b/crates/edge/src/spillover_update.rs
@@ -9,11 +9,11 @@
 use crate::accounts::Accounts;
 use crate::catalog::Catalog;
 use crate::context::EdgeContext;
+use crate::locality::Carried;
 use crate::presence;
-use crate::reach::Carried;
-use crate::room::parts_left;
-use crate::spill::Room;
+use crate::spillover::Room;
 use crate::switches::Mechanism;
+use crate::unbound_share::parts_left;
 use crate::upstream::Upstream;
 use crate::world::RoutingState;
 
@@ -28,7 +28,7 @@
         tell_sent(cx, &spec.name, now);
         step_parts(cx, &catalog, &spec.name, now);
     }
-    let has = |mechanism| cx.switches.has(mechanism);
+    let has = |mechanism| cx.switches.is_on(mechanism);
     for spec in catalog.services().filter(|_| has(Mechanism::Spill)) {
         let state = cx.service(&spec.name);
         state.spill.step(room(cx, &spec.name, now), now);
@@ -65,7 +65,7 @@
     let bound = catalog
         .accounts()
         .map_or(&[][..], Accounts::restricted_shares);
-    let bound = match cx.switches.has(Mechanism::GiveWay) {
+    let bound = match cx.switches.is_on(Mechanism::GiveWay) {
         true => bound,
         false => &[],
     };
@@ -92,7 +92,7 @@
 ) -> impl Iterator<Item = &'a Rc<Upstream>> {
     upstreams
         .iter()
-        .filter(move |u| u.takes_requests() && !world.is_evacuated(&u.domain) && !u.is_cold(now))
+        .filter(move |u| u.accepts_requests() && !world.is_evacuated(&u.domain) && !u.is_cold(now))
 }
 
 fn room(cx: &EdgeContext, service: &ServiceName, now: Millis) -> Room {
--- a/crates/edge/src/split.rs
+++ b/crates/edge/src/split.rs
@@ -5,12 +5,12 @@
 /// Smooth weighted round robin: each target gets its part of any run of requests, to within
 /// one request, where random draws would be off by the root of their number.
 #[derive(Clone, Debug, Default)]
-pub struct Split {
+pub struct TrafficSplit {
     targets: Vec<Target>,
     credit: Vec<i64>,
 }
 
-impl Split {
+impl TrafficSplit {
     /// Gives the target of the next request. Changed targets begin anew.
     pub fn next<'a>(&mut self, targets: &'a [Target]) -> Option<&'a Target> {
         if self.targets != targets {
--- a/crates/edge/src/story.rs
+++ b/crates/edge/src/story.rs
@@ -15,10 +15,10 @@
 use crate::accounts::Account;
 use crate::attempt::Attempt;
 use crate::call::{Call, Unroutable};
-use crate::choose::Prospect;
 use crate::context::EdgeContext;
 use crate::forward::Tries;
 use crate::quota::meter::OverLimit;
+use crate::selection::Candidate;
 
 /// Of the requests that went well, one in this many is told of.
 const SAMPLED: u64 = 64;
@@ -44,7 +44,7 @@
     pub(crate) fn new(
         cx: &EdgeContext,
         call: &Call,
-        prospect: &Prospect,
+        prospect: &Candidate,
         at: Millis,
         attempt: &Attempt,
     ) -> Self {
@@ -63,12 +63,12 @@
             region: upstream.region.clone(),
             result: attempt.label(),
             cause,
-            warm: prospect.warm,
-            free: prospect.free,
-            expected: prospect.finish as u64,
+            warm: prospect.is_warm,
+            free: prospect.has_free_slot,
+            expected: prospect.response_ms as u64,
             load: prospect.load,
             load_age: prospect.load_age,
-            own: prospect.own,
+            own: prospect.own_in_flight,
         }
     }
 }
@@ -94,8 +94,8 @@
         tell_send(id, number + 1, sent);
     }
     if let Some(best) = &tries.refused_by {
-        info!(id, upstream:% = best.upstream.id, region:% = best.upstream.region, warm = best.warm,
-            expected_ms = best.finish as u64, load = best.load,
+        info!(id, upstream:% = best.upstream.id, region:% = best.upstream.region, warm = best.is_warm,
+            expected_ms = best.response_ms as u64, load = best.load,
             load_age_ms = best.load_age.0; "best server, too late");
     }
     let account = call
--- a/crates/edge/src/switches.rs
+++ b/crates/edge/src/switches.rs
@@ -61,7 +61,7 @@
     }
 
     /// Says whether a mechanism is on.
-    pub fn has(self, mechanism: Mechanism) -> bool {
+    pub fn is_on(self, mechanism: Mechanism) -> bool {
         self.off & mechanism.bit() == 0
     }
 }
--- a/crates/edge/src/room.rs
+++ b/crates/edge/src/unbound_share.rs
@@ -78,16 +78,16 @@
 
 /// The parts of a service's regions, as they move.
 #[derive(Debug, Default)]
-pub struct RegionParts {
+pub struct UnboundShares {
     parts: RefCell<BTreeMap<RegionName, f64>>,
     /// Whether a request has gone by them.
     is_used: Cell<bool>,
     moved: Cell<Millis>,
 }
 
-impl RegionParts {
+impl UnboundShares {
     /// Notes that a request goes by the parts.
-    pub fn note_use(&self) {
+    pub fn mark_used(&self) {
         self.is_used.set(true);
     }
 
--- a/crates/edge/src/upstream.rs
+++ b/crates/edge/src/upstream.rs
@@ -16,7 +16,7 @@
 /// and one that was forgotten here is only taken for slower than it is.
 const MAX_OBJECTS: usize = 256;
 /// How long an idle connection to a backend server is kept.
-pub const IDLE_KEPT: Millis = Millis(8_000);
+pub const IDLE_TIMEOUT: Millis = Millis(8_000);
 /// How long a handled object is taken for kept.
 const OBJECT_KEPT: Millis = Millis(60_000);
 /// The weight of one response in the average of what other VMs have running.
@@ -39,7 +39,7 @@
     /// Its identifier.
     pub id: UpstreamName,
     /// When it started, in its own Unix time, where it told that.
-    pub born: Option<Millis>,
+    pub started_at: Option<Millis>,
     /// The service that it runs.
     pub service: ServiceName,
     /// The failure domain that it lies in.
@@ -57,7 +57,7 @@
     /// Until when it counts as cold.
     pub cold_until: Cell<Millis>,
     /// Whether it counts as cold only until it says otherwise.
-    pub cold_unless_told: Cell<bool>,
+    pub is_presumed_cold: Cell<bool>,
     /// The part of its room that is left to requests which may run anywhere.
     pub open_part: Cell<f64>,
     /// When it registered, on this process's clock.
@@ -78,7 +78,7 @@
 
 /// Gives how connections that carry requests are tested. A peer that is gone without a word is
 /// found out within about three seconds, while most requests still have time.
-pub fn liveness() -> LivenessOptions {
+pub fn liveness_options() -> LivenessOptions {
     LivenessOptions {
         user_timeout: Duration::from_millis(1_500),
         keepalive: Duration::from_secs(1),
@@ -122,7 +122,7 @@
     pub fn new(reg: &Registration, region: RegionName, pool: PoolConfig, clock: &Clock) -> Self {
         Self {
             id: reg.id.clone(),
-            born: reg.started_at,
+            started_at: reg.started_at,
             service: reg.service.clone(),
             domain: reg.domain.clone(),
             region,
@@ -131,7 +131,7 @@
             leaving: Cell::new(reg.leaving),
             replaced: Cell::new(false),
             cold_until: Cell::new(Millis(0)),
-            cold_unless_told: Cell::new(false),
+            is_presumed_cold: Cell::new(false),
             open_part: Cell::new(1.0),
             joined: clock.now(),
             end_probe: RefCell::default(),
@@ -149,7 +149,7 @@
     }
 
     /// Says whether it takes requests at all, as far as it is known.
-    pub fn takes_requests(&self) -> bool {
+    pub fn accepts_requests(&self) -> bool {
         !self.leaving.get() && !self.replaced.get()
     }
 
@@ -173,13 +173,13 @@
     /// servers of the service, for more. Otherwise a server that was once full would get
     /// nothing from this VM, and so could never tell that it is free again.
     pub fn load(&self, usual: f64, now: Millis) -> f64 {
-        let trust = self.load_trust(now);
+        let trust = self.load_confidence(now);
         let told = self.others.get().unwrap_or(usual);
         f64::from(self.in_flight.get()) + usual + (told - usual) * trust
     }
 
     /// Gives how far its own word of its load counts at `now`, from one to zero.
-    pub fn load_trust(&self, now: Millis) -> f64 {
+    pub fn load_confidence(&self, now: Millis) -> f64 {
         fade(now.since(self.told_at.get()), OTHERS_HALF_LIFE)
     }
 
@@ -209,22 +209,22 @@
     }
 
     /// Says whether it lately handled an object.
-    pub fn keeps(&self, object: u64, now: Millis) -> bool {
+    pub fn likely_caches(&self, object: u64, now: Millis) -> bool {
         let objects = self.objects.borrow();
         let at = objects.get(&object);
         at.is_some_and(|at| now.since(*at) < OBJECT_KEPT)
     }
 
     /// Counts a request for as long as the returned guard lives.
-    pub fn begin(self: &Rc<Self>) -> InFlight {
+    pub fn start_request(self: &Rc<Self>) -> InFlightGuard {
         self.in_flight.set(self.in_flight.get() + 1);
-        InFlight {
+        InFlightGuard {
             upstream: Rc::clone(self),
         }
     }
 
     /// Takes in the load that it told; gives the requests of other VMs among them.
-    pub fn note_load(&self, load: ServerLoad, now: Millis) -> f64 {
+    pub fn record_load(&self, load: ServerLoad, now: Millis) -> f64 {
         self.told_at.set(now);
         let total = f64::from(load.running + load.waiting);
         let others = (total - f64::from(self.in_flight.get())).max(0.0);
@@ -235,7 +235,7 @@
 
     /// Takes in a good answer that took `slowness` times as long as usual, where that is
     /// known.
-    pub fn note_answer(&self, object: u64, slowness: Option<f64>, now: Millis) {
+    pub fn record_success(&self, object: u64, slowness: Option<f64>, now: Millis) {
         self.failures.set(0);
         self.failing.add(0.0, QUALITY_PART);
         self.judged_at.set(now);
@@ -251,7 +251,7 @@
     }
 
     /// Takes in that it answered something, whatever that was.
-    pub fn note_sign_of_life(&self, now: Millis) {
+    pub fn record_response(&self, now: Millis) {
         self.end_probe.take();
         self.answered_at.set(now);
     }
@@ -262,13 +262,13 @@
     }
 
     /// Takes in that a request was without an answer after `slowness` times the usual time.
-    pub fn note_unanswered(&self, slowness: f64, now: Millis) {
+    pub fn record_unanswered(&self, slowness: f64, now: Millis) {
         self.judged_at.set(now);
         self.slowness.add(slowness.clamp(1.0, 20.0), QUALITY_PART);
     }
 
     /// Takes in an answer that says that the request failed or was refused.
-    pub fn note_refusal(&self, now: Millis) {
+    pub fn record_error_response(&self, now: Millis) {
         self.judged_at.set(now);
         self.failures.set(0);
         self.failing.add(1.0, QUALITY_PART);
@@ -278,13 +278,13 @@
     ///
     /// A server that is gone without a word costs each request that tries it the time of a
     /// connect. It is left alone for a pause that doubles, and then tried by one request.
-    pub fn note_failure(&self, now: Millis) {
-        self.note_failure_after(Millis(0), now);
+    pub fn record_connection_failure(&self, now: Millis) {
+        self.record_hang(Millis(0), now);
     }
 
     /// Takes in the same of a request that has `waited` for nothing. The pause is no shorter than
     /// that, or the server would get the next request, which waits as long, almost at once.
-    pub fn note_failure_after(&self, waited: Millis, now: Millis) {
+    pub fn record_hang(&self, waited: Millis, now: Millis) {
         let failures = self.failures.get();
         self.failures.set(failures + 1);
         let pause = Millis(FIRST_PAUSE.0 << failures.min(MAX_DOUBLINGS)).min(LONGEST_PAUSE);
@@ -296,11 +296,11 @@
 }
 
 /// A request at a backend server.
-pub struct InFlight {
+pub struct InFlightGuard {
     upstream: Rc<Upstream>,
 }
 
-impl Drop for InFlight {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
         let cell = &self.upstream.in_flight;
         cell.set(cell.get().saturating_sub(1));
--- a/crates/edge/src/window.rs
+++ b/crates/edge/src/window.rs
@@ -9,13 +9,13 @@
 
 /// Counts events of the last `span`, never fewer than there were.
 #[derive(Debug)]
-pub struct Window {
+pub struct SlidingWindow {
     span: Millis,
     buckets: VecDeque<(u64, f64)>,
     total: f64,
 }
 
-impl Window {
+impl SlidingWindow {
     /// Makes a window of `span`.
     pub fn new(span: Millis) -> Self {
         Self {
--- a/crates/edge/src/world.rs
+++ b/crates/edge/src/world.rs
@@ -134,14 +134,14 @@
             return true;
         };
         let upstream = self.upstreams.get(&change.key[servers.len()..]);
-        let Some(upstream) = upstream.filter(|u| !u.cold_unless_told.get()) else {
+        let Some(upstream) = upstream.filter(|u| !u.is_presumed_cold.get()) else {
             return true;
         };
         match (self.dialect.registration)(&change.key, value) {
             Ok(reg) => {
                 reg.cold_remaining.0 > 0
                     || reg.leaving != upstream.leaving.get()
-                    || reg.started_at != upstream.born
+                    || reg.started_at != upstream.started_at
                     || self.missing.contains(&reg.id)
             }
             Err(_) => true,
@@ -212,7 +212,7 @@
             upstream
                 .cold_until
                 .set(until.max(upstream.cold_until.get()));
-            upstream.cold_unless_told.set(true);
+            upstream.is_presumed_cold.set(true);
         }
     }
 
@@ -261,7 +261,7 @@
             _ => {}
         }
         if let Some(upstream) = self.upstreams.get(&reg.id) {
-            if upstream.born == reg.started_at {
+            if upstream.started_at == reg.started_at {
                 refresh(upstream, reg, now);
                 return false;
             }
@@ -281,7 +281,7 @@
     /// Gives when the newest run under an identifier began, where that was told.
     fn newest_run(&self, id: &UpstreamName) -> Option<Millis> {
         match self.upstreams.get(id) {
-            Some(upstream) => upstream.born,
+            Some(upstream) => upstream.started_at,
             None => {
                 let mut ended = self.ended.iter().rev();
                 ended.find(|(of, _)| of == id).map(|(_, born)| *born)
@@ -296,7 +296,7 @@
         info!(upstream:% = id, service:% = upstream.service, why; "backend server is gone");
         upstream.leaving.set(true);
         upstream.pool.close_idle();
-        if let Some(born) = upstream.born {
+        if let Some(born) = upstream.started_at {
             self.ended.push_back((id.clone(), born));
             self.ended
                 .drain(..self.ended.len().saturating_sub(MAX_ENDED));
@@ -345,8 +345,8 @@
             info!(upstream:% = upstream.id, service:% = upstream.service, cold_ms = reg.cold_remaining.0; "backend server is cold");
         }
         upstream.cold_until.set(now + reg.cold_remaining);
-        upstream.cold_unless_told.set(false);
-    } else if upstream.cold_unless_told.replace(false) {
+        upstream.is_presumed_cold.set(false);
+    } else if upstream.is_presumed_cold.replace(false) {
         upstream.cold_until.set(now);
     }
 }
--- a/crates/edge/tests/decisions.rs
+++ b/crates/edge/tests/decisions.rs
@@ -6,33 +6,33 @@
 
 use heatherknot_edge::budget::RetryBudget;
 use heatherknot_edge::catalog::Target;
-use heatherknot_edge::choose::{Place, Wish, choose};
-use heatherknot_edge::pace::Pace;
+use heatherknot_edge::selection::{Locality, SelectionParams, select};
+use heatherknot_edge::service_times::ServiceTimes;
 use heatherknot_edge::settings::Bounds;
-use heatherknot_edge::spill::{Room, Spill};
-use heatherknot_edge::split::Split;
+use heatherknot_edge::spillover::{Room, Spillover};
+use heatherknot_edge::split::TrafficSplit;
 use heatherknot_edge::switches::Switches;
 use heatherknot_edge::upstream::{ServerLoad, Upstream};
-use heatherknot_edge::window::Window;
+use heatherknot_edge::window::SlidingWindow;
 use heatherknot_types::prelude::*;
 use support::{TestClock, upstream};
 
 static DOMAIN: std::sync::OnceLock<DomainName> = std::sync::OnceLock::new();
 
-fn wish(object: u64, region: &RegionName, now: Millis) -> Wish<'_> {
-    Wish {
+fn wish(object: u64, region: &RegionName, now: Millis) -> SelectionParams<'_> {
+    SelectionParams {
         object,
         sticky: true,
         region,
         domain: DOMAIN.get_or_init(|| "north-1".into()),
-        target: Millis(600),
-        left: Millis(1_500),
+        latency_target: Millis(600),
+        time_left: Millis(1_500),
         now,
         switches: Switches::default(),
-        is_bound: false,
-        named: None,
+        is_region_bound: false,
+        assigned: None,
         is_home: &|_| false,
-        spread: None,
+        placement: None,
     }
 }
 
@@ -51,10 +51,10 @@
     let region = "north".into();
     for object in 0..100 {
         let wish = wish(object, &region, clock.now());
-        let first =
-            choose(&wish, &one, &Pace::default(), Place::Region).expect("there are servers");
-        let second =
-            choose(&wish, &other, &Pace::default(), Place::Region).expect("there are servers");
+        let first = select(&wish, &one, &ServiceTimes::default(), Locality::Region)
+            .expect("there are servers");
+        let second = select(&wish, &other, &ServiceTimes::default(), Locality::Region)
+            .expect("there are servers");
         assert_eq!(first.upstream.id, second.upstream.id);
         assert_eq!(first.upstream.region, region);
     }
@@ -65,21 +65,21 @@
     let clock = TestClock::default().clock();
     let servers = fleet(&clock);
     let region = "north".into();
-    let pace = Pace::default();
+    let pace = ServiceTimes::default();
     let wish = wish(1, &region, clock.now());
-    let home = choose(&wish, &servers, &pace, Place::Region)
+    let home = select(&wish, &servers, &pace, Locality::Region)
         .expect("there are servers")
         .upstream;
-    let _three: Vec<_> = (0..3).map(|_| home.begin()).collect();
+    let _three: Vec<_> = (0..3).map(|_| home.start_request()).collect();
     let with_one_waiting =
-        choose(&wish, &servers, &pace, Place::Region).expect("there are servers");
+        select(&wish, &servers, &pace, Locality::Region).expect("there are servers");
     assert_eq!(with_one_waiting.upstream.id, home.id);
-    assert!(!with_one_waiting.free);
-    let _many: Vec<_> = (0..12).map(|_| home.begin()).collect();
-    let bounded = choose(&wish, &servers, &pace, Place::Region);
+    assert!(!with_one_waiting.has_free_slot);
+    let _many: Vec<_> = (0..12).map(|_| home.start_request()).collect();
+    let bounded = select(&wish, &servers, &pace, Locality::Region);
     assert_eq!(bounded.expect("there are servers").upstream.id, home.id);
-    let _yet_more: Vec<_> = (0..25).map(|_| home.begin()).collect();
-    let relieved = choose(&wish, &servers, &pace, Place::Region);
+    let _yet_more: Vec<_> = (0..25).map(|_| home.start_request()).collect();
+    let relieved = select(&wish, &servers, &pace, Locality::Region);
     let relieved = relieved.expect("there are servers").upstream;
     assert_ne!(relieved.id, home.id);
     assert_eq!(relieved.region, region, "others of the region come first");
@@ -97,11 +97,11 @@
         waiting: 9,
         slots: 3,
     };
-    server.note_load(full, clock.now());
+    server.record_load(full, clock.now());
     assert!(server.load(0.0, clock.now()) > 11.0);
-    assert!(server.load_trust(clock.now()) > 0.99);
+    assert!(server.load_confidence(clock.now()) > 0.99);
     test.advance(7_000);
-    assert!(server.load_trust(clock.now()) < 0.01);
+    assert!(server.load_confidence(clock.now()) < 0.01);
     assert!(server.load(0.0, clock.now()) < 0.1);
 }
 
@@ -110,14 +110,14 @@
     let test = TestClock::default();
     let clock = test.clock();
     let server = upstream("a", "north", &clock);
-    server.note_failure(clock.now());
+    server.record_connection_failure(clock.now());
     assert!(!server.is_reachable(clock.now()));
     test.advance(300);
     assert!(server.is_reachable(clock.now()));
-    let trial = server.begin();
+    let trial = server.start_request();
     assert!(!server.is_reachable(clock.now()));
     drop(trial);
-    server.note_answer(1, None, clock.now());
+    server.record_success(1, None, clock.now());
     assert!(server.is_reachable(clock.now()));
 }
 
@@ -130,7 +130,7 @@
 
 #[test]
 fn a_region_with_its_part_of_the_slots_sends_nothing_away() {
-    let spill = Spill::default();
+    let spill = Spillover::default();
     spill.step(EVEN, Millis(1_000));
     assert!(spill.part() < 1e-9);
     assert!((0..1000).all(|object| !spill.is_away(object)));
@@ -138,7 +138,7 @@
 
 #[test]
 fn a_region_with_few_slots_sends_the_missing_part_away() {
-    let spill = Spill::default();
+    let spill = Spillover::default();
     let few = Room {
         own: 5.0,
         elsewhere: 25.0,
@@ -155,7 +155,7 @@
 /// of them in two seconds.
 #[test]
 fn the_threshold_moves_slowly_whatever_the_load() {
-    let spill = Spill::default();
+    let spill = Spillover::default();
     spill.step(EVEN, Millis(0));
     let load = |running, waiting| ServerLoad {
         running,
@@ -164,8 +164,8 @@
     };
     for at in 1..=80 {
         let now = Millis(at * 250);
-        (0..50).for_each(|_| spill.note(true, load(3, 9), Millis(260), now));
-        spill.note(false, load(1, 0), Millis(370), now);
+        (0..50).for_each(|_| spill.record(true, load(3, 9), Millis(260), now));
+        spill.record(false, load(1, 0), Millis(370), now);
         let before = spill.part();
         spill.step(EVEN, Millis(at * 250));
         assert!(spill.part() - before <= 0.04 * 0.25 + 1e-9);
@@ -175,7 +175,7 @@
 
 #[test]
 fn nobody_serves_at_home_where_there_are_no_slots() {
-    let spill = Spill::default();
+    let spill = Spillover::default();
     spill.step(EVEN, Millis(0));
     let none = Room { own: 0.0, ..EVEN };
     spill.step(none, Millis(250));
@@ -215,7 +215,7 @@
         target("studio", 10),
         target("old", 0),
     ];
-    let mut split = Split::default();
+    let mut split = TrafficSplit::default();
     let mut studio = 0;
     for sent in 1..=200_i32 {
         let next = split.next(&targets).expect("there are targets");
@@ -227,7 +227,7 @@
 
 #[test]
 fn a_window_forgets_what_is_older_than_its_span() {
-    let mut window = Window::new(Millis(10_000));
+    let mut window = SlidingWindow::new(Millis(10_000));
     window.add(Millis(0), 5.0);
     assert!((window.total(Millis(9_000)) - 5.0).abs() < 1e-9);
     assert!(window.total(Millis(11_000)).abs() < 1e-9);
@@ -239,8 +239,8 @@
 fn a_server_that_answers_nothing_in_time_counts_as_slow() {
     let clock = TestClock::default().clock();
     let server = upstream("a", "north", &clock);
-    server.note_answer(1, Some(1.0), clock.now());
-    (0..5).for_each(|_| server.note_unanswered(6.0, clock.now()));
+    server.record_success(1, Some(1.0), clock.now());
+    (0..5).for_each(|_| server.record_unanswered(6.0, clock.now()));
     assert!(server.slowness(clock.now()) > 3.0);
 }
 
@@ -255,9 +255,11 @@
         .collect();
     let region = "north".into();
     let wish = wish(1, &region, clock.now());
-    for place in [Place::Domain, Place::Region, Place::Away] {
-        let first = choose(&wish, &far, &Pace::default(), place).expect("there are servers");
-        let again = choose(&wish, &far, &Pace::default(), place).expect("there are servers");
+    for place in [Locality::Domain, Locality::Region, Locality::OtherRegions] {
+        let first =
+            select(&wish, &far, &ServiceTimes::default(), place).expect("there are servers");
+        let again =
+            select(&wish, &far, &ServiceTimes::default(), place).expect("there are servers");
         assert_eq!(first.upstream.id, again.upstream.id);
     }
 }
@@ -270,16 +272,21 @@
     clock.advance(10_000);
     let server = upstream("a", "north", &clock.clock());
     let told = ServerLoad::parse("1,0,3").expect("a load");
-    server.note_load(told, Millis(9_300));
+    server.record_load(told, Millis(9_300));
     let region = RegionName::from("north");
     let wish = wish(7, &region, Millis(10_000));
     let candidates = [Rc::clone(&server)];
-    let chosen = choose(&wish, &candidates, &Pace::default(), Place::Region);
+    let chosen = select(
+        &wish,
+        &candidates,
+        &ServiceTimes::default(),
+        Locality::Region,
+    );
     let chosen = chosen.expect("there is a server");
 
-    let flight = server.begin();
-    server.note_load(told, Millis(10_400));
+    let flight = server.start_request();
+    server.record_load(told, Millis(10_400));
 
-    assert_eq!((chosen.load_age, chosen.own), (Millis(700), 0));
+    assert_eq!((chosen.load_age, chosen.own_in_flight), (Millis(700), 0));
     drop(flight);
 }
--- a/crates/edge/tests/homes.rs
+++ b/crates/edge/tests/homes.rs
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 
 use heatherknot_edge::hand_over::HandOverHeader;
-use heatherknot_edge::homes::{Homes, home_of};
+use heatherknot_edge::homes::{HomeDirectory, home_of};
 use heatherknot_edge::presence::VmEntry;
 use heatherknot_edge::upstream::Upstream;
 use heatherknot_types::prelude::*;
@@ -88,13 +88,13 @@
 fn homes_are_looked_for_anew_when_there_are_other_vms() {
     let clock = TestClock::default().clock();
     let (all, server) = (vms(&["a"]), upstream("s", "a", &clock));
-    let homes = Homes::default();
-    let first = homes.of(&server, &all).expect("there are VMs");
+    let homes = HomeDirectory::default();
+    let first = homes.home_of(&server, &all).expect("there are VMs");
     let others: Vec<VmEntry> = all.into_iter().filter(|vm| vm.name != first.vm).collect();
 
     homes.vms_changed(&others);
 
-    let second = homes.of(&server, &others).expect("there are others");
+    let second = homes.home_of(&server, &others).expect("there are others");
     assert_ne!(first.vm, second.vm);
 }
 
--- a/crates/edge/tests/load_patterns.rs
+++ b/crates/edge/tests/load_patterns.rs
@@ -5,10 +5,10 @@
 
 use std::rc::Rc;
 
-use heatherknot_edge::choose::{Place, Wish, choose, first};
-use heatherknot_edge::pace::Pace;
-use heatherknot_edge::reach::{Carried, RouteReach};
-use heatherknot_edge::spill::{Room, Spill};
+use heatherknot_edge::locality::{Carried, RouteLocality};
+use heatherknot_edge::selection::{Locality, SelectionParams, first_ranked, select};
+use heatherknot_edge::service_times::ServiceTimes;
+use heatherknot_edge::spillover::{Room, Spillover};
 use heatherknot_edge::switches::Switches;
 use heatherknot_edge::upstream::{ServerLoad, Upstream};
 use heatherknot_types::prelude::*;
@@ -28,7 +28,7 @@
 /// with half of the slots and a third of the callers need send nothing away.
 #[test]
 fn callers_after_a_start_find_their_objects_near() {
-    let spill = Spill::default();
+    let spill = Spillover::default();
     let nothing = Room {
         regions: 3,
         ..Room::default()
@@ -57,7 +57,7 @@
 /// Grounds: 0.15 of a region's requests may change their region in two seconds.
 #[test]
 fn under_traffic_the_threshold_never_jumps() {
-    let spill = Spill::default();
+    let spill = Spillover::default();
     let room = |own: f64| Room {
         own,
         elsewhere: 180.0 - own,
@@ -85,7 +85,7 @@
 /// Grounds: three slots a server, a third of them busy; callers of 30 s.
 #[test]
 fn a_region_with_room_again_takes_its_objects_back() {
-    let spill = Spill::default();
+    let spill = Spillover::default();
     let room = Room {
         own: 240.0,
         elsewhere: 240.0,
@@ -101,8 +101,8 @@
         for tick in from..from + 40 {
             let now = Millis(tick * TICK.0);
             own.iter()
-                .for_each(|told| spill.note(true, *told, Millis(260), now));
-            spill.note(false, load(1, 0), Millis(370), now);
+                .for_each(|told| spill.record(true, *told, Millis(260), now));
+            spill.record(false, load(1, 0), Millis(370), now);
             spill.step(room, now);
         }
     };
@@ -126,7 +126,7 @@
 /// Grounds: a ninth of the slots in one of three regions, none of them waited for in 20 s.
 #[test]
 fn a_region_takes_no_more_objects_than_its_part_of_the_slots() {
-    let spill = Spill::default();
+    let spill = Spillover::default();
     let few = Room {
         own: 20.0,
         elsewhere: 160.0,
@@ -144,8 +144,8 @@
 
     for tick in 1..=80 {
         let now = Millis(tick * TICK.0);
-        spill.note(true, idle, Millis(260), now);
-        spill.note(false, idle, Millis(370), now);
+        spill.record(true, idle, Millis(260), now);
+        spill.record(false, idle, Millis(370), now);
         spill.step(few, now);
     }
 
@@ -160,7 +160,7 @@
 /// Grounds: 20 slots of 180 in one of three regions; a way of 113 ms and a target of 400 ms.
 #[test]
 fn where_servers_are_few_what_carries_much_stays() {
-    let spill = Spill::default();
+    let spill = Spillover::default();
     let few = Room {
         own: 20.0,
         elsewhere: 160.0,
@@ -169,13 +169,16 @@
     };
     spill.step(few, Millis(0));
     let carried = |large| Carried { large, vms_here: 1 };
-    let (uploads, reads) = (RouteReach::default(), RouteReach::default());
+    let (uploads, reads) = (RouteLocality::default(), RouteLocality::default());
     uploads.step(carried(true), Millis(0));
     reads.step(carried(false), Millis(0));
 
-    let away = |route: &RouteReach| {
-        let places = (0..1_000).map(|object| route.place(object, &spill, Switches::default()));
-        places.filter(|place| *place == Place::Away).count()
+    let away = |route: &RouteLocality| {
+        let places =
+            (0..1_000).map(|object| route.locality_of(object, &spill, Switches::default()));
+        places
+            .filter(|place| *place == Locality::OtherRegions)
+            .count()
     };
 
     assert_eq!(away(&uploads), 0);
@@ -191,16 +194,17 @@
 /// Grounds: the longest and the shortest of 90 first measurements of a way of 110 ms.
 #[test]
 fn a_way_measured_too_long_at_a_start_moves_nothing_later() {
-    let (route, spill) = (RouteReach::default(), Spill::default());
+    let (route, spill) = (RouteLocality::default(), Spillover::default());
     let room = |way| Room {
         own: 60.0,
         elsewhere: 120.0,
         regions: 3,
         way: Some(Millis(way)),
     };
-    let near = |spill: &Spill| {
-        let is_near =
-            |object: &u64| route.place(*object, spill, Switches::default()) == Place::Region;
+    let near = |spill: &Spillover| {
+        let is_near = |object: &u64| {
+            route.locality_of(*object, spill, Switches::default()) == Locality::Region
+        };
         (0..1_000).filter(is_near).count()
     };
 
@@ -214,7 +218,7 @@
 /// A home of `count` servers, the wish for one object among them, and the first of its rank.
 fn home_with<T>(
     count: usize,
-    act: impl FnOnce(&[Rc<Upstream>], &Wish<'_>, &Rc<Upstream>) -> T,
+    act: impl FnOnce(&[Rc<Upstream>], &SelectionParams<'_>, &Rc<Upstream>) -> T,
 ) -> T {
     let clock = TestClock::default().clock();
     let id = |i| format!("server-{i}");
@@ -223,29 +227,29 @@
         .collect();
     let region = "north".into();
     let domain = "north".into();
-    let wish = Wish {
+    let wish = SelectionParams {
         object: 1,
         sticky: true,
         region: &region,
         domain: &domain,
-        target: Millis(600),
-        left: Millis(2_500),
+        latency_target: Millis(600),
+        time_left: Millis(2_500),
         now: clock.now(),
         switches: Switches::default(),
-        is_bound: false,
-        named: None,
+        is_region_bound: false,
+        assigned: None,
         is_home: &|_| true,
-        spread: None,
+        placement: None,
     };
-    let first = first(&wish, &servers, Place::Region).expect("there are servers");
+    let first = first_ranked(&wish, &servers, Locality::Region).expect("there are servers");
     act(&servers, &wish, &first)
 }
 
 /// A pace by which a kept object takes 260 ms and another one 1,050 ms.
-fn pace() -> Pace {
-    let pace = Pace::default();
-    pace.note(&"north".into(), true, Millis(260));
-    pace.note(&"north".into(), false, Millis(1_050));
+fn pace() -> ServiceTimes {
+    let pace = ServiceTimes::default();
+    pace.record(&"north".into(), true, Millis(260));
+    pace.record(&"north".into(), false, Millis(1_050));
     pace
 }
 
@@ -259,12 +263,12 @@
 #[test]
 fn where_others_are_idle_a_crowded_servers_objects_get_copies() {
     home_with(60, |servers, wish, first| {
-        let _eight: Vec<_> = (0..8).map(|_| first.begin()).collect();
+        let _eight: Vec<_> = (0..8).map(|_| first.start_request()).collect();
 
-        let chosen = choose(wish, servers, &pace(), Place::Region).expect("there are servers");
+        let chosen = select(wish, servers, &pace(), Locality::Region).expect("there are servers");
 
         assert_ne!(chosen.upstream.id, first.id);
-        assert!(chosen.free);
+        assert!(chosen.has_free_slot);
     });
 }
 
@@ -277,11 +281,13 @@
 #[test]
 fn where_all_servers_are_busy_no_copies_are_made() {
     home_with(60, |servers, wish, first| {
-        let _eight: Vec<_> = (0..8).map(|_| first.begin()).collect();
+        let _eight: Vec<_> = (0..8).map(|_| first.start_request()).collect();
         let others = servers.iter().filter(|u| u.id != first.id);
-        let _two_each: Vec<_> = others.flat_map(|u| [u.begin(), u.begin()]).collect();
+        let _two_each: Vec<_> = others
+            .flat_map(|u| [u.start_request(), u.start_request()])
+            .collect();
 
-        let chosen = choose(wish, servers, &pace(), Place::Region).expect("there are servers");
+        let chosen = select(wish, servers, &pace(), Locality::Region).expect("there are servers");
 
         assert_eq!(chosen.upstream.id, first.id);
     });
@@ -298,19 +304,19 @@
 #[test]
 fn a_fraction_of_a_request_does_not_fill_a_server() {
     home_with(4, |servers, wish, first| {
-        let _two: Vec<_> = (0..2).map(|_| first.begin()).collect();
+        let _two: Vec<_> = (0..2).map(|_| first.start_request()).collect();
         let load = |running| ServerLoad {
             running,
             waiting: 0,
             slots: 3,
         };
-        first.note_load(load(3), wish.now);
+        first.record_load(load(3), wish.now);
         (0..10).for_each(|_| {
-            first.note_load(load(2), wish.now);
+            first.record_load(load(2), wish.now);
         });
 
-        let chosen = choose(wish, servers, &pace(), Place::Region).expect("there are servers");
+        let chosen = select(wish, servers, &pace(), Locality::Region).expect("there are servers");
 
-        assert!(chosen.free && chosen.upstream.id == first.id);
+        assert!(chosen.has_free_slot && chosen.upstream.id == first.id);
     });
 }
--- a/crates/edge/tests/quantile.rs
+++ b/crates/edge/tests/quantile.rs
@@ -1,7 +1,7 @@
 //! The quantile that follows its samples.
 
-use heatherknot_edge::pace::Pace;
 use heatherknot_edge::quantile::Quantile;
+use heatherknot_edge::service_times::ServiceTimes;
 use heatherknot_types::prelude::*;
 
 #[test]
@@ -19,11 +19,11 @@
 /// of them, none kept its objects any more, and the rush went on for as long as callers came.
 #[test]
 fn waits_in_queues_are_not_taken_for_work() {
-    let pace = Pace::default();
+    let pace = ServiceTimes::default();
     let region: RegionName = "north".into();
     for at in 0..400 {
         let waited = if at % 3 == 0 { 0 } else { 700 };
-        pace.note(&region, true, Millis(260 + waited));
+        pace.record(&region, true, Millis(260 + waited));
     }
     let work = pace.expected(&region, true, 600.0);
     assert!((200.0..320.0).contains(&work), "{work}");
--- a/crates/edge/tests/region_counts.rs
+++ b/crates/edge/tests/region_counts.rs
@@ -9,11 +9,13 @@
 #[test]
 fn what_was_sent_and_what_is_still_under_way_are_told_apart() {
     let sent = RegionCounts::default();
-    let near = sent.begin(&"north".into());
-    let far: Vec<_> = (0..3).map(|_| sent.begin(&"south".into())).collect();
+    let near = sent.start_request(&"north".into());
+    let far: Vec<_> = (0..3)
+        .map(|_| sent.start_request(&"south".into()))
+        .collect();
     drop(near);
     let first = sent.take_summary(Millis(2_000)).expect("a summary is due");
-    let _late = sent.begin(&"south".into());
+    let _late = sent.start_request(&"south".into());
 
     let second = sent.take_summary(Millis(4_000)).expect("a summary is due");
 
@@ -30,7 +32,7 @@
 #[test]
 fn nothing_is_told_before_its_time_or_of_a_quiet_service() {
     let sent = RegionCounts::default();
-    let one = sent.begin(&"north".into());
+    let one = sent.start_request(&"north".into());
 
     assert_eq!(sent.take_summary(Millis(1_999)), None);
     assert!(sent.take_summary(Millis(2_000)).is_some());
--- a/crates/edge/tests/room.rs
+++ b/crates/edge/tests/room.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use heatherknot_edge::accounts::RestrictedShare;
-use heatherknot_edge::room::{RegionParts, parts_left};
+use heatherknot_edge::unbound_share::{UnboundShares, parts_left};
 use heatherknot_test_support::property::check;
 use heatherknot_types::prelude::*;
 
@@ -119,11 +119,11 @@
 /// Grounds: 0.15 of a region's requests may change their region in two seconds.
 #[test]
 fn under_traffic_parts_move_slowly() {
-    let parts = RegionParts::default();
+    let parts = UnboundShares::default();
     let whole = BTreeMap::from([("south".into(), 1.0)]);
     let none = BTreeMap::from([("south".into(), 0.02)]);
     parts.step(&whole, Millis(0));
-    parts.note_use();
+    parts.mark_used();
 
     let mut before = parts.of(&"south".into());
     for tick in 1..=200 {
@@ -138,7 +138,7 @@
 
 #[test]
 fn before_the_first_request_parts_are_there_at_once() {
-    let parts = RegionParts::default();
+    let parts = UnboundShares::default();
     parts.step(&BTreeMap::from([("south".into(), 1.0)]), Millis(0));
     parts.step(&BTreeMap::from([("south".into(), 0.1)]), Millis(250));
     assert!((parts.of(&"south".into()) - 0.1).abs() < 1e-9);
--- a/crates/edge/tests/spread.rs
+++ b/crates/edge/tests/spread.rs
@@ -5,7 +5,7 @@
 use std::collections::HashMap;
 use std::rc::Rc;
 
-use heatherknot_edge::spread::Spread;
+use heatherknot_edge::placement::ObjectPlacement;
 use heatherknot_edge::upstream::Upstream;
 use heatherknot_test_support::property::check;
 use heatherknot_types::hash;
@@ -23,7 +23,7 @@
     servers.iter().max_by_key(place).expect("there are servers")
 }
 
-fn put(spread: &Spread, object: u64, servers: &[Rc<Upstream>], now: u64) -> UpstreamName {
+fn put(spread: &ObjectPlacement, object: u64, servers: &[Rc<Upstream>], now: u64) -> UpstreamName {
     let own: Vec<&Rc<Upstream>> = servers.iter().collect();
     let first = ranked_first(object, servers);
     spread
@@ -47,15 +47,18 @@
 #[test]
 fn no_server_gets_more_objects_than_it_keeps() {
     let all = servers(12);
-    let homes: Vec<(Spread, &[Rc<Upstream>])> =
-        all.chunks(4).map(|own| (Spread::default(), own)).collect();
+    let homes: Vec<(ObjectPlacement, &[Rc<Upstream>])> = all
+        .chunks(4)
+        .map(|own| (ObjectPlacement::default(), own))
+        .collect();
     let mut by_rank = HashMap::new();
     let mut by_home = HashMap::new();
 
     for object in 0..217 {
         let first = ranked_first(object, &all);
         by_rank.insert(object, first.id.clone());
-        let of = |(_, own): &&(Spread, &[Rc<Upstream>])| own.iter().any(|u| u.id == first.id);
+        let of =
+            |(_, own): &&(ObjectPlacement, &[Rc<Upstream>])| own.iter().any(|u| u.id == first.id);
         let (spread, own) = homes.iter().find(of).expect("each server has a home");
         let own: Vec<&Rc<Upstream>> = own.iter().collect();
         by_home.insert(
@@ -86,7 +89,7 @@
 fn an_object_stays_where_it_was_put() {
     let servers = servers(6);
     check().with_type::<Vec<u8>>().for_each(|asked| {
-        let spread = Spread::default();
+        let spread = ObjectPlacement::default();
         let mut at = HashMap::new();
         for (now, object) in asked.iter().enumerate() {
             let object = u64::from(*object);
@@ -104,7 +107,7 @@
 #[test]
 fn objects_of_a_server_that_left_go_to_those_with_the_fewest() {
     let servers = servers(5);
-    let spread = Spread::default();
+    let spread = ObjectPlacement::default();
     let before: HashMap<u64, UpstreamName> = (0..100)
         .map(|object| (object, put(&spread, object, &servers, 0)))
         .collect();
@@ -131,7 +134,7 @@
 #[test]
 fn an_object_that_nobody_asks_for_makes_room() {
     let servers = servers(2);
-    let spread = Spread::default();
+    let spread = ObjectPlacement::default();
     for object in 0..40 {
         put(&spread, object, &servers, 0);
     }
--- a/crates/edge/tests/support/region_model.rs
+++ b/crates/edge/tests/support/region_model.rs
@@ -5,13 +5,13 @@
 use std::collections::{BinaryHeap, HashMap, VecDeque};
 use std::rc::Rc;
 
-use heatherknot_edge::choose::{Place, Wish, choose, first};
-use heatherknot_edge::pace::Pace;
-use heatherknot_edge::reach::{Carried, RouteReach};
-use heatherknot_edge::spill::{Room, Spill};
-use heatherknot_edge::spread::Spread;
+use heatherknot_edge::locality::{Carried, RouteLocality};
+use heatherknot_edge::placement::ObjectPlacement;
+use heatherknot_edge::selection::{Locality, SelectionParams, first_ranked, select};
+use heatherknot_edge::service_times::ServiceTimes;
+use heatherknot_edge::spillover::{Room, Spillover};
 use heatherknot_edge::switches::Switches;
-use heatherknot_edge::upstream::{InFlight, ServerLoad, Upstream};
+use heatherknot_edge::upstream::{InFlightGuard, ServerLoad, Upstream};
 use heatherknot_types::prelude::*;
 
 use super::{TestClock, upstream};
@@ -133,7 +133,7 @@
     object: u64,
     sent: u64,
     server: usize,
-    flight: Option<InFlight>,
+    flight: Option<InFlightGuard>,
     free: bool,
 }
 
@@ -164,10 +164,10 @@
 /// What the VMs of a region have learned.
 struct Learned {
     name: RegionName,
-    spill: Spill,
-    reach: RouteReach,
-    pace: Pace,
-    spread: Spread,
+    spill: Spillover,
+    reach: RouteLocality,
+    pace: ServiceTimes,
+    spread: ObjectPlacement,
 }
 
 struct Model<'a> {
@@ -206,10 +206,10 @@
     let places = places.collect();
     let learned = |region: &Region| Learned {
         name: region.name.into(),
-        spill: Spill::default(),
-        reach: RouteReach::default(),
-        pace: Pace::default(),
-        spread: Spread::default(),
+        spill: Spillover::default(),
+        reach: RouteLocality::default(),
+        pace: ServiceTimes::default(),
+        spread: ObjectPlacement::default(),
     };
     let mut model = Model {
         scenario,
@@ -310,20 +310,20 @@
         region: &'a RegionName,
         domain: &'a DomainName,
         is_home: &'a dyn Fn(&Upstream) -> bool,
-    ) -> Wish<'a> {
-        Wish {
+    ) -> SelectionParams<'a> {
+        SelectionParams {
             object,
             sticky: true,
             region,
             domain,
-            target: self.scenario.target,
-            left: Millis(self.scenario.target.0 * 4),
+            latency_target: self.scenario.target,
+            time_left: Millis(self.scenario.target.0 * 4),
             now: Millis(self.now()),
-            is_bound: false,
+            is_region_bound: false,
             switches: Switches::default(),
-            named: None,
+            assigned: None,
             is_home,
-            spread: None,
+            placement: None,
         }
     }
 
@@ -334,13 +334,13 @@
         self.played.asked += 1;
         let object = self.rng.u64(..self.scenario.objects);
         let learned = &self.regions[from];
-        learned.reach.note_request(object, Millis(now));
+        learned.reach.record_request(object, Millis(now));
         let place = learned
             .reach
-            .place(object, &learned.spill, Switches::default());
+            .locality_of(object, &learned.spill, Switches::default());
         let domain = DomainName::from(learned.name.as_str());
         let wish = self.wish(object, &learned.name, &domain, &|_| false);
-        let server = first(&wish, &self.upstreams, place).expect("there are servers");
+        let server = first_ranked(&wish, &self.upstreams, place).expect("there are servers");
         let server = self.index_of(&server);
         let flying = Flying {
             from,
@@ -362,20 +362,20 @@
         let name = learned.name.clone();
         let is_home = |u: &Upstream| u.region == name;
         let meant = &self.upstreams[flying.server];
-        let wish = Wish {
-            named: Some(&meant.id),
-            spread: Some(&learned.spread),
+        let wish = SelectionParams {
+            assigned: Some(&meant.id),
+            placement: Some(&learned.spread),
             ..self.wish(flying.object, &learned.name, &domain, &is_home)
         };
-        let best = choose(&wish, &self.upstreams, &learned.pace, Place::Region);
+        let best = select(&wish, &self.upstreams, &learned.pace, Locality::Region);
         let best = best.expect("there are servers");
-        if !best.free && best.finish > self.scenario.target.0 as f64 {
+        if !best.has_free_slot && best.response_ms > self.scenario.target.0 as f64 {
             self.played.refused += 1;
             return;
         }
         flying.server = self.index_of(&best.upstream);
-        flying.free = best.free;
-        flying.flight = Some(best.upstream.begin());
+        flying.free = best.has_free_slot;
+        flying.flight = Some(best.upstream.start_request());
         self.after(NEAR, Event::Arrived(flying));
     }
 
@@ -434,17 +434,17 @@
         let at = self.region_of(flying.server);
         let home = &self.regions[at];
         let upstream = &self.upstreams[flying.server];
-        let others = upstream.note_load(load, Millis(now));
+        let others = upstream.record_load(load, Millis(now));
         drop(flying.flight.take());
-        home.pace.note_others(others, Millis(now));
-        let kept = upstream.keeps(flying.object, Millis(now));
+        home.pace.record_other_load(others, Millis(now));
+        let kept = upstream.likely_caches(flying.object, Millis(now));
         if flying.free {
-            home.pace.note(&home.name, kept, Millis(now - began));
+            home.pace.record(&home.name, kept, Millis(now - began));
         }
-        upstream.note_answer(flying.object, None, Millis(now));
+        upstream.record_success(flying.object, None, Millis(now));
         let spill = &self.regions[flying.from].spill;
         let took = now + self.way(flying.from, at) - flying.sent;
-        spill.note(at == flying.from, load, Millis(took), Millis(now));
+        spill.record(at == flying.from, load, Millis(took), Millis(now));
         self.played.took += took;
         self.played.in_time += usize::from(took <= self.scenario.target.0);
     }
--- a/crates/edge/tests/world.rs
+++ b/crates/edge/tests/world.rs
@@ -85,7 +85,7 @@
     test.advance(2_000);
     assert!(!a.is_cold(clock.now()));
     world.apply(&[put("server/a", entry("leaving", 0, 2), 2)], true);
-    assert!(!a.takes_requests());
+    assert!(!a.accepts_requests());
 }
 
 #[test]
@@ -119,23 +119,23 @@
     let service = "gallery".into();
     world.apply(&[put("server/a", entry_of_run(100, "ready", 0), 1)], true);
     let old = world.upstreams(&service)[0].clone();
-    let _at_old = old.begin();
-    old.note_answer(7, Some(1.0), clock.now());
+    let _at_old = old.start_request();
+    old.record_success(7, Some(1.0), clock.now());
 
     let again = put("server/a", entry_of_run(200, "ready", 3_000), 2);
     assert!(world.matters(&again), "other VMs wait for it too");
     world.apply(&[again], true);
 
     let new = world.upstreams(&service)[0].clone();
-    assert!(!old.takes_requests(), "sends to the old run are over");
-    assert!(new.takes_requests() && new.is_cold(clock.now()));
-    assert!(!new.keeps(7, clock.now()));
+    assert!(!old.accepts_requests(), "sends to the old run are over");
+    assert!(new.accepts_requests() && new.is_cold(clock.now()));
+    assert!(!new.likely_caches(7, clock.now()));
     assert_eq!(new.in_flight(), 0);
     world.apply(&[put("server/a", entry_of_run(100, "leaving", 0), 3)], true);
     let kept = world.upstreams(&service)[0].clone();
-    assert_eq!(kept.born, Some(Millis(200)));
+    assert_eq!(kept.started_at, Some(Millis(200)));
     assert!(
-        kept.takes_requests(),
+        kept.accepts_requests(),
         "a late word of the old run is passed over"
     );
 }
