--- a/crates/edge/src/budget.rs
+++ b/crates/edge/src/budget.rs
@@ -9,7 +9,7 @@
 use heatherknot_types::prelude::*;
 
 use crate::settings::Bounds;
-use crate::window::Window;
+use crate::window::SlidingWindow;
 
 /// The part of the bound that is used. The rest covers requests whose first send fell out
 /// of the window while their further sends are still in it.
@@ -18,8 +18,8 @@
 /// One VM's part of a service's budget.
 #[derive(Debug)]
 pub struct RetryBudget {
-    requests: Window,
-    further: Window,
+    requests: SlidingWindow,
+    further: SlidingWindow,
     ratio: f64,
     slack: f64,
 }
@@ -28,21 +28,21 @@
     /// Makes a budget under `bounds`.
     pub fn new(bounds: &Bounds) -> Self {
         Self {
-            requests: Window::new(bounds.retry_window),
-            further: Window::new(bounds.retry_window),
+            requests: SlidingWindow::new(bounds.retry_window),
+            further: SlidingWindow::new(bounds.retry_window),
             ratio: bounds.retry_ratio,
             slack: bounds.retry_slack,
         }
     }
 
     /// Counts a request for the service.
-    pub fn request(&mut self, now: Millis) {
+    pub fn record_request(&mut self, now: Millis) {
         self.requests.add(now, 1.0);
     }
 
     /// Takes one further send, where the budget has it; `vms` is the number of VMs that may
     /// be sending.
-    pub fn take(&mut self, now: Millis, vms: usize) -> bool {
+    pub fn try_take(&mut self, now: Millis, vms: usize) -> bool {
         let own_slack = self.slack / vms.max(1) as f64;
         let most = USED_PART * (self.ratio * self.requests.total(now) + own_slack);
         if self.further.total(now) + 1.0 > most {
--- a/crates/edge/src/call.rs
+++ b/crates/edge/src/call.rs
@@ -12,12 +12,12 @@
 use crate::accounts::{Account, AllowedRegions};
 use crate::catalog::{Catalog, Route};
 use crate::context::{EdgeContext, ServiceState};
-use crate::hand_over::HandedWord;
-use crate::identify::{self, Unidentified};
+use crate::hand_over::HandOverHeader;
+use crate::identify::{self, IdentifyError};
 use crate::poison::fingerprint::{Fingerprint, Identity, KnownBody, quick_hash};
-use crate::poison::suspects::place_of;
+use crate::poison::suspects::placement_hash;
 use crate::presence;
-use crate::quota::meter::{Over, Verdict};
+use crate::quota::meter::{OverLimit, Verdict};
 use crate::switches::Mechanism;
 
 /// The longest request body that is read whole before it is sent. Longer ones are sent as they
@@ -126,7 +126,7 @@
 
     /// Has it go where its fingerprint leads.
     pub(crate) fn set_apart(&mut self, fingerprint: &Fingerprint) {
-        self.object = place_of(fingerprint);
+        self.object = placement_hash(fingerprint);
         self.is_apart = true;
     }
 
@@ -158,7 +158,9 @@
             HeldBody::Whole(_) => self.body.known(),
             HeldBody::Kept(kept) => KnownBody::Length(kept.known_len()),
         };
-        self.with_identity(cx, &body, |identity| quick_hash(identity, cx.poison.key()))
+        self.with_identity(cx, &body, |identity| {
+            quick_hash(identity, cx.poison.hash_key())
+        })
     }
 
     fn with_identity<T>(
@@ -193,11 +195,11 @@
     /// Its route leads to no service.
     NoTarget,
     /// It is not known whose it is.
-    Unidentified(Unidentified),
+    Unidentified(IdentifyError),
     /// Its route and its client account allow no region in common.
     NoRegion,
     /// It goes beyond the limit of its client account.
-    OverLimit(Arc<Account>, Over),
+    OverLimit(Arc<Account>, OverLimit),
     /// Its body could not be read.
     Body(BodyError),
 }
@@ -216,8 +218,8 @@
             Self::NoRoute => "no route takes this host and path",
             Self::UnreadRoute => "its route may be one that can't be read",
             Self::NoTarget => "the route has no service",
-            Self::Unidentified(Unidentified::NoAccount) => "it bears no key of a client account",
-            Self::Unidentified(Unidentified::Unsure) => {
+            Self::Unidentified(IdentifyError::NoAccount) => "it bears no key of a client account",
+            Self::Unidentified(IdentifyError::UnreadableAccount) => {
                 "its key may be that of an account that can't be read"
             }
             Self::NoRegion => "its route and its account allow no region in common",
@@ -256,19 +258,19 @@
     let catalog = cx.world.borrow().catalog().cloned();
     let catalog = catalog.ok_or(Unroutable::NoCatalog)?;
     let route = route_of(&catalog, head).cloned();
-    let route = route.ok_or_else(|| match catalog.hides_routes() {
+    let route = route.ok_or_else(|| match catalog.has_unmatchable_routes() {
         true => Unroutable::UnreadRoute,
         false => Unroutable::NoRoute,
     })?;
     let names = &cx.dialect.headers;
     let account = match is_handed {
-        true => identify::identified(&catalog, &route, names, head),
+        true => identify::account_named_by_peer(&catalog, &route, names, head),
         false => identify::identify(&catalog, &route, names, head),
     };
     let account = account.map_err(Unroutable::Unidentified)?;
-    identify::name_account(names, head, account.as_deref());
+    identify::set_account_header(names, head, account.as_deref());
     let regions = allowed_regions(&route, account.as_deref());
-    if regions.are_none() {
+    if regions.is_empty() {
         return Err(Unroutable::NoRegion);
     }
     if route.targets.is_empty() {
@@ -288,7 +290,7 @@
 pub(crate) async fn admit(
     cx: &EdgeContext,
     req: Request,
-    handed: Option<HandedWord>,
+    handed: Option<HandOverHeader>,
 ) -> Result<Call, Unroutable> {
     let started = cx.now();
     let mut head = req.head;
@@ -313,12 +315,12 @@
     let object = object_of(cx, &head);
     if handed.is_none() {
         state.asked.borrow_mut().add(started, 1.0);
-        cx.route(&route.name).note_request(object, started);
+        cx.route(&route.name).record_request(object, started);
     }
     let body = HeldBody::hold(req.body, &cx.kept_bodies).await;
     let body = body.map_err(|error| {
         if let Some(account) = account.as_ref().filter(|_| handed.is_none()) {
-            cx.quota.give_back(account);
+            cx.quota.refund(account);
         }
         Unroutable::Body(error)
     })?;
@@ -343,22 +345,22 @@
 /// Counts a request of an account, and refuses it where it goes beyond the account's limit. What
 /// another VM has handed over it has counted, too.
 fn keep_to_limit(cx: &EdgeContext, account: Option<&Arc<Account>>) -> Result<(), Unroutable> {
-    let Some(account) = account.filter(|_| cx.switches.has(Mechanism::Quota)) else {
+    let Some(account) = account.filter(|_| cx.switches.is_on(Mechanism::Quota)) else {
         return Ok(());
     };
     if !cx.quota.knows_vms() {
         presence::refresh(cx);
     }
     let draw = cx.rng.borrow_mut().f64();
-    match cx.quota.ask(account, draw) {
+    match cx.quota.admit(account, draw) {
         Verdict::Admitted => Ok(()),
-        Verdict::Over(over) => Err(Unroutable::OverLimit(Arc::clone(account), over)),
+        Verdict::OverLimit(over) => Err(Unroutable::OverLimit(Arc::clone(account), over)),
     }
 }
 
 fn allowed_regions(route: &Route, account: Option<&Account>) -> AllowedRegions {
     let of_account = account.map_or(&[][..], |account| &account.home_regions);
-    AllowedRegions::of(&route.home_regions, of_account)
+    AllowedRegions::intersect(&route.home_regions, of_account)
 }
 
 /// Gives a service that another VM has chosen, where the route leads to it.
--- a/crates/edge/src/daemon.rs
+++ b/crates/edge/src/daemon.rs
@@ -22,22 +22,22 @@
 
 use crate::context::EdgeContext;
 use crate::dialect::Dialect;
-use crate::distance::Distances;
 use crate::feed::Feed;
-use crate::homes::Homes;
+use crate::homes::HomeDirectory;
 use crate::metrics::EdgeMetrics;
-use crate::poison::Poison;
+use crate::poison::PoisonDetector;
 use crate::poison::status::{REJECTED_PATH, RELEASE_PATH, RELEASE_PURPOSE};
 use crate::presence::VmEntries;
 use crate::quota::state::Quota;
 use crate::quota::{exchange, status};
+use crate::round_trip::RegionRoundTrips;
 use crate::settings::{Bounds, EdgeConfig};
 use crate::switches::{Mechanism, Switches};
-use crate::upstream::{self, IDLE_KEPT};
-use crate::world::World;
+use crate::upstream::{self, IDLE_TIMEOUT};
+use crate::world::RoutingState;
 use crate::{
-    call, distance, enter, forward, hand_over, lookup, peer_feed, poison, presence, reply,
-    spill_step, stop,
+    call, enter, forward, hand_over, lookup, peer_feed, poison, presence, reply, round_trip,
+    spillover_update, stop,
 };
 
 /// How often idle connections are looked through, and missing backend servers.
@@ -186,7 +186,7 @@
     let entries = Rc::new(VmEntries::new(Rc::clone(&feed)));
     let mut methods = MethodTable::default();
     peer_feed::register(&mut methods, &feed, &timer);
-    distance::register(&mut methods);
+    round_trip::register(&mut methods);
     let quota = Rc::new(Quota::new(timer.clone(), Rc::clone(&world)));
     exchange::register(&mut methods, &quota);
     let poison = make_poison(&cfg, &timer, &feed, &mut methods);
@@ -202,22 +202,22 @@
         membership,
         net,
         entries,
-        knows_vms: Cell::new(false),
-        store_way: Cell::new(None),
+        has_read_vm_entries: Cell::new(false),
+        store_latency: Cell::new(None),
         relay: RefCell::default(),
         vms: RefCell::default(),
-        most_vms: Cell::new(0),
+        max_vms_seen: Cell::new(0),
         services: RefCell::default(),
         splits: RefCell::default(),
         routes: RefCell::default(),
         kept_bodies: KeepRoom::new(cfg.kept_bodies_bytes()),
-        homes: Homes::default(),
+        homes: HomeDirectory::default(),
         handed_token: token(&cfg, HANDED_PURPOSE),
         release_token: token(&cfg, RELEASE_PURPOSE),
         quota,
         poison,
         refused_lines: RefCell::default(),
-        distances: Distances::default(),
+        distances: RegionRoundTrips::default(),
         metrics,
         registry,
         leaving: Flag::new(),
@@ -234,11 +234,11 @@
     timer: &Timer,
     feed: &Rc<Feed>,
     methods: &mut MethodTable,
-) -> Rc<Poison> {
+) -> Rc<PoisonDetector> {
     let key = hash::digest(token(cfg, QUICK_PURPOSE).as_bytes());
-    let poison = Rc::new(Poison::new(timer.clone(), key));
+    let poison = Rc::new(PoisonDetector::new(timer.clone(), key));
     poison::exchange::register(methods, &poison, &cfg.domain);
-    poison::rows::follow(feed, &poison);
+    poison::records::subscribe(feed, &poison);
     poison
 }
 
@@ -258,8 +258,8 @@
     })
 }
 
-fn make_world(cfg: &EdgeConfig, dialect: &Dialect, timer: &Timer) -> Rc<RefCell<World>> {
-    let world = World::new(
+fn make_world(cfg: &EdgeConfig, dialect: &Dialect, timer: &Timer) -> Rc<RefCell<RoutingState>> {
+    let world = RoutingState::new(
         dialect.clone(),
         cfg.domains.clone(),
         upstream_pool(dialect),
@@ -331,10 +331,10 @@
 fn upstream_pool(dialect: &Dialect) -> PoolConfig {
     PoolConfig {
         max_connections: 64,
-        max_idle: IDLE_KEPT,
+        max_idle: IDLE_TIMEOUT,
         max_idle_once: Millis(2_000),
         connect_timeout: Duration::from_millis(500),
-        liveness: upstream::liveness(),
+        liveness: upstream::liveness_options(),
         may_end_with_connection: true,
         echoed: Some(dialect.headers.request_id.clone()),
         ..PoolConfig::default()
@@ -345,7 +345,7 @@
     let finishing = stop::finishing_time(cx.bounds.grace);
     let caller_cx = Rc::clone(cx);
     Limits {
-        ahead: cx.switches.has(Mechanism::Ahead).then(|| AheadRule {
+        ahead: cx.switches.is_on(Mechanism::Ahead).then(|| AheadRule {
             most: MOST_AHEAD,
             may: Rc::new(move |head| call::may_go_ahead(&caller_cx, head)),
         }),
@@ -368,18 +368,18 @@
     presence::refresh(cx);
     let reader = Rc::downgrade(cx);
     let tries = Rc::downgrade(cx);
-    cx.feed.watch_where(
+    cx.feed.set_watch_policy(
         move || reader.upgrade().is_none_or(|cx| is_to_read_store(&cx)),
         move || tries.upgrade().map(|cx| pause_alone(&cx)),
     );
     monoio::spawn(Rc::clone(&cx.feed).follow());
     monoio::spawn(enter::run(Rc::clone(cx)));
     monoio::spawn(peer_feed::run(Rc::clone(cx)));
-    monoio::spawn(peer_feed::ask_seeds_first(Rc::clone(cx)));
-    monoio::spawn(distance::run(Rc::clone(cx)));
+    monoio::spawn(peer_feed::fetch_from_seeds(Rc::clone(cx)));
+    monoio::spawn(round_trip::run(Rc::clone(cx)));
     monoio::spawn(exchange::run(Rc::clone(cx)));
     monoio::spawn(poison::exchange::run(Rc::clone(cx)));
-    monoio::spawn(poison::rows::run(Rc::clone(cx)));
+    monoio::spawn(poison::records::run(Rc::clone(cx)));
     monoio::spawn(tick(Rc::clone(cx)));
     cx.membership.run(cx.net.clone());
 }
@@ -389,9 +389,9 @@
 fn is_to_read_store(cx: &EdgeContext) -> bool {
     let relay = cx.relay.borrow();
     let me = &cx.cfg.vm;
-    let is_first_reading = cx.feed.is_patient() && relay.is_head(me, &cx.cfg.domain);
-    let stands_in = cx.feed.stands_in() && relay.is_leader(me, &cx.cfg.domain);
-    cx.knows_vms.get() && (relay.reads_store(me) || is_first_reading || stands_in)
+    let is_first_reading = cx.feed.is_awaiting_peers() && relay.is_head(me, &cx.cfg.domain);
+    let stands_in = cx.feed.is_substitute_watcher() && relay.is_leader(me, &cx.cfg.domain);
+    cx.has_read_vm_entries.get() && (relay.reads_store(me) || is_first_reading || stands_in)
 }
 
 /// Gives the pause between two tries of a store that does not answer, by a VM that is not one of
@@ -401,7 +401,7 @@
     let is_leader = cx.relay.borrow().is_leader(&cx.cfg.vm, &cx.cfg.domain);
     let vms = match is_leader {
         true => 1,
-        false => presence::alive(cx).len() as u64,
+        false => presence::live_vms(cx).len() as u64,
     };
     let longest = LEADER_PAUSE.0.saturating_mul(vms).min(LONGEST_ALONE.0);
     Millis(cx.rng.borrow_mut().u64(longest / 2..=longest.max(1)))
@@ -411,10 +411,10 @@
     for round in 1_u64.. {
         cx.timer.wait(TICK).await;
         if cx.feed.is_settled() {
-            cx.world.borrow_mut().settle();
+            cx.world.borrow_mut().remove_missing();
         }
         presence::refresh(&cx);
-        spill_step::run(&cx);
+        spillover_update::run(&cx);
         if round.is_multiple_of(TICKS_A_SWEEP) {
             let world = cx.world.borrow();
             world
@@ -450,7 +450,7 @@
 fn ready_handler(cx: &Rc<EdgeContext>) -> Handler {
     let cx = Rc::clone(cx);
     Rc::new(move |req| {
-        let status = match ((cx.dialect.asks_ready)(&req), cx.is_ready()) {
+        let status = match ((cx.dialect.is_readiness_check)(&req), cx.is_ready()) {
             (false, _) => StatusCode::NOT_FOUND,
             (true, true) => StatusCode::OK,
             (true, false) => StatusCode::SERVICE_UNAVAILABLE,
@@ -485,7 +485,7 @@
         Box::pin(async move {
             match req.head.path() {
                 ACCOUNTS_PATH => accounts_page(&cx),
-                REJECTED_PATH | RELEASE_PATH => poison::status::answer(&cx, req).await,
+                REJECTED_PATH | RELEASE_PATH => poison::status::handle(&cx, req).await,
                 _ => metrics_page(&cx),
             }
         })
--- a/crates/edge/src/forward.rs
+++ b/crates/edge/src/forward.rs
@@ -7,13 +7,13 @@
 
 use crate::attempt::{self, Attempt};
 use crate::call::{self, Call, Unroutable};
-use crate::choose::Prospect;
 use crate::context::EdgeContext;
 use crate::hand_over;
-use crate::identify::Unidentified;
+use crate::identify::IdentifyError;
 use crate::pick::{self, Refusal};
-use crate::poison::guard::{self, Pass};
+use crate::poison::guard::{self, SendDecision};
 use crate::reply;
+use crate::selection::Candidate;
 use crate::story::{self, Sent};
 
 /// When a caller may come back to a daemon that has no configuration yet.
@@ -44,7 +44,7 @@
     failure: Option<Response>,
     pub(crate) cause: &'static str,
     /// The server that was the best one when the request was refused.
-    pub(crate) refused_by: Option<Prospect>,
+    pub(crate) refused_by: Option<Candidate>,
 }
 
 /// Answers a request.
@@ -55,7 +55,7 @@
             let account = call.account.clone();
             let response = answer(&cx, call).await;
             if let Some(account) = account.filter(|_| reply::tells_not_run(&response)) {
-                cx.quota.give_back(&account);
+                cx.quota.refund(&account);
             }
             response
         }
@@ -71,13 +71,13 @@
     let cause = unroutable.cause();
     match unroutable {
         Unroutable::NoRoute => reply::no_route(cause),
-        Unroutable::Unidentified(Unidentified::NoAccount) => reply::no_account(cause),
-        Unroutable::OverLimit(_, over) => reply::over_limit(cause, over.come_back),
+        Unroutable::Unidentified(IdentifyError::NoAccount) => reply::no_account(cause),
+        Unroutable::OverLimit(_, over) => reply::over_limit(cause, over.retry_after),
         Unroutable::Body(error) => reply::bad_body(error.status(), cause),
         Unroutable::NoCatalog | Unroutable::UnreadRoute | Unroutable::NoTarget => {
             reply::not_run(cause, NO_CATALOG_RETURN)
         }
-        Unroutable::Unidentified(Unidentified::Unsure) | Unroutable::NoRegion => {
+        Unroutable::Unidentified(IdentifyError::UnreadableAccount) | Unroutable::NoRegion => {
             reply::not_run(cause, AMISS_RETURN)
         }
     }
@@ -86,12 +86,12 @@
 /// Answers a request that has a route: by the home of its server, or from here.
 pub(crate) async fn answer(cx: &Rc<EdgeContext>, mut call: Call) -> Response {
     let mut tries = Tries::default();
-    guard::read_body(cx, &call).await;
+    guard::read_body_if_suspected(cx, &call).await;
     // Asked before it is handed over as well: a home that has not heard of it yet would send it.
-    match guard::ask(cx, &call) {
-        Pass::Free => {}
-        Pass::Apart(fingerprint, _) => call.set_apart(&fingerprint),
-        Pass::Stopped(cause, come_back) => {
+    match guard::check(cx, &call) {
+        SendDecision::Unrestricted => {}
+        SendDecision::Isolated(fingerprint, _) => call.set_apart(&fingerprint),
+        SendDecision::Refused(cause, come_back) => {
             let refusal = Refusal::stopped(cause, come_back);
             let response = give_up(cx, &call, &mut tries, &refusal);
             story::tell(cx, &call, &tries, &response);
@@ -102,7 +102,7 @@
         return response;
     }
     // A request that was handed over counts at the home, which makes its further sends.
-    call.state.budget.borrow_mut().request(call.started);
+    call.state.budget.borrow_mut().record_request(call.started);
     let response = serve(cx, &mut call, &mut tries).await;
     story::tell(cx, &call, &tries, &response);
     response
@@ -110,13 +110,13 @@
 
 async fn serve(cx: &Rc<EdgeContext>, call: &mut Call, tries: &mut Tries) -> Response {
     while call.body.is_there() {
-        let under_way = match guard::ask(cx, call) {
-            Pass::Free => None,
-            Pass::Apart(fingerprint, under_way) => {
+        let under_way = match guard::check(cx, call) {
+            SendDecision::Unrestricted => None,
+            SendDecision::Isolated(fingerprint, under_way) => {
                 call.set_apart(&fingerprint);
                 Some(under_way)
             }
-            Pass::Stopped(cause, come_back) => {
+            SendDecision::Refused(cause, come_back) => {
                 let refusal = Refusal::stopped(cause, come_back);
                 return give_up(cx, call, tries, &refusal);
             }
@@ -131,7 +131,11 @@
         tries.servers.push(prospect.upstream.id.clone());
         let at = cx.now();
         let is_callers = call.meant.is_none();
-        let _under_way = is_callers.then(|| call.state.sent.begin(&prospect.upstream.region));
+        let _under_way = is_callers.then(|| {
+            call.state
+                .sent_by_region
+                .start_request(&prospect.upstream.region)
+        });
         let attempt = attempt::send(cx, call, &prospect).await;
         drop(under_way);
         tries
@@ -154,12 +158,12 @@
     cx: &Rc<EdgeContext>,
     call: &Call,
     tries: &mut Tries,
-    prospect: &Prospect,
+    prospect: &Candidate,
     attempt: Attempt,
 ) -> Option<Response> {
     match attempt {
         Attempt::Answer(response) => {
-            guard::note_clean_run(cx, call);
+            guard::record_clean_run(cx, call);
             return Some(response);
         }
         Attempt::CallerGone => {
@@ -179,7 +183,7 @@
             tries.cause = cause;
         }
         Attempt::Failure(response) => {
-            guard::note_clean_run(cx, call);
+            guard::record_clean_run(cx, call);
             tries.note_may_have_run("the server failed");
             tries.failure = Some(response);
         }
@@ -190,7 +194,7 @@
         Attempt::Broken(cause) => {
             tries.note_may_have_run(cause);
             tries.failure = None;
-            guard::look_into_break(cx, call, &prospect.upstream).await;
+            guard::investigate_broken_connection(cx, call, &prospect.upstream).await;
         }
     }
     None
@@ -215,7 +219,7 @@
         return within;
     }
     let mut budget = call.state.budget.borrow_mut();
-    budget.take(cx.now(), cx.vms_that_may_send())
+    budget.try_take(cx.now(), cx.vms_that_may_send())
 }
 
 /// Gives the final answer to a request that no server answered.
--- a/crates/edge/src/poison/exchange.rs
+++ b/crates/edge/src/poison/exchange.rs
@@ -11,7 +11,7 @@
 use log::debug;
 use serde::{Deserialize, Serialize};
 
-use super::Poison;
+use super::PoisonDetector;
 use super::suspects::{Case, Origin};
 use super::told::{News, Peers, audiences};
 use crate::context::EdgeContext;
@@ -37,7 +37,11 @@
 type AllTold = Rc<RefCell<Peers>>;
 
 /// Registers the method that takes cases in.
-pub(crate) fn register(methods: &mut MethodTable, poison: &Rc<Poison>, domain: &DomainName) {
+pub(crate) fn register(
+    methods: &mut MethodTable,
+    poison: &Rc<PoisonDetector>,
+    domain: &DomainName,
+) {
     let (poison, domain) = (Rc::clone(poison), domain.clone());
     methods.register(CASES, move |from, told: Cases| {
         let origin = match from.domain == domain {
@@ -66,7 +70,7 @@
 }
 
 fn step(cx: &Rc<EdgeContext>, told: &AllTold) {
-    let vms = presence::alive(cx);
+    let vms = presence::live_vms(cx);
     let audiences = audiences(&cx.relay.borrow(), &vms, &cx.cfg.vm, &cx.cfg.domain);
     let incarnations = incarnations(cx);
     let suspects = cx.poison.suspects();
--- a/crates/edge/src/poison/rows.rs
+++ b/crates/edge/src/poison/records.rs
@@ -10,7 +10,7 @@
 use log::{info, warn};
 use serde::{Deserialize, Serialize};
 
-use super::Poison;
+use super::PoisonDetector;
 use super::fingerprint::Fingerprint;
 use super::suspects::{Case, Held, Origin, Standing};
 use crate::context::EdgeContext;
@@ -50,10 +50,10 @@
 }
 
 /// Has rows of the store taken in as they come.
-pub(crate) fn follow(feed: &Rc<Feed>, poison: &Rc<Poison>) {
+pub(crate) fn subscribe(feed: &Rc<Feed>, poison: &Rc<PoisonDetector>) {
     let poison = Rc::clone(poison);
-    feed.follow_keys(ROW_KEYS, move |change| {
-        let Some(value) = &change.known.value else {
+    feed.subscribe(ROW_KEYS, move |change| {
+        let Some(value) = &change.current.value else {
             match change.key[ROW_KEYS.len()..].parse::<Fingerprint>() {
                 Ok(fingerprint) => poison.remove(&fingerprint),
                 Err(error) => warn!(key = change.key.as_str(), error:% = error; "a row of a rejected request was deleted that names none"),
--- a/crates/edge/src/quota/exchange.rs
+++ b/crates/edge/src/quota/exchange.rs
@@ -54,7 +54,7 @@
         return;
     }
     let counts = quota.take_untold();
-    if !cx.switches.has(Mechanism::ToldQuota) {
+    if !cx.switches.is_on(Mechanism::ToldQuota) {
         return;
     }
     let leaders = leaders_to_tell(cx, &cx.cfg.domain);
@@ -67,7 +67,7 @@
     if heard > 0 {
         tell_other_heads(cx, heard);
     }
-    let there = presence::alive(cx);
+    let there = presence::live_vms(cx);
     quota.retain_reporters(|name| there.iter().any(|vm| vm.name == *name));
 }
 
--- a/crates/edge/src/distance.rs
+++ b/crates/edge/src/round_trip.rs
@@ -26,12 +26,12 @@
 
 /// The shortest round trips seen to other regions.
 #[derive(Debug, Default)]
-pub struct Distances {
+pub struct RegionRoundTrips {
     shortest: RefCell<BTreeMap<RegionName, Millis>>,
     measured: Cell<u32>,
 }
 
-impl Distances {
+impl RegionRoundTrips {
     /// Gives the longest of the shortest round trips, where one is known.
     pub fn round_trip(&self) -> Option<Millis> {
         self.shortest.borrow().values().max().copied()
@@ -65,7 +65,7 @@
 }
 
 fn one_of_each(cx: &EdgeContext) -> BTreeMap<RegionName, VmName> {
-    let mut vms = presence::alive(cx).to_vec();
+    let mut vms = presence::live_vms(cx).to_vec();
     cx.rng.borrow_mut().shuffle(&mut vms);
     let elsewhere = vms.into_iter().filter(|vm| vm.region != cx.region);
     elsewhere.map(|vm| (vm.region, vm.name)).collect()
--- a/crates/edge/src/spill_step.rs
+++ b/crates/edge/src/spillover_update.rs
@@ -9,13 +9,13 @@
 use crate::accounts::Accounts;
 use crate::catalog::Catalog;
 use crate::context::EdgeContext;
+use crate::locality::Carried;
 use crate::presence;
-use crate::reach::Carried;
-use crate::room::parts_left;
-use crate::spill::Room;
+use crate::spillover::Room;
 use crate::switches::Mechanism;
+use crate::unbound_share::parts_left;
 use crate::upstream::Upstream;
-use crate::world::World;
+use crate::world::RoutingState;
 
 /// Moves each threshold once.
 pub(crate) fn run(cx: &EdgeContext) {
@@ -28,12 +28,12 @@
         tell_sent(cx, &spec.name, now);
         step_parts(cx, &catalog, &spec.name, now);
     }
-    let has = |mechanism| cx.switches.has(mechanism);
+    let has = |mechanism| cx.switches.is_on(mechanism);
     for spec in catalog.services().filter(|_| has(Mechanism::Spill)) {
         let state = cx.service(&spec.name);
         state.spill.step(room(cx, &spec.name, now), now);
     }
-    let here = presence::alive(cx);
+    let here = presence::live_vms(cx);
     let vms_here = here.iter().filter(|vm| vm.domain == cx.cfg.domain).count();
     for route in catalog.routes() {
         let carried = Carried {
@@ -53,7 +53,7 @@
 /// Tells where requests for a service were sent, and where its threshold stands.
 fn tell_sent(cx: &EdgeContext, service: &ServiceName, now: Millis) {
     let state = cx.service(service);
-    if let Some(summary) = state.sent.take_summary(now) {
+    if let Some(summary) = state.sent_by_region.take_summary(now) {
         info!(service:% = service, requests = summary.requests, sent = summary.sent.as_str(),
             under_way = summary.under_way.as_str(), part_away = state.spill.part(),
             span_ms = summary.span.0; "requests sent to regions");
@@ -62,12 +62,14 @@
 
 /// Moves the parts of a service's regions that are left to requests which may run anywhere.
 fn step_parts(cx: &EdgeContext, catalog: &Catalog, service: &ServiceName, now: Millis) {
-    let bound = catalog.accounts().map_or(&[][..], Accounts::bound);
-    let bound = match cx.switches.has(Mechanism::GiveWay) {
+    let bound = catalog
+        .accounts()
+        .map_or(&[][..], Accounts::restricted_shares);
+    let bound = match cx.switches.is_on(Mechanism::GiveWay) {
         true => bound,
         false => &[],
     };
-    let parts = &cx.service(service).parts;
+    let parts = &cx.service(service).region_shares;
     if bound.is_empty() && parts.are_whole() {
         return;
     }
@@ -84,13 +86,13 @@
 }
 
 fn usable<'a>(
-    world: &'a World,
+    world: &'a RoutingState,
     upstreams: &'a [Rc<Upstream>],
     now: Millis,
 ) -> impl Iterator<Item = &'a Rc<Upstream>> {
     upstreams
         .iter()
-        .filter(move |u| u.takes_requests() && !world.is_evacuated(&u.domain) && !u.is_cold(now))
+        .filter(move |u| u.accepts_requests() && !world.is_evacuated(&u.domain) && !u.is_cold(now))
 }
 
 fn room(cx: &EdgeContext, service: &ServiceName, now: Millis) -> Room {
