--- a/crates/daemon/examples/role_costs/main.rs
+++ b/crates/daemon/examples/role_costs/main.rs
@@ -327,7 +327,7 @@
     };
     let mut steering = Steering::new(me, Tuning::default(), Millis(0));
     steering.on_plan(plan(sites, services), Millis(0));
-    steering.on_part((DOMAINS * 1000 / vms.max(DOMAINS)) as u16, Millis(0));
+    steering.on_capacity_part((DOMAINS * 1000 / vms.max(DOMAINS)) as u16, Millis(0));
     steering.on_peers(peers(vms));
     (1..100).for_each(|tick| steering.tick(Millis(tick * 100)));
     steering
@@ -378,7 +378,7 @@
     let mut now = 10_000;
     let step = || {
         now += 1_000;
-        black_box(steering.ask_grants(Millis(now)));
+        black_box(steering.request_grants(Millis(now)));
     };
     scaled(time(step), 1e6)
 }
--- a/crates/daemon/src/capacity_task.rs
+++ b/crates/daemon/src/capacity_task.rs
@@ -37,12 +37,12 @@
 /// Gives the least part into which everything fits that this VM has lent out and in use.
 fn used_part(steering: &heatherknot_steering::Steering, now: Millis) -> u16 {
     let (mut fits_not, mut fits) = (0, WHOLE);
-    if steering.fits_part(0, now) {
+    if steering.fits_capacity_part(0, now) {
         return 0;
     }
     while fits - fits_not > 1 {
         let middle = (fits + fits_not) / 2;
-        match steering.fits_part(middle, now) {
+        match steering.fits_capacity_part(middle, now) {
             true => fits = middle,
             false => fits_not = middle,
         }
@@ -164,8 +164,10 @@
 /// Brings the part and the VMs of the ledger into force.
 fn take_in(cx: &Rc<DaemonContext>, keeper: &Keeper) {
     let part = keeper.limit();
-    if cx.steering.borrow().part() != part {
-        cx.steering.borrow_mut().on_part(part, cx.clock.now());
+    if cx.steering.borrow().capacity_part() != part {
+        cx.steering
+            .borrow_mut()
+            .on_capacity_part(part, cx.clock.now());
         cx.metrics.capacity_part.set(i64::from(part));
         log::info!(part = part; "this VM's part of its failure domain's capacity");
     }
--- a/crates/daemon/src/operators/calls.rs
+++ b/crates/daemon/src/operators/calls.rs
@@ -110,7 +110,7 @@
     let places = cx
         .steering
         .borrow()
-        .drawn_for(&service, &block_bytes(block));
+        .ranked_places(&service, &block_bytes(block));
     Some(ExplainAnswer {
         revision: explained.revision,
         places,
--- a/crates/daemon/src/operators/page.rs
+++ b/crates/daemon/src/operators/page.rs
@@ -49,7 +49,7 @@
         domain: cx.cfg.domain.clone(),
         revision: cx.holder.borrow().revision(),
         in_force_ms: cx.clock.now().since(cx.in_force_since.get()),
-        capacity_part: cx.steering.borrow().part(),
+        capacity_part: cx.steering.borrow().capacity_part(),
         in_flight: cx.gateway.in_flight(),
         leaving: cx.leaving.is_fired(),
         unreadable: relay
--- a/crates/daemon/src/ports/grants.rs
+++ b/crates/daemon/src/ports/grants.rs
@@ -46,11 +46,11 @@
     let mut steering = cx.steering.borrow_mut();
     match reply {
         Ok(reply) => {
-            steering.on_grant(&reply, now);
+            steering.on_grant_reply(&reply, now);
         }
         Err(error) => {
             log::debug!(vm:% = vm, error:% = error; "asking for grants failed");
-            steering.on_ask_failed(&vm, now);
+            steering.on_grant_request_failed(&vm, now);
         }
     }
 }
--- a/crates/daemon/src/steering_task.rs
+++ b/crates/daemon/src/steering_task.rs
@@ -47,7 +47,7 @@
 }
 
 fn ask_grants(cx: &Rc<DaemonContext>, now: Millis) {
-    let requests = cx.steering.borrow_mut().ask_grants(now);
+    let requests = cx.steering.borrow_mut().request_grants(now);
     for (vm, req) in requests {
         monoio::spawn(grants::ask(Rc::clone(cx), vm, req));
     }
--- a/crates/gateway/src/admit.rs
+++ b/crates/gateway/src/admit.rs
@@ -3,7 +3,7 @@
 use std::cell::Cell;
 use std::rc::Rc;
 
-use heatherknot_steering::upstream::End;
+use heatherknot_steering::upstream::RequestOutcome;
 use heatherknot_steering::{Arrival, GrantToken, RefusalReason, Ticket, Verdict};
 use heatherknot_types::prelude::*;
 
@@ -40,12 +40,12 @@
     ticket: Ticket,
     service: ServiceName,
     admitted: Millis,
-    end: Cell<End>,
+    end: Cell<RequestOutcome>,
 }
 
 impl AdmissionGuard {
     /// Notes how the request ended; without that it counts as given up by the caller.
-    pub(crate) fn set_end(&self, end: End) {
+    pub(crate) fn set_end(&self, end: RequestOutcome) {
         self.end.set(end);
     }
 
@@ -61,7 +61,7 @@
         let mut steering = self.gateway.cx.steering.borrow_mut();
         steering.finish(self.ticket, self.end.get(), now);
         drop(steering);
-        if self.end.get() == End::Good {
+        if self.end.get() == RequestOutcome::Good {
             let span = now.since(self.admitted);
             self.gateway.pace.note(&self.service, span);
         }
@@ -150,7 +150,7 @@
         let arrival = self.arrival(call, attempt, false, now);
         let mut rng = self.cx.rng.borrow_mut();
         let mut steering = self.cx.steering.borrow_mut();
-        steering.queued(&arrival, &mut rng, now);
+        steering.on_queued(&arrival, &mut rng, now);
     }
 
     fn arrival(&self, call: &Call, attempt: u8, waited: bool, now: Millis) -> Arrival {
@@ -177,7 +177,7 @@
             ticket,
             service: call.service.clone(),
             admitted: now,
-            end: Cell::new(End::Cancelled),
+            end: Cell::new(RequestOutcome::Cancelled),
         };
         match verdict {
             Verdict::Run {
--- a/crates/gateway/src/deliver.rs
+++ b/crates/gateway/src/deliver.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use futures_util::future::{Either, select};
 use heatherknot_http::{Body, BodyError, BodySender, Flag, Response};
-use heatherknot_steering::upstream::End;
+use heatherknot_steering::upstream::RequestOutcome;
 use heatherknot_types::prelude::*;
 
 use crate::admit::AdmissionGuard;
@@ -89,7 +89,7 @@
                 body: rx,
             });
         };
-        in_use.admission.set_end(End::Good);
+        in_use.admission.set_end(RequestOutcome::Good);
         Ok(Response {
             status,
             headers,
@@ -99,7 +99,7 @@
 }
 
 fn broken(error: &BodyError, in_use: &InUse) -> Refusal {
-    in_use.admission.set_end(End::Failed);
+    in_use.admission.set_end(RequestOutcome::Failed);
     let detail = format!("the answer broke off: {error}");
     Refusal::unknown(Reason::ConnectionLost, detail).retry_after(Millis(1_000))
 }
@@ -134,12 +134,12 @@
                 }
             }
             Some(Err(error)) => {
-                in_use.admission.set_end(End::Failed);
+                in_use.admission.set_end(RequestOutcome::Failed);
                 tx.fail(error);
                 return;
             }
         }
     }
-    in_use.admission.set_end(End::Good);
+    in_use.admission.set_end(RequestOutcome::Good);
     tx.finish();
 }
--- a/crates/gateway/src/local.rs
+++ b/crates/gateway/src/local.rs
@@ -7,7 +7,7 @@
 use heatherknot_http::{
     Handed, Pool, PoolConfig, RequestHead, Response, SendError, SendOptions, strip_system_headers,
 };
-use heatherknot_steering::upstream::End;
+use heatherknot_steering::upstream::RequestOutcome;
 use heatherknot_types::outcome::{DEADLINE_HEADER, OUTCOME_HEADER};
 use heatherknot_types::plan::UpstreamPlan;
 use heatherknot_types::prelude::*;
@@ -59,7 +59,7 @@
         }
         let left = call.time_left(now);
         let ticket = admission.ticket();
-        let enough = self.cx.steering.borrow_mut().may_send(ticket, left, now);
+        let enough = self.cx.steering.borrow_mut().begin_send(ticket, left, now);
         if !enough {
             return Err(not_tried(out_of_time()));
         }
@@ -283,8 +283,8 @@
         }
         // A server that leaves says nothing of the load on its place.
         in_use.admission.set_end(match leaving {
-            true => End::Cancelled,
-            false => End::Shed,
+            true => RequestOutcome::Cancelled,
+            false => RequestOutcome::Shed,
         });
         let detail = format!("{} refused the request before it ran it", upstream.name);
         let after = retry_after_of(&response.headers).unwrap_or(RETRY_AFTER_FAILURE);
@@ -327,8 +327,8 @@
     // A pool that is full says nothing of the upstream behind it.
     let full = matches!(error, SendError::PoolFull { .. });
     in_use.admission.set_end(match own_fault || full {
-        true => End::Cancelled,
-        false => End::Failed,
+        true => RequestOutcome::Cancelled,
+        false => RequestOutcome::Failed,
     });
     let detail = error.to_string();
     let refusal = match (error.handed(), expired, own_fault) {
--- a/crates/gateway/src/probe.rs
+++ b/crates/gateway/src/probe.rs
@@ -170,7 +170,7 @@
         };
         let now = self.cx.clock.now();
         let mut steering = self.cx.steering.borrow_mut();
-        steering.on_upstream(&key.service, &key.upstream, load, now);
+        steering.on_upstream_load(&key.service, &key.upstream, load, now);
     }
 }
 
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -4,7 +4,7 @@
 
 use heatherknot_http::{RequestHead, Response};
 use heatherknot_steering::GrantToken;
-use heatherknot_steering::upstream::End;
+use heatherknot_steering::upstream::RequestOutcome;
 use heatherknot_types::outcome::OUTCOME_HEADER;
 use heatherknot_types::prelude::*;
 use http::header::RETRY_AFTER;
@@ -61,7 +61,7 @@
         let response = match sent.await {
             Ok(response) => response,
             Err(error) => {
-                in_use.admission.set_end(End::Failed);
+                in_use.admission.set_end(RequestOutcome::Failed);
                 return Err(lost(&error));
             }
         };
@@ -153,8 +153,8 @@
         false => Refusal::unknown(Reason::ConnectionLost, detail),
     };
     in_use.admission.set_end(match not_run {
-        true => End::Cancelled,
-        false => End::Failed,
+        true => RequestOutcome::Cancelled,
+        false => RequestOutcome::Failed,
     });
     Some(Failure {
         refusal: refusal.retry_after(after),
--- a/crates/gateway/tests/common/mod.rs
+++ b/crates/gateway/tests/common/mod.rs
@@ -182,7 +182,7 @@
         let parts = members.list.len().max(1) as u16;
         self.gateway.on_plan(Arc::clone(plan));
         let mut steering = self.steering.borrow_mut();
-        steering.on_part(1000 / parts, time.clock().now());
+        steering.on_capacity_part(1000 / parts, time.clock().now());
         drop(steering);
         self.gateway.on_members(members.clone());
     }
--- a/crates/gateway/tests/relay.rs
+++ b/crates/gateway/tests/relay.rs
@@ -77,14 +77,14 @@
             }
             settle(&[&self.near, &self.far], &self.time).await;
             let now = self.time.clock().now();
-            let asks = self.near.steering.borrow_mut().ask_grants(now);
+            let asks = self.near.steering.borrow_mut().request_grants(now);
             for (_, ask) in asks {
                 let reply = self.far.steering.borrow_mut().on_grant_request(&ask, now);
-                self.near.steering.borrow_mut().on_grant(&reply, now);
+                self.near.steering.borrow_mut().on_grant_reply(&reply, now);
             }
             let place = PlaceName::from(PLACE);
             let held = self.near.steering.borrow();
-            if held.holder().room(&place, 0, now) >= 3 {
+            if held.holder().available(&place, 0, now) >= 3 {
                 return;
             }
         }
--- a/crates/replay/src/brain.rs
+++ b/crates/replay/src/brain.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use heatherknot_steering::upstream::{End, UpstreamLoad};
+use heatherknot_steering::upstream::{RequestOutcome, UpstreamLoad};
 use heatherknot_steering::{
     Arrival, GrantReply, GrantRequest, GrantToken, RefusalReason, Steering, Ticket, Verdict,
 };
@@ -146,7 +146,7 @@
         match self {
             Brain::Steering(steering) => match told {
                 Told::Plan(plan) => steering.on_plan(plan, now),
-                Told::Part(part) => steering.on_part(part, now),
+                Told::Part(part) => steering.on_capacity_part(part, now),
                 Told::Peers(peers) => steering.on_peers(peers.to_vec()),
                 Told::Starts => {}
             },
@@ -167,7 +167,7 @@
         now: Millis,
     ) {
         if let Brain::Steering(steering) = self {
-            steering.on_upstream(service, upstream, load, now);
+            steering.on_upstream_load(service, upstream, load, now);
         }
     }
 
@@ -190,7 +190,7 @@
         let Brain::Steering(steering) = self else {
             return Vec::new();
         };
-        let asks = steering.ask_grants(now).into_iter();
+        let asks = steering.request_grants(now).into_iter();
         asks.map(|(vm, ask)| (vm, Message::Ask(ask))).collect()
     }
 
@@ -202,7 +202,7 @@
         match message {
             Message::Ask(ask) => Some(Message::Reply(steering.on_grant_request(ask, now))),
             Message::Reply(reply) => {
-                steering.on_grant(reply, now);
+                steering.on_grant_reply(reply, now);
                 None
             }
         }
@@ -211,7 +211,7 @@
     /// Counts a request that waits behind others or found no room to wait.
     pub fn queued(&mut self, ask: &Ask, rng: &mut fastrand::Rng, now: Millis) {
         if let Brain::Steering(steering) = self {
-            steering.queued(&arrival(ask), rng, now);
+            steering.on_queued(&arrival(ask), rng, now);
         }
     }
 
@@ -242,14 +242,14 @@
     pub fn may_send(&mut self, hold: &Hold, left: Millis, now: Millis) -> bool {
         match (self, hold) {
             (Brain::Steering(steering), Hold::Ticket(ticket)) => {
-                steering.may_send(*ticket, left, now)
+                steering.begin_send(*ticket, left, now)
             }
             _ => true,
         }
     }
 
     /// Counts the end of a request.
-    pub fn finish(&mut self, hold: &Hold, end: End, now: Millis) {
+    pub fn finish(&mut self, hold: &Hold, end: RequestOutcome, now: Millis) {
         match (self, hold) {
             (Brain::Steering(steering), Hold::Ticket(ticket)) => {
                 steering.finish(*ticket, end, now);
@@ -292,7 +292,7 @@
         let (mut low, mut high) = (0, WHOLE);
         while low < high {
             let middle = (low + high) / 2;
-            if steering.fits_part(middle, now) {
+            if steering.fits_capacity_part(middle, now) {
                 high = middle;
             } else {
                 low = middle + 1;
--- a/crates/replay/src/requests.rs
+++ b/crates/replay/src/requests.rs
@@ -2,7 +2,7 @@
 //! backend server and back.
 
 use heatherknot_steering::RefusalReason;
-use heatherknot_steering::upstream::End;
+use heatherknot_steering::upstream::RequestOutcome;
 use heatherknot_types::prelude::*;
 
 use crate::backend::Served;
@@ -287,7 +287,7 @@
         let left = self.requests[hop.id].deadline.since(now);
         let brain = self.brains[hop.vm].as_mut();
         if brain.is_some_and(|brain| !brain.may_send(&hold, left, now)) {
-            self.finish(hop.vm, &hold, End::Cancelled);
+            self.finish(hop.vm, &hold, RequestOutcome::Cancelled);
             self.end_hop(&hop, Ending::NotRun(Refusal::after(Millis(1000))));
             return;
         }
@@ -295,7 +295,7 @@
         let Served::Runs { span, answered } = self.backends.start(&service, &upstream, chance)
         else {
             self.tally_of(hop.id).shed += 1;
-            self.finish(hop.vm, &hold, End::Shed);
+            self.finish(hop.vm, &hold, RequestOutcome::Shed);
             self.try_again(hop);
             return;
         };
@@ -398,7 +398,11 @@
             self.end_hop(&run.hop, Ending::Lost);
             return;
         }
-        let end = if run.answered { End::Good } else { End::Failed };
+        let end = if run.answered {
+            RequestOutcome::Good
+        } else {
+            RequestOutcome::Failed
+        };
         self.finish(run.hop.vm, &run.hold, end);
         if run.answered {
             self.end_hop(&run.hop, Ending::Answered);
@@ -450,9 +454,9 @@
             return;
         }
         let end = match answer.end {
-            Ending::Answered => End::Good,
-            Ending::NotRun(_) => End::Cancelled,
-            Ending::Lost => End::Failed,
+            Ending::Answered => RequestOutcome::Good,
+            Ending::NotRun(_) => RequestOutcome::Cancelled,
+            Ending::Lost => RequestOutcome::Failed,
         };
         self.finish(back.vm, &back.hold, end);
         let hop = Hop {
@@ -476,7 +480,7 @@
         self.end(answer.id, Some(back.vm), answer.end);
     }
 
-    pub(crate) fn finish(&mut self, vm: usize, hold: &Hold, end: End) {
+    pub(crate) fn finish(&mut self, vm: usize, hold: &Hold, end: RequestOutcome) {
         if let Some(brain) = &mut self.brains[vm] {
             brain.finish(hold, end, self.now);
             self.wake_lines(vm);
--- a/crates/replay/src/slots.rs
+++ b/crates/replay/src/slots.rs
@@ -5,7 +5,7 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use heatherknot_steering::upstream::End;
+use heatherknot_steering::upstream::RequestOutcome;
 use heatherknot_types::prelude::*;
 
 use crate::brain::{Hold, Refusal};
@@ -97,7 +97,7 @@
         let expired: Vec<Waiting> = queue.iter().filter(|w| late(w)).cloned().collect();
         queue.retain(|w| !late(w));
         for waiting in expired {
-            self.finish(waiting.hop.vm, &waiting.hold, End::Cancelled);
+            self.finish(waiting.hop.vm, &waiting.hold, RequestOutcome::Cancelled);
             self.end_hop(&waiting.hop, Ending::NotRun(Refusal::after(RETRY_AFTER)));
         }
     }
--- a/crates/steering/benches/decisions.rs
+++ b/crates/steering/benches/decisions.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use criterion::Criterion;
-use heatherknot_steering::upstream::End;
+use heatherknot_steering::upstream::RequestOutcome;
 use heatherknot_steering::{Arrival, Identity, Peer, Steering, Tuning, Verdict};
 use heatherknot_types::plan::{
     Cap, DomainPlan, PlacePlan, Plan, RegionPlan, ServicePlan, UpstreamPlan,
@@ -102,7 +102,7 @@
     };
     let mut vm = Steering::new(me, Tuning::default(), Millis(0));
     vm.on_plan(Arc::clone(plan), Millis(0));
-    vm.on_part(1_000, Millis(0));
+    vm.on_capacity_part(1_000, Millis(0));
     let peers = (0..DOMAINS).flat_map(|d| (0..VMS).map(move |v| (d, v)));
     let peer = |(d, v)| Peer {
         vm: VmName::new(format!("d{d}-{v}")),
@@ -159,7 +159,7 @@
             };
             if let Verdict::Run { ticket, .. } = black_box(state.admit(&req, &mut rng, now)) {
                 run += 1;
-                state.finish(ticket, End::Good, now);
+                state.finish(ticket, RequestOutcome::Good, now);
             }
         });
     });
@@ -195,7 +195,7 @@
     group.bench_function("ask of 15 failure domains", |b| {
         b.iter(|| {
             now = now + Millis(1_000);
-            black_box(state.ask_grants(now))
+            black_box(state.request_grants(now))
         });
     });
     group.bench_function("explain", |b| {
--- a/crates/steering/examples/stranding.rs
+++ b/crates/steering/examples/stranding.rs
@@ -6,7 +6,7 @@
 
 use std::sync::Arc;
 
-use heatherknot_steering::upstream::End;
+use heatherknot_steering::upstream::RequestOutcome;
 use heatherknot_steering::window::Window;
 use heatherknot_steering::{Arrival, Identity, Peer, Steering, Ticket, Tuning, Verdict};
 use heatherknot_types::plan::{
@@ -127,7 +127,7 @@
         running.retain(|(until, vm, ticket)| {
             let ended = *until <= now;
             if ended {
-                vms[*vm].finish(*ticket, End::Good, now);
+                vms[*vm].finish(*ticket, RequestOutcome::Good, now);
             }
             !ended
         });
@@ -181,13 +181,13 @@
 
 fn exchange(vms: &mut [Steering; 2], now: Millis, measured: bool, fig: &mut Figures) {
     for from in 0..2 {
-        for (_, req) in vms[from].ask_grants(now) {
+        for (_, req) in vms[from].request_grants(now) {
             let reply = vms[1 - from].on_grant_request(&req, now);
             if measured {
                 fig.messages += 2;
                 fig.bytes += size(&req) + size(&reply);
             }
-            vms[from].on_grant(&reply, now);
+            vms[from].on_grant_reply(&reply, now);
         }
         if measured && now.0.is_multiple_of(1_000) {
             for (_, held) in vms[from].holder().all() {
@@ -251,7 +251,7 @@
     };
     let mut vm = Steering::new(me, tuning, Millis(0));
     vm.on_plan(Arc::clone(plan), Millis(0));
-    vm.on_part(1_000, Millis(0));
+    vm.on_capacity_part(1_000, Millis(0));
     let peer = |domain: &str| Peer {
         vm: VmName::new(format!("v-{domain}")),
         domain: domain.into(),
--- a/crates/steering/src/admission.rs
+++ b/crates/steering/src/admission.rs
@@ -9,7 +9,7 @@
 use crate::issuer::{Full, LentKey, ScopeName};
 use crate::messages::GrantToken;
 use crate::steering::{Steering, shares_at};
-use crate::upstream::End;
+use crate::upstream::RequestOutcome;
 use crate::verdict::{Arrival, RefusalReason, Ticket, Verdict};
 
 /// How soon to look again for a free slot or for a request in flight to end.
@@ -81,7 +81,7 @@
     /// Guards against a VM whose line is always full: only what leaves the line would count as
     /// demand, so the demand would look as large as what is served, and nothing more would be
     /// asked of other failure domains.
-    pub fn queued(&mut self, req: &Arrival, rng: &mut fastrand::Rng, now: Millis) {
+    pub fn on_queued(&mut self, req: &Arrival, rng: &mut fastrand::Rng, now: Millis) {
         let plan = Arc::clone(&self.plan);
         let Some(service) = plan.services.get(&req.service) else {
             return;
@@ -269,7 +269,7 @@
                 until: now + BUSY_WAIT,
             });
         }
-        if self.holder.room(place, committed, now) == 0 {
+        if self.holder.available(place, committed, now) == 0 {
             let until = self.holder.free_at(place, now).unwrap_or(now);
             let until = until.max(now + BUSY_WAIT);
             return Err(Blocked {
@@ -429,7 +429,7 @@
     /// Guards against a place that is full for a moment and then stays useless: requests that
     /// waited too long for a slot would take it until their deadline, each would count as a
     /// failure of its backend server, and that would be left alone although it is well.
-    pub fn may_send(&mut self, ticket: Ticket, left: Millis, now: Millis) -> bool {
+    pub fn begin_send(&mut self, ticket: Ticket, left: Millis, now: Millis) -> bool {
         let Some(request) = self.tickets.get_mut(ticket) else {
             return false;
         };
@@ -439,7 +439,7 @@
     }
 
     /// Counts the end of a request; a ticket given back twice counts once.
-    pub fn finish(&mut self, ticket: Ticket, end: End, now: Millis) {
+    pub fn finish(&mut self, ticket: Ticket, end: RequestOutcome, now: Millis) {
         let Some(done) = self.tickets.remove(ticket) else {
             return;
         };
@@ -458,12 +458,12 @@
             }
         }
         self.reports.outcome(&done.place, end, now);
-        if end == End::Shed {
+        if end == RequestOutcome::Shed {
             let until = now + self.tuning.shed_pause;
             let key = (done.service.clone(), done.place.clone());
             self.retries.entry(key).or_default().overloaded(until);
         }
-        if end == End::Good
+        if end == RequestOutcome::Good
             && let Some(state) = self.services.get_mut(&done.service)
         {
             let took = now.since(done.started).0 as f64;
@@ -475,7 +475,13 @@
         }
     }
 
-    fn finish_here(&mut self, done: &InFlight, upstream: &UpstreamName, end: End, now: Millis) {
+    fn finish_here(
+        &mut self,
+        done: &InFlight,
+        upstream: &UpstreamName,
+        end: RequestOutcome,
+        now: Millis,
+    ) {
         self.upstreams
             .finish(&done.service, upstream, end, &self.tuning, now);
         if let Some(state) = self.places.get_mut(&done.place) {
--- a/crates/steering/src/asking.rs
+++ b/crates/steering/src/asking.rs
@@ -40,7 +40,7 @@
 impl Steering {
     /// Gives the requests for grants to send now, at most one for each other failure domain,
     /// each with the VM to send it to. Nothing is asked that would change nothing.
-    pub fn ask_grants(&mut self, now: Millis) -> Vec<(VmName, GrantRequest)> {
+    pub fn request_grants(&mut self, now: Millis) -> Vec<(VmName, GrantRequest)> {
         let names = self.plan.domains.keys();
         let others: Vec<DomainName> = names.filter(|d| **d != self.me.domain).cloned().collect();
         let desired = self.desired_by_place();
@@ -230,7 +230,7 @@
     }
 
     /// Takes in the answer to a request for grants, and says whether it was of use.
-    pub fn on_grant(&mut self, reply: &GrantReply, now: Millis) -> bool {
+    pub fn on_grant_reply(&mut self, reply: &GrantReply, now: Millis) -> bool {
         let peers = self.peers.iter();
         let mut known = peers.flat_map(|(d, vms)| vms.iter().map(move |p| (d, p)));
         let found = known.find(|(_, p)| p.vm == reply.issuer);
@@ -257,7 +257,7 @@
     }
 
     /// Notes that `vm` did not answer a request for grants; another VM is asked next.
-    pub fn on_ask_failed(&mut self, vm: &VmName, now: Millis) {
+    pub fn on_grant_request_failed(&mut self, vm: &VmName, now: Millis) {
         self.avoided.insert(vm.clone(), now + AVOID_FOR);
         let peers = self.peers.values().flatten();
         let domain = peers
--- a/crates/steering/src/holder.rs
+++ b/crates/steering/src/holder.rs
@@ -177,7 +177,7 @@
 
     /// Gives how many requests to `place` may still be started in this window at `now`, where
     /// `committed` a second are left to callers with cached answers.
-    pub fn room(&self, place: &PlaceName, committed: u32, now: Millis) -> u32 {
+    pub fn available(&self, place: &PlaceName, committed: u32, now: Millis) -> u32 {
         self.live(place, now).map_or(0, |h| {
             let rate = h.rate.saturating_sub(committed);
             let left = rate.saturating_sub(h.sent.peek(now));
@@ -188,7 +188,7 @@
     /// Counts a request to `place` and gives what it must bear, or none where the grant has
     /// no room for it.
     pub fn send(&mut self, place: &PlaceName, committed: u32, now: Millis) -> Option<GrantToken> {
-        if self.room(place, committed, now) == 0 {
+        if self.available(place, committed, now) == 0 {
             return None;
         }
         let held = self.held.get_mut(place)?;
--- a/crates/steering/src/lib.rs
+++ b/crates/steering/src/lib.rs
@@ -8,13 +8,13 @@
 //!
 //! Each entry VM keeps one [`Steering`](steering::Steering). Its owner calls
 //!
-//! 1. `on_plan`, `on_part`, `on_peers`, `on_delay` whenever settings, the VM's part of its
+//! 1. `on_plan`, `on_capacity_part`, `on_peers`, `on_delay` whenever settings, the VM's part of its
 //!    failure domain's capacity, the known VMs or a measured delay change;
 //! 2. `tick` ten times a second: it ages meters, warms places and works out the weights;
-//! 3. `ask_grants` once a second: it gives at most one `GrantRequest` for each other failure
+//! 3. `request_grants` once a second: it gives at most one `GrantRequest` for each other failure
 //!    domain. The owner sends it to the VM named with it; the receiver answers with what
-//!    `on_grant_request` returns; the sender hands that answer to `on_grant`, or calls
-//!    `on_ask_failed`. An answer also carries the issuer's load, so no other report is needed,
+//!    `on_grant_request` returns; the sender hands that answer to `on_grant_reply`, or calls
+//!    `on_grant_request_failed`. An answer also carries the issuer's load, so no other report is needed,
 //!    though `report` and `on_report` are there for VMs that have no grants between them;
 //! 4. `admit` for each request. `Run` names the backend server, `Relay` the VM to hand the
 //!    request to and the grant to send with it; the receiver calls `admit` with that grant.
--- a/crates/steering/src/record.rs
+++ b/crates/steering/src/record.rs
@@ -11,7 +11,7 @@
 use crate::messages::{GrantReply, GrantRequest, VmReport};
 use crate::pairing::Peer;
 use crate::steering::Steering;
-use crate::upstream::{End, UpstreamLoad};
+use crate::upstream::{RequestOutcome, UpstreamLoad};
 use crate::verdict::{Arrival, Ticket, Verdict};
 
 /// Something that happened at a VM.
@@ -84,7 +84,7 @@
         /// The request.
         ticket: Ticket,
         /// How it ended.
-        end: End,
+        end: RequestOutcome,
     },
 }
 
@@ -119,7 +119,7 @@
 pub fn step(vm: &mut Steering, input: &Input, rng: &mut fastrand::Rng, now: Millis) -> Decision {
     match input {
         Input::Plan(plan) => vm.on_plan(Arc::clone(plan), now),
-        Input::Part(part) => vm.on_part(*part, now),
+        Input::Part(part) => vm.on_capacity_part(*part, now),
         Input::Peers(peers) => vm.on_peers(peers.clone()),
         Input::Delay { domain, delay } => vm.on_delay(domain, *delay),
         Input::Report(report) => vm.on_report(report, now),
@@ -127,7 +127,7 @@
             service,
             upstream,
             load,
-        } => vm.on_upstream(service, upstream, *load, now),
+        } => vm.on_upstream_load(service, upstream, *load, now),
         Input::UpstreamLeaving {
             service,
             upstream,
@@ -136,12 +136,12 @@
         Input::UpstreamCold { service, upstream } => vm.on_upstream_cold(service, upstream, now),
         Input::Warmed { place, rate } => vm.on_warmed(place, f64::from(*rate)),
         Input::Tick => vm.tick(now),
-        Input::Ask => return Decision::Ask(vm.ask_grants(now)),
+        Input::Ask => return Decision::Ask(vm.request_grants(now)),
         Input::GrantRequest(req) => return Decision::Grant(vm.on_grant_request(req, now)),
         Input::Grant(reply) => {
-            vm.on_grant(reply, now);
+            vm.on_grant_reply(reply, now);
         }
-        Input::AskFailed(peer) => vm.on_ask_failed(peer, now),
+        Input::AskFailed(peer) => vm.on_grant_request_failed(peer, now),
         Input::Lookup(service) => {
             let block = rng.u64(..).to_le_bytes();
             return Decision::Lookup(vm.on_lookup(service, &block, now));
--- a/crates/steering/src/report.rs
+++ b/crates/steering/src/report.rs
@@ -9,7 +9,7 @@
 
 use crate::messages::{PlaceReport, VmReport};
 use crate::tuning::Tuning;
-use crate::upstream::End;
+use crate::upstream::RequestOutcome;
 
 /// Health below which a place is no longer used, in thousandths.
 pub const ILL_BELOW: u16 = 500;
@@ -179,13 +179,13 @@
     }
 
     /// Counts how one of this VM's own requests to `place` ended.
-    pub fn outcome(&mut self, place: &PlaceName, end: End, now: Millis) {
+    pub fn outcome(&mut self, place: &PlaceName, end: RequestOutcome, now: Millis) {
         let view = self.view(place, now);
         view.fade(now);
         match end {
-            End::Good => view.good += 1.0,
-            End::Failed => view.bad += 1.0,
-            End::Shed | End::Cancelled => {}
+            RequestOutcome::Good => view.good += 1.0,
+            RequestOutcome::Failed => view.bad += 1.0,
+            RequestOutcome::Shed | RequestOutcome::Cancelled => {}
         }
     }
 
--- a/crates/steering/src/spreading.rs
+++ b/crates/steering/src/spreading.rs
@@ -298,7 +298,7 @@
     ) -> Option<LookupAnswer> {
         let plan = Arc::clone(&self.plan);
         let ttl = plan.services.get(service)?.lookup_ttl;
-        let drawn = self.drawn_for(service, block);
+        let drawn = self.ranked_places(service, block);
         let per_answer = self.per_answer(service);
         let mut answer = LookupAnswer {
             choices: Vec::new(),
@@ -314,7 +314,7 @@
 
     /// Gives the places of `service` in the order in which they are drawn for a callers'
     /// block. A look-up names them in this order, as far as grants allow.
-    pub fn drawn_for(&self, service: &ServiceName, block: &[u8]) -> Vec<PlaceName> {
+    pub fn ranked_places(&self, service: &ServiceName, block: &[u8]) -> Vec<PlaceName> {
         let Some(state) = self.services.get(service) else {
             return Vec::new();
         };
--- a/crates/steering/src/steering.rs
+++ b/crates/steering/src/steering.rs
@@ -105,7 +105,7 @@
 
 impl Steering {
     /// Makes the state of a daemon that started at `now`. It admits nothing before `on_plan`
-    /// and `on_part` have been called and one window has passed.
+    /// and `on_capacity_part` have been called and one window has passed.
     pub fn new(me: Identity, tuning: Tuning, now: Millis) -> Self {
         Self {
             issuer: Issuer::new(me.vm.clone(), me.incarnation, tuning, now),
@@ -173,21 +173,21 @@
     }
 
     /// Takes in this VM's part of its failure domain's capacity, in thousandths. Lower it here
-    /// first and in the capacity ledger only when [`Steering::fits_part`] says so.
-    pub fn on_part(&mut self, part: u16, now: Millis) {
+    /// first and in the capacity ledger only when [`Steering::fits_capacity_part`] says so.
+    pub fn on_capacity_part(&mut self, part: u16, now: Millis) {
         self.part = part;
         self.allowances.set_part(part, now);
         self.apply_allowances(now);
     }
 
     /// Gives this VM's part of its failure domain's capacity, in thousandths.
-    pub fn part(&self) -> u16 {
+    pub fn capacity_part(&self) -> u16 {
         self.part
     }
 
     /// Says whether all that this VM has lent out and in use fits into `part` thousandths, so
     /// that another VM may have the rest.
-    pub fn fits_part(&self, part: u16, now: Millis) -> bool {
+    pub fn fits_capacity_part(&self, part: u16, now: Millis) -> bool {
         let lower = Allowances::of(&self.plan, &self.me.domain, part);
         let mut bounds = vec![(ScopeName::Region, lower.region)];
         bounds.extend(
@@ -236,7 +236,7 @@
     }
 
     /// Takes in an upstream's load or health answer.
-    pub fn on_upstream(
+    pub fn on_upstream_load(
         &mut self,
         service: &ServiceName,
         upstream: &UpstreamName,
--- a/crates/steering/src/upstream.rs
+++ b/crates/steering/src/upstream.rs
@@ -31,7 +31,7 @@
 /// How a request ended, as the choice of upstreams and places sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum End {
+pub enum RequestOutcome {
     /// A whole answer came.
     Good,
     /// The upstream failed: no connection, a broken answer, a server error.
@@ -136,21 +136,21 @@
         self.started_since += 1;
     }
 
-    fn finish(&mut self, end: End, tuning: &Tuning, now: Millis) {
+    fn finish(&mut self, end: RequestOutcome, tuning: &Tuning, now: Millis) {
         self.in_flight = self.in_flight.saturating_sub(1);
         self.finished_since += 1;
         match end {
-            End::Good => {
+            RequestOutcome::Good => {
                 self.failures = 0;
                 self.ejections = 0;
             }
-            End::Failed => self.fail(tuning, now),
-            End::Shed => {
+            RequestOutcome::Failed => self.fail(tuning, now),
+            RequestOutcome::Shed => {
                 self.shed_until = now + tuning.shed_pause;
                 self.learned_slots = self.in_flight.max(1);
                 self.learned_at = now;
             }
-            End::Cancelled => {}
+            RequestOutcome::Cancelled => {}
         }
     }
 
@@ -304,7 +304,7 @@
         &mut self,
         service: &ServiceName,
         upstream: &UpstreamName,
-        end: End,
+        end: RequestOutcome,
         tuning: &Tuning,
         now: Millis,
     ) {
--- a/crates/steering/src/verdict.rs
+++ b/crates/steering/src/verdict.rs
@@ -4,7 +4,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::messages::GrantToken;
-use crate::upstream::End;
+use crate::upstream::RequestOutcome;
 
 slotmap::new_key_type! {
     /// The key of a request in progress at this VM.
@@ -95,11 +95,11 @@
 impl RefusalReason {
     /// Gives how a relayed request ended, for the VM that relayed it, where the VM that it was
     /// handed to refused it for this reason.
-    pub fn end(self) -> End {
+    pub fn end(self) -> RequestOutcome {
         match self {
-            RefusalReason::NoUpstream | RefusalReason::UnknownService => End::Failed,
-            RefusalReason::Deadline => End::Cancelled,
-            _ => End::Shed,
+            RefusalReason::NoUpstream | RefusalReason::UnknownService => RequestOutcome::Failed,
+            RefusalReason::Deadline => RequestOutcome::Cancelled,
+            _ => RequestOutcome::Shed,
         }
     }
 }
--- a/crates/steering/tests/admission.rs
+++ b/crates/steering/tests/admission.rs
@@ -21,7 +21,7 @@
         if let Verdict::Run { ticket, .. } = verdict {
             vm.finish(
                 ticket,
-                heatherknot_steering::upstream::End::Good,
+                heatherknot_steering::upstream::RequestOutcome::Good,
                 Millis(at),
             );
         }
--- a/crates/steering/tests/common/fleet.rs
+++ b/crates/steering/tests/common/fleet.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-use heatherknot_steering::upstream::End;
+use heatherknot_steering::upstream::RequestOutcome;
 use heatherknot_steering::{Steering, Ticket, Tuning, Verdict};
 use heatherknot_types::plan::Plan;
 use heatherknot_types::prelude::*;
@@ -31,7 +31,7 @@
     pub failing: BTreeSet<PlaceName>,
     pub refused: u32,
     pub steps: Vec<BTreeMap<PlaceName, Step>>,
-    running: Vec<(DomainName, Ticket, End)>,
+    running: Vec<(DomainName, Ticket, RequestOutcome)>,
     owed: BTreeMap<(DomainName, ServiceName), u32>,
     rng: fastrand::Rng,
 }
@@ -121,14 +121,18 @@
     fn exchange(&mut self) {
         let domains: Vec<DomainName> = self.vms.keys().cloned().collect();
         for from in &domains {
-            let asks = self.vms.get_mut(from).expect("known").ask_grants(self.now);
+            let asks = self
+                .vms
+                .get_mut(from)
+                .expect("known")
+                .request_grants(self.now);
             for (to, req) in asks {
                 let to_domain = DomainName::from(&to.as_str()[2..]);
                 if self.cut.contains(from) || self.cut.contains(&to_domain) {
                     self.vms
                         .get_mut(from)
                         .expect("known")
-                        .on_ask_failed(&to, self.now);
+                        .on_grant_request_failed(&to, self.now);
                     continue;
                 }
                 let issuer = self.vms.get_mut(&to_domain).expect("known");
@@ -136,7 +140,7 @@
                 self.vms
                     .get_mut(from)
                     .expect("known")
-                    .on_grant(&reply, self.now);
+                    .on_grant_reply(&reply, self.now);
             }
         }
     }
@@ -179,7 +183,8 @@
     ) {
         let to = DomainName::from(&token.issuer.as_str()[2..]);
         if self.cut.contains(domain) || self.cut.contains(&to) {
-            self.running.push((domain.clone(), ticket, End::Failed));
+            self.running
+                .push((domain.clone(), ticket, RequestOutcome::Failed));
             self.refused += 1;
             return;
         }
@@ -203,16 +208,17 @@
             }
             Verdict::Wait { .. } | Verdict::Relay { .. } => {
                 self.refused += 1;
-                self.running.push((domain.clone(), ticket, End::Shed));
+                self.running
+                    .push((domain.clone(), ticket, RequestOutcome::Shed));
             }
         }
     }
 
-    fn end_at(&self, place: &PlaceName) -> End {
+    fn end_at(&self, place: &PlaceName) -> RequestOutcome {
         if self.failing.contains(place) {
-            End::Failed
+            RequestOutcome::Failed
         } else {
-            End::Good
+            RequestOutcome::Good
         }
     }
 
--- a/crates/steering/tests/common/mod.rs
+++ b/crates/steering/tests/common/mod.rs
@@ -130,7 +130,7 @@
     };
     let mut vm = Steering::new(me, tuning, now);
     vm.on_plan(Arc::new(plan.clone()), now);
-    vm.on_part(part, now);
+    vm.on_capacity_part(part, now);
     vm.on_peers(peers(plan));
     vm
 }
--- a/crates/steering/tests/rules.rs
+++ b/crates/steering/tests/rules.rs
@@ -13,7 +13,7 @@
 use heatherknot_steering::record::{Decision, Entry, Input, step};
 use heatherknot_steering::report::Reports;
 use heatherknot_steering::retry::RetryBudget;
-use heatherknot_steering::upstream::{End, UpstreamLoad, Upstreams};
+use heatherknot_steering::upstream::{RequestOutcome, UpstreamLoad, Upstreams};
 use heatherknot_steering::window::Window;
 use heatherknot_steering::{Grant, GrantReply, Identity, Steering, Tuning, VmReport};
 use heatherknot_types::prelude::*;
@@ -233,7 +233,7 @@
         u.start(&service, &name);
     }
 
-    u.finish(&service, &name, End::Shed, &tuning, Millis(100));
+    u.finish(&service, &name, RequestOutcome::Shed, &tuning, Millis(100));
 
     assert_eq!(None, pick(&u, Class::Interactive, Millis(200)));
     assert_eq!(2, u.of(&service)[0].slots(&tuning, Millis(700)));
@@ -250,7 +250,7 @@
     let (service, name) = (ServiceName::from(GALLERY), UpstreamName::from("n1-0"));
     let fail = |u: &mut Upstreams, at: u64| {
         u.start(&service, &name);
-        u.finish(&service, &name, End::Failed, &tuning, Millis(at));
+        u.finish(&service, &name, RequestOutcome::Failed, &tuning, Millis(at));
     };
     fail(&mut u, 0);
     fail(&mut u, 0);
--- a/crates/steering/tests/steering.rs
+++ b/crates/steering/tests/steering.rs
@@ -269,13 +269,13 @@
     fleet.run(Millis(20_000));
     let now = fleet.now;
 
-    fleet.vm("n2").on_part(400, now);
-    let at_once = fleet.vm("n2").fits_part(400, now);
+    fleet.vm("n2").on_capacity_part(400, now);
+    let at_once = fleet.vm("n2").fits_capacity_part(400, now);
     fleet.run(Millis(13_000));
     let now = fleet.now;
 
     assert!(!at_once);
-    assert!(fleet.vm("n2").fits_part(400, now));
+    assert!(fleet.vm("n2").fits_capacity_part(400, now));
 }
 
 #[test]
