--- a/crates/steering/examples/stranding.rs
+++ b/crates/steering/examples/stranding.rs
@@ -190,7 +190,7 @@
             vms[from].on_grant_reply(&reply, now);
         }
         if measured && now.0.is_multiple_of(1_000) {
-            for (_, held) in vms[from].holder().all() {
+            for (_, held) in vms[from].holder().grants() {
                 fig.lent += u64::from(held.rate);
                 fig.used += u64::from(held.sent(now).min(held.rate));
             }
--- a/crates/steering/src/admission.rs
+++ b/crates/steering/src/admission.rs
@@ -5,23 +5,23 @@
 use heatherknot_types::plan::{Cap, ServicePlan};
 use heatherknot_types::prelude::*;
 
-use crate::fair::{FairShare, Share};
-use crate::issuer::{Full, LentKey, ScopeName};
+use crate::fair_share::{FairShare, Share};
+use crate::issuer::{HolderKey, LimitReached, ScopeName};
 use crate::messages::GrantToken;
 use crate::steering::{Steering, shares_at};
 use crate::upstream::RequestOutcome;
 use crate::verdict::{Arrival, RefusalReason, Ticket, Verdict};
 
 /// How soon to look again for a free slot or for a request in flight to end.
-const BUSY_WAIT: Millis = Millis(20);
+const BUSY_RETRY_DELAY: Millis = Millis(20);
 /// The shortest time after which a refused caller is asked to come back.
 const MIN_RETRY_AFTER: Millis = Millis(200);
 /// How long a service without a place is said to stay so.
 const NO_PLACE_RETRY_AFTER: Millis = Millis(2_000);
 /// The part of a request's usual time that must be left for it to be worth starting.
-const LEAST_TIME_PART: f64 = 0.5;
+const MIN_TIME_FRACTION: f64 = 0.5;
 /// Requests a second that count as none.
-const NO_RATE: f64 = 0.01;
+const NEGLIGIBLE_RATE: f64 = 0.01;
 /// How much of a new latency goes into the smoothed one.
 const LATENCY_GAIN: f64 = 0.05;
 
@@ -34,16 +34,16 @@
     /// When it was sent to its backend server.
     sent: Option<Millis>,
     place: PlaceName,
-    hold: Hold,
+    reservation: Reservation,
 }
 
 #[derive(Clone, Debug)]
-enum Hold {
+enum Reservation {
     Local {
         upstream: UpstreamName,
     },
     Granted {
-        key: LentKey,
+        key: HolderKey,
         upstream: UpstreamName,
     },
     Relayed {
@@ -65,12 +65,12 @@
         let Some(service) = plan.services.get(&req.service) else {
             return refuse(RefusalReason::UnknownService, NO_PLACE_RETRY_AFTER);
         };
-        if !self.time_left(req) {
+        if !self.has_time_left(req) {
             return refuse(RefusalReason::Deadline, MIN_RETRY_AFTER);
         }
         let found = match &req.grant {
             Some(token) => self.admit_granted(req, service, token, rng, now),
-            None => self.admit_own(req, service, rng, now),
+            None => self.admit_direct(req, service, rng, now),
         };
         found.unwrap_or_else(|blocked| self.wait_or_refuse(req, blocked, rng, now))
     }
@@ -91,22 +91,24 @@
         }
         if let Some(token) = &req.grant {
             if let Some(state) = self.places.get_mut(&token.place) {
-                state.fair.demand(&service.account, req.class, now);
+                state.fair_share.demand(&service.account, req.class, now);
             }
             return;
         }
         if let Some(state) = self.services.get_mut(&req.service) {
             state.demand.add(1);
         }
-        let order = self.order(&req.service, rng);
-        self.count_account_demand(req, service, &order, now);
-        let first = order.first().and_then(|place| self.places.get_mut(place));
+        let place_order = self.place_order(&req.service, rng);
+        self.count_account_demand(req, service, &place_order, now);
+        let first = place_order
+            .first()
+            .and_then(|place| self.places.get_mut(place));
         if let Some(state) = first {
             state.local_demand.add(1);
         }
     }
 
-    fn admit_own(
+    fn admit_direct(
         &mut self,
         req: &Arrival,
         service: &ServicePlan,
@@ -117,23 +119,23 @@
         if first && let Some(state) = self.services.get_mut(&req.service) {
             state.demand.add(1);
         }
-        let order = self.order(&req.service, rng);
+        let place_order = self.place_order(&req.service, rng);
         if first {
-            self.count_account_demand(req, service, &order, now);
+            self.count_account_demand(req, service, &place_order, now);
         }
         let mut blocked = Blocked {
             reason: RefusalReason::NoUpstream,
             until: now + NO_PLACE_RETRY_AFTER,
         };
-        for place in order {
-            let result = if self.is_ours(&place) {
+        for place in place_order {
+            let result = if self.is_local(&place) {
                 self.try_local(req, service, &place, rng, now)
             } else {
                 self.try_relay(req, service, &place, now)
             };
             match result {
                 Ok(verdict) => return Ok(verdict),
-                Err(b) => blocked = sooner(blocked, b),
+                Err(b) => blocked = preferred_block(blocked, b),
             }
         }
         Err(blocked)
@@ -141,25 +143,25 @@
 
     /// Gives the places to try, the first by chance according to the weights and the others by
     /// falling weight.
-    fn order(&self, service: &ServiceName, rng: &mut fastrand::Rng) -> Vec<PlaceName> {
+    fn place_order(&self, service: &ServiceName, rng: &mut fastrand::Rng) -> Vec<PlaceName> {
         let Some(state) = self.services.get(service) else {
             return Vec::new();
         };
-        let mut parts: Vec<(PlaceName, f64)> = state.relay.clone();
-        let sum: f64 = parts.iter().map(|(_, part)| part).sum();
+        let mut rates: Vec<(PlaceName, f64)> = state.relay.clone();
+        let sum: f64 = rates.iter().map(|(_, rate)| rate).sum();
         let mut left = rng.f64() * sum;
-        let picked = parts.iter().position(|(_, part)| {
-            left -= part;
+        let picked = rates.iter().position(|(_, rate)| {
+            left -= rate;
             left < 0.0
         });
-        let first = picked.map(|at| parts.remove(at).0);
-        parts.sort_by(|a, b| b.1.total_cmp(&a.1));
+        let first = picked.map(|at| rates.remove(at).0);
+        rates.sort_by(|a, b| b.1.total_cmp(&a.1));
         // Guards against a drain that never ends: others are full for a moment, and single
         // requests fall back to the place that drains and has no part left.
-        let open = |(place, part): &(PlaceName, f64)| {
-            self.reports.usable(place) && (*part > NO_RATE || !self.draining(place))
+        let open = |(place, rate): &(PlaceName, f64)| {
+            self.reports.usable(place) && (*rate > NEGLIGIBLE_RATE || !self.draining(place))
         };
-        let rest = parts.into_iter().filter(open).map(|(place, _)| place);
+        let rest = rates.into_iter().filter(open).map(|(place, _)| place);
         first.into_iter().chain(rest).collect()
     }
 
@@ -168,12 +170,12 @@
         &mut self,
         req: &Arrival,
         service: &ServicePlan,
-        order: &[PlaceName],
+        place_order: &[PlaceName],
         now: Millis,
     ) {
-        let ours = order.iter().find(|p| self.places.contains_key(*p));
+        let ours = place_order.iter().find(|p| self.places.contains_key(*p));
         if let Some(state) = ours.and_then(|p| self.places.get_mut(p)) {
-            state.fair.demand(&service.account, req.class, now);
+            state.fair_share.demand(&service.account, req.class, now);
         }
     }
 
@@ -194,18 +196,18 @@
         {
             state.local_demand.add(1);
         }
-        let upstream = self.pick(req, service, place, rng, now)?;
+        let upstream = self.pick_upstream(req, service, place, rng, now)?;
         self.issuer
             .check_local(place, now)
             .map_err(|full| blocked_by(&full, now))?;
-        self.take_retry(req, service, place, now)?;
+        self.charge_retry(req, service, place, now)?;
         self.issuer.start_local(place, now);
         Ok(self.start(
             req,
             service,
             place,
             upstream,
-            |upstream| Hold::Local { upstream },
+            |upstream| Reservation::Local { upstream },
             now,
         ))
     }
@@ -219,24 +221,24 @@
         now: Millis,
     ) -> Result<Verdict, Blocked> {
         let place = &token.place;
-        if !self.is_ours(place) || !service.upstreams.iter().any(|u| u.place == *place) {
-            return Err(refused(RefusalReason::Grant, now));
+        if !self.is_local(place) || !service.upstreams.iter().any(|u| u.place == *place) {
+            return Err(unavailable(RefusalReason::Grant, now));
         }
         if !req.waited
             && let Some(state) = self.places.get_mut(place)
         {
-            state.fair.demand(&service.account, req.class, now);
+            state.fair_share.demand(&service.account, req.class, now);
         }
         let key = self
             .issuer
             .check_granted(token, now)
             .map_err(|full| blocked_by(&full, now))?;
-        let upstream = self.pick(req, service, place, rng, now)?;
+        let upstream = self.pick_upstream(req, service, place, rng, now)?;
         let limit = self.issuer.usable_in(&ScopeName::Place(place.clone()));
         self.check_share(req, service, place, limit, now)?;
         self.issuer.start_granted(&key, now);
-        let hold = |upstream| Hold::Granted { key, upstream };
-        Ok(self.start(req, service, place, upstream, hold, now))
+        let reservation = |upstream| Reservation::Granted { key, upstream };
+        Ok(self.start(req, service, place, upstream, reservation, now))
     }
 
     fn try_relay(
@@ -247,7 +249,7 @@
         now: Millis,
     ) -> Result<Verdict, Blocked> {
         let Some(held) = self.holder.live(place, now) else {
-            return Err(refused(RefusalReason::Cap, now));
+            return Err(unavailable(RefusalReason::Cap, now));
         };
         let limit = Cap {
             per_second: held.rate,
@@ -256,32 +258,32 @@
         let domain = self.plan.places.get(place).map(|p| p.domain.clone());
         let delay = domain.map_or(Millis(0), |d| self.delay_to(&d));
         if req.deadline.0 <= 2 * delay.0 {
-            return Err(refused(RefusalReason::Deadline, now));
+            return Err(unavailable(RefusalReason::Deadline, now));
         }
-        let committed = self.committed(place, now).ceil() as u32;
-        let fair = self.held_fair(place);
+        let committed = self.committed_rate(place, now).ceil() as u32;
+        let fair_share = self.remote_shares(place);
         if !req.waited {
-            fair.demand(&service.account, req.class, now);
+            fair_share.demand(&service.account, req.class, now);
         }
-        if fair.check(&service.account, req.class, limit, now) == Share::Over {
+        if fair_share.check(&service.account, req.class, limit, now) == Share::Exceeded {
             return Err(Blocked {
                 reason: RefusalReason::AccountShare,
-                until: now + BUSY_WAIT,
+                until: now + BUSY_RETRY_DELAY,
             });
         }
         if self.holder.available(place, committed, now) == 0 {
             let until = self.holder.free_at(place, now).unwrap_or(now);
-            let until = until.max(now + BUSY_WAIT);
+            let until = until.max(now + BUSY_RETRY_DELAY);
             return Err(Blocked {
                 reason: RefusalReason::Cap,
                 until,
             });
         }
-        self.take_retry(req, service, place, now)?;
+        self.charge_retry(req, service, place, now)?;
         let Some(token) = self.holder.send(place, committed, now) else {
-            return Err(refused(RefusalReason::Cap, now));
+            return Err(unavailable(RefusalReason::Cap, now));
         };
-        self.held_fair(place)
+        self.remote_shares(place)
             .start(&service.account, req.class, now);
         let vm = token.issuer.clone();
         let ticket = self.tickets.insert(InFlight {
@@ -290,23 +292,23 @@
             started: now,
             sent: None,
             place: place.clone(),
-            hold: Hold::Relayed {
+            reservation: Reservation::Relayed {
                 token: token.clone(),
             },
         });
         Ok(Verdict::Relay { ticket, vm, token })
     }
 
-    fn held_fair(&mut self, place: &PlaceName) -> &mut FairShare {
-        if !self.held_fair.contains_key(place) {
-            let mut fair = FairShare::new(self.tuning);
-            fair.set_shares(&shares_at(&self.plan, place));
-            self.held_fair.insert(place.clone(), fair);
+    fn remote_shares(&mut self, place: &PlaceName) -> &mut FairShare {
+        if !self.remote_shares.contains_key(place) {
+            let mut fair_share = FairShare::new(self.tuning);
+            fair_share.set_shares(&shares_at(&self.plan, place));
+            self.remote_shares.insert(place.clone(), fair_share);
         }
-        self.held_fair.get_mut(place).expect("inserted above")
+        self.remote_shares.get_mut(place).expect("inserted above")
     }
 
-    fn pick(
+    fn pick_upstream(
         &mut self,
         req: &Arrival,
         service: &ServicePlan,
@@ -316,12 +318,12 @@
     ) -> Result<UpstreamName, Blocked> {
         let step = self.growth_step(service, place);
         if let Some(state) = self.places.get_mut(place)
-            && let Some(warmth) = state.warmth.get_mut(&req.service)
-            && !warmth.fits(step, now)
+            && let Some(warm_up) = state.warm_up.get_mut(&req.service)
+            && !warm_up.fits(step, now)
         {
             return Err(Blocked {
                 reason: RefusalReason::Cap,
-                until: warmth.free_at(step, now),
+                until: warm_up.free_at(step, now),
             });
         }
         let tuning = &self.tuning;
@@ -334,10 +336,10 @@
         if self.upstreams.any_usable(&req.service, place, now) {
             return Err(Blocked {
                 reason: RefusalReason::Busy,
-                until: now + BUSY_WAIT,
+                until: now + BUSY_RETRY_DELAY,
             });
         }
-        Err(refused(RefusalReason::NoUpstream, now))
+        Err(unavailable(RefusalReason::NoUpstream, now))
     }
 
     fn check_share(
@@ -349,18 +351,22 @@
         now: Millis,
     ) -> Result<(), Blocked> {
         let Some(state) = self.places.get_mut(place) else {
-            return Err(refused(RefusalReason::NoUpstream, now));
+            return Err(unavailable(RefusalReason::NoUpstream, now));
         };
-        if state.fair.check(&service.account, req.class, limit, now) != Share::Over {
+        if state
+            .fair_share
+            .check(&service.account, req.class, limit, now)
+            != Share::Exceeded
+        {
             return Ok(());
         }
         Err(Blocked {
             reason: RefusalReason::AccountShare,
-            until: now + BUSY_WAIT,
+            until: now + BUSY_RETRY_DELAY,
         })
     }
 
-    fn take_retry(
+    fn charge_retry(
         &mut self,
         req: &Arrival,
         service: &ServicePlan,
@@ -370,13 +376,13 @@
         let key = (req.service.clone(), place.clone());
         let budget = self.retries.entry(key).or_default();
         if req.attempt == 0 {
-            budget.first_try(now);
+            budget.record_first_try(now);
             return Ok(());
         }
         if budget.take(service.retry_permille, now) {
             return Ok(());
         }
-        Err(refused(RefusalReason::RetryBudget, now))
+        Err(unavailable(RefusalReason::RetryBudget, now))
     }
 
     fn start(
@@ -385,14 +391,14 @@
         service: &ServicePlan,
         place: &PlaceName,
         upstream: UpstreamName,
-        hold: impl FnOnce(UpstreamName) -> Hold,
+        reservation: impl FnOnce(UpstreamName) -> Reservation,
         now: Millis,
     ) -> Verdict {
         self.upstreams.start(&req.service, &upstream);
         if let Some(state) = self.places.get_mut(place) {
-            state.fair.start(&service.account, req.class, now);
-            if let Some(warmth) = state.warmth.get_mut(&req.service) {
-                warmth.start(now);
+            state.fair_share.start(&service.account, req.class, now);
+            if let Some(warm_up) = state.warm_up.get_mut(&req.service) {
+                warm_up.start(now);
             }
         }
         let ticket = self.tickets.insert(InFlight {
@@ -401,7 +407,7 @@
             started: now,
             sent: None,
             place: place.clone(),
-            hold: hold(upstream.clone()),
+            reservation: reservation(upstream.clone()),
         });
         Verdict::Run {
             ticket,
@@ -416,7 +422,9 @@
         let Some(request) = self.tickets.get_mut(ticket) else {
             return;
         };
-        let (Hold::Local { upstream } | Hold::Granted { upstream, .. }) = &mut request.hold else {
+        let (Reservation::Local { upstream } | Reservation::Granted { upstream, .. }) =
+            &mut request.reservation
+        else {
             return;
         };
         let from = std::mem::replace(upstream, to.clone());
@@ -435,7 +443,7 @@
         };
         request.sent = Some(now);
         let state = self.services.get(&request.service);
-        left.0 as f64 >= state.map_or(0.0, |s| s.run_ms).floor()
+        left.0 as f64 >= state.map_or(0.0, |s| s.service_time_ms).floor()
     }
 
     /// Counts the end of a request; a ticket given back twice counts once.
@@ -443,25 +451,25 @@
         let Some(done) = self.tickets.remove(ticket) else {
             return;
         };
-        match &done.hold {
-            Hold::Local { upstream } => {
+        match &done.reservation {
+            Reservation::Local { upstream } => {
                 self.issuer.finish_local(&done.place);
-                self.finish_here(&done, upstream, end, now);
+                self.finish_local_run(&done, upstream, end, now);
             }
-            Hold::Granted { key, upstream } => {
+            Reservation::Granted { key, upstream } => {
                 self.issuer.finish_granted(key);
-                self.finish_here(&done, upstream, end, now);
+                self.finish_local_run(&done, upstream, end, now);
             }
-            Hold::Relayed { token } => {
+            Reservation::Relayed { token } => {
                 self.holder.finish(token);
-                self.held_fair(&done.place).finish(&done.account);
+                self.remote_shares(&done.place).finish(&done.account);
             }
         }
-        self.reports.outcome(&done.place, end, now);
+        self.reports.record_outcome(&done.place, end, now);
         if end == RequestOutcome::Shed {
             let until = now + self.tuning.shed_pause;
             let key = (done.service.clone(), done.place.clone());
-            self.retries.entry(key).or_default().overloaded(until);
+            self.retries.entry(key).or_default().set_overloaded(until);
         }
         if end == RequestOutcome::Good
             && let Some(state) = self.services.get_mut(&done.service)
@@ -470,12 +478,12 @@
             state.latency_ms += (took - state.latency_ms) * LATENCY_GAIN;
             if let Some(sent) = done.sent {
                 let ran = now.since(sent).0 as f64;
-                state.run_ms += (ran - state.run_ms) * LATENCY_GAIN;
+                state.service_time_ms += (ran - state.service_time_ms) * LATENCY_GAIN;
             }
         }
     }
 
-    fn finish_here(
+    fn finish_local_run(
         &mut self,
         done: &InFlight,
         upstream: &UpstreamName,
@@ -485,16 +493,16 @@
         self.upstreams
             .finish(&done.service, upstream, end, &self.tuning, now);
         if let Some(state) = self.places.get_mut(&done.place) {
-            state.fair.finish(&done.account);
+            state.fair_share.finish(&done.account);
         }
     }
 
-    fn time_left(&self, req: &Arrival) -> bool {
+    fn has_time_left(&self, req: &Arrival) -> bool {
         let usual = self
             .services
             .get(&req.service)
             .map_or(0.0, |s| s.latency_ms);
-        req.deadline.0 > 0 && req.deadline.0 as f64 >= usual * LEAST_TIME_PART
+        req.deadline.0 > 0 && req.deadline.0 as f64 >= usual * MIN_TIME_FRACTION
     }
 
     /// Lets a request wait if there will be room before its deadline. One that is refused is
@@ -532,29 +540,29 @@
     }
 }
 
-fn refused(reason: RefusalReason, now: Millis) -> Blocked {
+fn unavailable(reason: RefusalReason, now: Millis) -> Blocked {
     Blocked {
         reason,
         until: now + NO_PLACE_RETRY_AFTER,
     }
 }
 
-fn blocked_by(full: &Full, now: Millis) -> Blocked {
+fn blocked_by(full: &LimitReached, now: Millis) -> Blocked {
     match full {
-        Full::Rate(_, until) => Blocked {
+        LimitReached::Rate(_, until) => Blocked {
             reason: RefusalReason::Cap,
             until: *until,
         },
-        Full::InFlight(_) | Full::GrantUsed => Blocked {
+        LimitReached::InFlight(_) | LimitReached::GrantExhausted => Blocked {
             reason: RefusalReason::Cap,
-            until: now + BUSY_WAIT,
+            until: now + BUSY_RETRY_DELAY,
         },
-        Full::NoGrant => refused(RefusalReason::Grant, now),
+        LimitReached::NoGrant => unavailable(RefusalReason::Grant, now),
     }
 }
 
 /// Gives the reason that ends sooner. An account that is over its share stays told so.
-fn sooner(a: Blocked, b: Blocked) -> Blocked {
+fn preferred_block(a: Blocked, b: Blocked) -> Blocked {
     let over = |x: &Blocked| x.reason == RefusalReason::AccountShare;
     match (over(&a), over(&b)) {
         (true, false) => a,
--- a/crates/steering/src/allowance.rs
+++ b/crates/steering/src/allowance.rs
@@ -53,12 +53,12 @@
             return Self::default();
         };
         let region = &domain_plan.region;
-        let split = Split::of(plan, domain, region, part);
+        let split = CapFraction::of(plan, domain, region, part);
         let own_places = plan.places.iter().filter(|(_, p)| p.domain == *domain);
         let own_links = plan.links.iter().filter(|l| l.to == *region);
         Self {
             places: own_places
-                .map(|(name, p)| (name.clone(), part_of(p.cap, part)))
+                .map(|(name, p)| (name.clone(), scale_by_part(p.cap, part)))
                 .collect(),
             region: plan
                 .regions
@@ -74,14 +74,14 @@
     /// counts as it stands.
     pub fn min(&self, other: &Self) -> Self {
         Self {
-            places: min_of(&self.places, &other.places),
+            places: min_by_key(&self.places, &other.places),
             region: min_cap(self.region, other.region),
-            links: min_of(&self.links, &other.links),
+            links: min_by_key(&self.links, &other.links),
         }
     }
 }
 
-fn min_of<K: Ord + Clone>(a: &BTreeMap<K, Cap>, b: &BTreeMap<K, Cap>) -> BTreeMap<K, Cap> {
+fn min_by_key<K: Ord + Clone>(a: &BTreeMap<K, Cap>, b: &BTreeMap<K, Cap>) -> BTreeMap<K, Cap> {
     let lower = |(key, cap): (&K, &Cap)| {
         let other = b.get(key).copied().unwrap_or(NO_CAP);
         (key.clone(), min_cap(*cap, other))
@@ -97,7 +97,7 @@
     }
 }
 
-fn part_of(cap: Cap, part: u16) -> Cap {
+fn scale_by_part(cap: Cap, part: u16) -> Cap {
     scaled(cap, u64::from(part), 1_000)
 }
 
@@ -110,12 +110,12 @@
 }
 
 /// The share of a region's cap that falls to one VM, as fractions for rate and in flight.
-struct Split {
+struct CapFraction {
     rate: (u64, u64),
     in_flight: (u64, u64),
 }
 
-impl Split {
+impl CapFraction {
     fn of(plan: &Plan, domain: &DomainName, region: &RegionName, part: u16) -> Self {
         let mut split = Self {
             rate: (0, 0),
@@ -178,7 +178,7 @@
     }
 
     /// Forgets what no rule looks at any more, and says whether what is in force may change.
-    pub fn forget(&mut self, tuning: &Tuning, now: Millis) -> bool {
+    pub fn prune(&mut self, tuning: &Tuning, now: Millis) -> bool {
         let before = self.past_plans.len() + self.past_parts.len();
         let kept = tuning.settle.max(lending_delay(tuning));
         self.past_plans.retain(|(at, _)| *at + kept > now);
--- a/crates/steering/src/drain.rs
+++ b/crates/steering/src/drain.rs
@@ -72,9 +72,9 @@
     /// Gives how far this VM is with moving traffic away from `place`. The place is drained when
     /// every VM of the system says so.
     pub fn drain_status(&mut self, place: &PlaceName, now: Millis) -> DrainStatus {
-        let own = self.is_ours(place);
+        let own = self.is_local(place);
         let scope = ScopeName::Place(place.clone());
-        let held = self.holder.all().find(|(p, _)| *p == place);
+        let held = self.holder.grants().find(|(p, _)| *p == place);
         let in_flight = if own {
             self.issuer.used_in(&scope, now).in_flight
         } else {
@@ -83,32 +83,32 @@
         let mut status = DrainStatus {
             place: place.clone(),
             draining: self.draining(place),
-            still_meant: self.meant_for(place),
+            still_meant: self.planned_rate(place),
             in_flight,
             answers_left: left(self.answers.last_expiry(place), now),
             grants_left: left(self.issuer.last_expiry(place), now),
             waits_for: None,
         };
         if status.draining {
-            status.waits_for = wait_of(&status);
+            status.waits_for = blocking_wait(&status);
         }
         status
     }
 
-    fn meant_for(&self, place: &PlaceName) -> f64 {
+    fn planned_rate(&self, place: &PlaceName) -> f64 {
         let services = self.services.values();
         // A service that nobody calls means nothing for any place.
         services
-            .map(|s| s.demand.rate() * s.spread.part(place))
+            .map(|s| s.demand.rate() * s.split.share(place))
             .sum()
     }
 }
 
 /// Requests a second that count as none.
-const NEXT_TO_NOTHING: f64 = 0.05;
+const NEGLIGIBLE_RATE: f64 = 0.05;
 
-fn wait_of(status: &DrainStatus) -> Option<DrainWait> {
-    if status.still_meant > NEXT_TO_NOTHING {
+fn blocking_wait(status: &DrainStatus) -> Option<DrainWait> {
+    if status.still_meant > NEGLIGIBLE_RATE {
         Some(DrainWait::Room)
     } else if status.answers_left > Millis(0) {
         Some(DrainWait::Answers)
--- a/crates/steering/src/explain.rs
+++ b/crates/steering/src/explain.rs
@@ -83,10 +83,10 @@
             .map(|place| self.explain_place(service, place, now))
             .collect();
         places.sort_by_key(|p| (std::cmp::Reverse(p.permille), p.place.clone()));
-        let placed: f64 = state.spread.parts.iter().map(|p| p.part).sum();
+        let placed: f64 = state.split.shares.iter().map(|p| p.share).sum();
         Some(Explanation {
             service: service.clone(),
-            vm: self.me.vm.clone(),
+            vm: self.identity.vm.clone(),
             revision: self.plan.revision,
             demand: state.demand.rate(),
             latency_weight_permille: plan.latency_weight_permille,
@@ -104,7 +104,7 @@
         let domain = self.plan.places.get(place).map(|p| p.domain.clone());
         let summary = self.reports.summary(place, now);
         let (limit, limited_by) = self.limit_of(service, place, now);
-        let full = if self.is_ours(place) {
+        let utilization = if self.is_local(place) {
             let name = ScopeName::Place(place.clone());
             let used = f64::from(self.issuer.used_in(&name, now).per_second);
             used / f64::from(self.issuer.usable_in(&name).per_second.max(1))
@@ -113,11 +113,11 @@
         };
         PlaceExplanation {
             place: place.clone(),
-            permille: permille(self.weights(service).part(place)),
+            permille: permille(self.weights(service).share(place)),
             delay: domain.map_or(Millis(0), |d| self.delay_to(&d)),
             limit,
             limited_by,
-            full_permille: permille(full),
+            full_permille: permille(utilization),
             health: self.reports.health(place, now),
             report_age: summary.map(|s| s.age),
         }
@@ -127,7 +127,7 @@
         if !self.reports.usable(place) {
             return (0, Limit::Health);
         }
-        let (limit, by) = if self.is_ours(place) {
+        let (limit, by) = if self.is_local(place) {
             self.own_limit(service, place, now)
         } else {
             match self.holder.live(place, now) {
@@ -152,8 +152,8 @@
             self.issuer.usable_in(name).per_second.saturating_sub(lent)
         };
         let warm = self.plan.services.get(service).and_then(|plan| {
-            let warmth = self.places.get(place)?.warmth.get(service)?;
-            Some(warmth.limit(self.growth_step(plan, place)))
+            let warm_up = self.places.get(place)?.warm_up.get(service)?;
+            Some(warm_up.limit(self.growth_step(plan, place)))
         });
         let limits = [
             (left(&ScopeName::Place(place.clone())), Limit::PlaceCap),
--- a/crates/steering/src/fair.rs
+++ b/crates/steering/src/fair_share.rs
@@ -9,15 +9,15 @@
 use heatherknot_types::plan::{AccountPlan, Cap};
 use heatherknot_types::prelude::*;
 
-use crate::meter::Meter;
+use crate::meter::RateMeter;
 use crate::tuning::Tuning;
 use crate::window::Window;
 
 /// One account's use of the limit.
 #[derive(Clone, Debug)]
-struct Account {
-    share_permille: u32,
-    most_permille: u32,
+struct AccountUsage {
+    guaranteed_permille: u32,
+    max_permille: u32,
     used: Window,
     interactive_used: Window,
     demand: Demand,
@@ -30,56 +30,56 @@
 /// the peak of an account that has just come back says too little.
 #[derive(Clone, Debug)]
 struct Demand {
-    meter: Meter,
-    asked: Window,
+    meter: RateMeter,
+    recent: Window,
 }
 
 impl Demand {
     fn new(tuning: &Tuning) -> Self {
         Self {
-            meter: Meter::default(),
-            asked: Window::new(tuning.window, ASKED_GRAIN),
+            meter: RateMeter::default(),
+            recent: Window::new(tuning.window, DEMAND_GRAIN),
         }
     }
 
     fn add(&mut self, now: Millis) {
         self.meter.add(1);
-        self.asked.count(now);
-        self.asked.add(now);
+        self.recent.count(now);
+        self.recent.add(now);
     }
 
     /// Gives what is needed in a window with `permille` of room, and nothing for no demand.
     fn needed(&self, permille: u32, now: Millis) -> u32 {
-        let asked = f64::from(self.asked.peek(now));
-        let most = asked.max(self.meter.peak());
-        if most < LEAST_PEAK {
+        let recent = f64::from(self.recent.peek(now));
+        let peak = recent.max(self.meter.peak());
+        if peak < MIN_PEAK {
             return 0;
         }
-        scale(most, permille) + 1
+        scale(peak, permille) + 1
     }
 }
 
 /// The resolution in which demand is counted.
-const ASKED_GRAIN: Millis = Millis(50);
+const DEMAND_GRAIN: Millis = Millis(50);
 /// A peak below which there is no demand, in requests a second.
-const LEAST_PEAK: f64 = 0.05;
+const MIN_PEAK: f64 = 0.05;
 
 /// Whether an account may have one more request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Share {
     /// It is within the account's guaranteed share.
-    Own,
+    Guaranteed,
     /// It is of what no other account needs now.
     Borrowed,
     /// It would be of another account's share.
-    Over,
+    Exceeded,
 }
 
 /// The use of one limit by all accounts.
 #[derive(Clone, Debug)]
 pub struct FairShare {
     tuning: Tuning,
-    accounts: BTreeMap<AccountName, Account>,
+    accounts: BTreeMap<AccountName, AccountUsage>,
     in_flight: u32,
     arrivals: Window,
     last_tick: Millis,
@@ -104,16 +104,16 @@
         let sum: u32 = guaranteed.sum();
         let whole = sum.max(1_000);
         for account in self.accounts.values_mut() {
-            account.share_permille = 0;
-            account.most_permille = 0;
+            account.guaranteed_permille = 0;
+            account.max_permille = 0;
         }
         for (name, share) in shares {
             let account = self.account(name);
-            account.share_permille = u32::from(share.guaranteed_permille) * 1_000 / whole;
-            account.most_permille = u32::from(share.share_permille);
+            account.guaranteed_permille = u32::from(share.guaranteed_permille) * 1_000 / whole;
+            account.max_permille = u32::from(share.share_permille);
         }
         self.accounts
-            .retain(|_, a| a.share_permille > 0 || a.in_flight > 0);
+            .retain(|_, a| a.guaranteed_permille > 0 || a.in_flight > 0);
     }
 
     /// Counts what an account asks for, admitted or not.
@@ -128,7 +128,7 @@
     /// Says whether `name` may have one more request of `class` under `limit`.
     pub fn check(&mut self, name: &AccountName, class: Class, limit: Cap, now: Millis) -> Share {
         let Some(account) = self.accounts.get_mut(name) else {
-            return Share::Over;
+            return Share::Exceeded;
         };
         let interactive = account.interactive_used.count(now);
         // A bulk request leaves room for the interactive ones that its own account still
@@ -141,17 +141,17 @@
                 (account.used.count(now), need.saturating_sub(interactive))
             }
         };
-        if account.used.count(now) >= part(limit.per_second, account.most_permille)
-            || account.in_flight >= part(limit.in_flight, account.most_permille)
+        if account.used.count(now) >= part(limit.per_second, account.max_permille)
+            || account.in_flight >= part(limit.in_flight, account.max_permille)
         {
-            return Share::Over;
+            return Share::Exceeded;
         }
-        let own_rate = part(limit.per_second, account.share_permille);
-        let own_in_flight = part(limit.in_flight, account.share_permille);
+        let own_rate = part(limit.per_second, account.guaranteed_permille);
+        let own_in_flight = part(limit.in_flight, account.guaranteed_permille);
         let arrivals = self.arrivals.count(now) + expected;
         let room = expected == 0 || arrivals < limit.per_second;
         if used + expected < own_rate && account.in_flight < own_in_flight && room {
-            return Share::Own;
+            return Share::Guaranteed;
         }
         let kept = self.kept_for_others(name, limit, now);
         let rate = arrivals + kept.per_second;
@@ -159,7 +159,7 @@
         if rate < limit.per_second && in_flight < limit.in_flight {
             Share::Borrowed
         } else {
-            Share::Over
+            Share::Exceeded
         }
     }
 
@@ -171,17 +171,17 @@
             in_flight: 0,
         };
         for (other, account) in &self.accounts {
-            if other == name || account.share_permille == 0 {
+            if other == name || account.guaranteed_permille == 0 {
                 continue;
             }
             let rate = account.demand.needed(factor, now);
             if rate == 0 && account.in_flight_peak < 0.5 {
                 continue;
             }
-            let rate = rate.min(part(limit.per_second, account.share_permille));
+            let rate = rate.min(part(limit.per_second, account.guaranteed_permille));
             kept.per_second += rate.saturating_sub(account.used.peek(now));
             let in_flight = scale(account.in_flight_peak, factor) + 1;
-            let in_flight = in_flight.min(part(limit.in_flight, account.share_permille));
+            let in_flight = in_flight.min(part(limit.in_flight, account.guaranteed_permille));
             kept.in_flight += in_flight.saturating_sub(account.in_flight);
         }
         kept
@@ -214,7 +214,7 @@
             return now + self.tuning.window;
         };
         let used = account.used.peek(now);
-        let own = part(limit.per_second, account.share_permille).max(1);
+        let own = part(limit.per_second, account.guaranteed_permille).max(1);
         account.used.free_at(own.min(used.max(1)), now)
     }
 
@@ -222,13 +222,13 @@
     pub fn tick(&mut self, now: Millis) {
         let span = now.since(self.last_tick).as_secs_f64();
         self.last_tick = now;
-        let fade = (-span / self.tuning.peak_memory.as_secs_f64()).exp();
+        let decay = (-span / self.tuning.peak_memory.as_secs_f64()).exp();
         let memory = self.tuning.peak_memory;
         for account in self.accounts.values_mut() {
             account.demand.meter.tick(now, memory);
             account.interactive_demand.meter.tick(now, memory);
-            let faded = account.in_flight_peak * fade;
-            account.in_flight_peak = faded.max(f64::from(account.in_flight));
+            let decayed = account.in_flight_peak * decay;
+            account.in_flight_peak = decayed.max(f64::from(account.in_flight));
         }
     }
 
@@ -243,12 +243,12 @@
         })
     }
 
-    fn account(&mut self, name: &AccountName) -> &mut Account {
+    fn account(&mut self, name: &AccountName) -> &mut AccountUsage {
         if !self.accounts.contains_key(name) {
             let window = Window::new(self.tuning.window, self.tuning.window_grain);
-            let account = Account {
-                share_permille: 0,
-                most_permille: 0,
+            let account = AccountUsage {
+                guaranteed_permille: 0,
+                max_permille: 0,
                 used: window.clone(),
                 interactive_used: window,
                 demand: Demand::new(&self.tuning),
--- a/crates/steering/src/asking.rs
+++ b/crates/steering/src/grant_requests.rs
@@ -7,23 +7,23 @@
 use heatherknot_types::prelude::*;
 
 use crate::issuer::{Reserve, ScopeName};
-use crate::messages::{GrantReply, GrantRequest, VmReport, Want};
-use crate::pairing::winner;
+use crate::messages::{GrantReply, GrantRequest, PlaceRequest, VmReport};
+use crate::peer::rendezvous_winner;
 use crate::steering::Steering;
-use crate::warmth::Warmth;
+use crate::warm_up::WarmUp;
 
 /// Requests a second below which a place isn't worth a grant.
-const LEAST_RATE: f64 = 0.2;
+const MIN_REQUEST_RATE: f64 = 0.2;
 /// The shortest time for which a request is reckoned to be in flight, in seconds.
-const LEAST_LATENCY_SECS: f64 = 0.05;
+const MIN_LATENCY_SECS: f64 = 0.05;
 /// Requests in flight asked for, as a multiple of what the usual latency makes likely.
-const IN_FLIGHT_ROOM: f64 = 2.0;
+const IN_FLIGHT_HEADROOM: f64 = 2.0;
 /// How long a VM that didn't answer is passed over.
-const AVOID_FOR: Millis = Millis(3_000);
+const AVOID_UNRESPONSIVE: Millis = Millis(3_000);
 
 /// What this VM would send to one place if it were allowed to.
 #[derive(Clone, Copy, Debug, Default)]
-struct Desired {
+struct DesiredLoad {
     /// Requests a second.
     rate: f64,
     /// Requests in flight.
@@ -31,7 +31,7 @@
 }
 
 /// What this VM wants of one place.
-struct Wanted {
+struct PlaceDemand {
     place: PlaceName,
     rate: u32,
     in_flight: u32,
@@ -42,27 +42,30 @@
     /// each with the VM to send it to. Nothing is asked that would change nothing.
     pub fn request_grants(&mut self, now: Millis) -> Vec<(VmName, GrantRequest)> {
         let names = self.plan.domains.keys();
-        let others: Vec<DomainName> = names.filter(|d| **d != self.me.domain).cloned().collect();
+        let others: Vec<DomainName> = names
+            .filter(|d| **d != self.identity.domain)
+            .cloned()
+            .collect();
         let desired = self.desired_by_place();
-        let mut asks = Vec::new();
+        let mut requests = Vec::new();
         for domain in &others {
-            let last = self.last_ask.get(domain).copied();
-            if last.is_some_and(|at| now.since(at) < self.tuning.ask_interval) {
+            let requested_at = self.last_request.get(domain).copied();
+            if requested_at.is_some_and(|at| now.since(at) < self.tuning.ask_interval) {
                 continue;
             }
-            asks.extend(self.ask_domain(domain, &desired, now));
+            requests.extend(self.request_from_domain(domain, &desired, now));
         }
-        asks
+        requests
     }
 
     /// Gives what all services together would send to each place if they were allowed to.
-    fn desired_by_place(&self) -> BTreeMap<PlaceName, Desired> {
-        let mut places: BTreeMap<PlaceName, Desired> = BTreeMap::new();
+    fn desired_by_place(&self) -> BTreeMap<PlaceName, DesiredLoad> {
+        let mut places: BTreeMap<PlaceName, DesiredLoad> = BTreeMap::new();
         for state in self.services.values() {
-            let latency_secs = (state.latency_ms / 1_000.0).max(LEAST_LATENCY_SECS);
+            let latency_secs = (state.latency_ms / 1_000.0).max(MIN_LATENCY_SECS);
             for (place, rate) in state.desired.iter().filter(|(_, rate)| *rate > 0.0) {
                 if !places.contains_key(place) {
-                    places.insert(place.clone(), Desired::default());
+                    places.insert(place.clone(), DesiredLoad::default());
                 }
                 let sum = places.get_mut(place).expect("inserted above");
                 sum.rate += rate;
@@ -72,30 +75,30 @@
         places
     }
 
-    fn ask_domain(
+    fn request_from_domain(
         &mut self,
         domain: &DomainName,
-        desired: &BTreeMap<PlaceName, Desired>,
+        desired: &BTreeMap<PlaceName, DesiredLoad>,
         now: Millis,
     ) -> Option<(VmName, GrantRequest)> {
-        let issuer = self.issuer_in(domain)?;
-        let wanted = self.wanted_of(domain, desired, now);
-        if !wanted.iter().any(|w| self.worth_asking(w, &issuer, now)) {
+        let issuer = self.select_issuer(domain)?;
+        let demand = self.demand_in(domain, desired, now);
+        if !demand.iter().any(|w| self.should_request(w, &issuer, now)) {
             return None;
         }
-        let ask = self.holder.note_ask(domain, &issuer, now);
-        let mut wants: Vec<Want> = Vec::with_capacity(wanted.len());
-        for w in &wanted {
+        let ask = self.holder.start_request(domain, &issuer, now);
+        let mut wants: Vec<PlaceRequest> = Vec::with_capacity(demand.len());
+        for w in &demand {
             if w.rate > 0 || self.holder.live(&w.place, now).is_some() {
                 wants.push(self.holder.want(&w.place, &issuer, w.rate, w.in_flight));
             }
         }
-        self.last_ask.insert(domain.clone(), now);
+        self.last_request.insert(domain.clone(), now);
         let req = GrantRequest {
             ask,
-            holder: self.me.vm.clone(),
-            holder_incarnation: self.me.incarnation,
-            domain: self.me.domain.clone(),
+            holder: self.identity.vm.clone(),
+            holder_incarnation: self.identity.incarnation,
+            domain: self.identity.domain.clone(),
             issuer_incarnation: self.holder.incarnation_of(&issuer),
             wants,
         };
@@ -104,58 +107,58 @@
 
     /// Gives the VM of `domain` that this VM asks: the winner of a rendezvous hash, so that
     /// the sources spread over the VMs, without those that lately gave no answer.
-    fn issuer_in(&self, domain: &DomainName) -> Option<VmName> {
+    fn select_issuer(&self, domain: &DomainName) -> Option<VmName> {
         let peers = self.peers.get(domain)?;
         let usable = || peers.iter().filter(|p| p.usable).map(|p| &p.vm);
-        let answering = usable().filter(|vm| !self.avoided.contains_key(*vm));
-        let key = self.me.vm.as_str();
-        winner(key, answering)
-            .or_else(|| winner(key, usable()))
+        let answering = usable().filter(|vm| !self.avoided_until.contains_key(*vm));
+        let key = self.identity.vm.as_str();
+        rendezvous_winner(key, answering)
+            .or_else(|| rendezvous_winner(key, usable()))
             .cloned()
     }
 
-    fn wanted_of(
+    fn demand_in(
         &mut self,
         domain: &DomainName,
-        desired: &BTreeMap<PlaceName, Desired>,
+        desired: &BTreeMap<PlaceName, DesiredLoad>,
         now: Millis,
-    ) -> Vec<Wanted> {
+    ) -> Vec<PlaceDemand> {
         let plan = Arc::clone(&self.plan);
-        let mut wanted = Vec::new();
+        let mut demand = Vec::new();
         for (place, _) in plan.places.iter().filter(|(_, p)| p.domain == *domain) {
             let desired = desired.get(place).copied().unwrap_or_default();
             // Callers with cached answers come whatever this VM would now prefer.
-            let rate = desired.rate.max(self.committed(place, now));
-            wanted.push(self.wanted_at(place, rate, desired.in_flight));
+            let rate = desired.rate.max(self.committed_rate(place, now));
+            demand.push(self.demand_at(place, rate, desired.in_flight));
         }
-        wanted
+        demand
     }
 
-    fn wanted_at(&self, place: &PlaceName, rate: f64, in_flight: f64) -> Wanted {
-        let mut wanted = Wanted {
+    fn demand_at(&self, place: &PlaceName, rate: f64, in_flight: f64) -> PlaceDemand {
+        let mut demand = PlaceDemand {
             place: place.clone(),
             rate: 0,
             in_flight: 0,
         };
-        if rate >= LEAST_RATE {
+        if rate >= MIN_REQUEST_RATE {
             let headroom = f64::from(self.tuning.ask_headroom_permille) / 1_000.0;
-            wanted.rate = (rate * headroom).ceil() as u32;
-            wanted.in_flight = (in_flight * IN_FLIGHT_ROOM).ceil() as u32 + 2;
+            demand.rate = (rate * headroom).ceil() as u32;
+            demand.in_flight = (in_flight * IN_FLIGHT_HEADROOM).ceil() as u32 + 2;
         }
-        wanted
+        demand
     }
 
     /// Says whether asking about one place would change anything: it needs more, holds much
     /// more than it needs, or its grant is halfway to its end.
-    fn worth_asking(&self, wanted: &Wanted, issuer: &VmName, now: Millis) -> bool {
-        let Some(held) = self.holder.live(&wanted.place, now) else {
-            return wanted.rate > 0;
+    fn should_request(&self, demand: &PlaceDemand, issuer: &VmName, now: Millis) -> bool {
+        let Some(held) = self.holder.live(&demand.place, now) else {
+            return demand.rate > 0;
         };
         let renew = held.until.since(now) < Millis(self.tuning.term.0 / 2);
-        let more = wanted.rate > held.rate || wanted.in_flight > held.in_flight;
-        let idle = wanted.rate == 0 || u64::from(wanted.rate) * 3 < u64::from(held.rate) * 2;
+        let more = demand.rate > held.rate || demand.in_flight > held.in_flight;
+        let idle = demand.rate == 0 || u64::from(demand.rate) * 3 < u64::from(held.rate) * 2;
         let moved = held.issuer != *issuer;
-        (renew && wanted.rate > 0) || more || idle || moved
+        (renew && demand.rate > 0) || more || idle || moved
     }
 
     /// Answers a request for grants. The owner must know by other means that the request comes
@@ -184,8 +187,8 @@
         GrantReply {
             ask: req.ask,
             holder_incarnation: req.holder_incarnation,
-            issuer: self.me.vm.clone(),
-            issuer_incarnation: self.me.incarnation,
+            issuer: self.identity.vm.clone(),
+            issuer_incarnation: self.identity.incarnation,
             term: self.tuning.term,
             grants,
             report_seq: self.report_seq,
@@ -196,10 +199,10 @@
     /// Gives what to keep back at a place of this failure domain, or none where it lends
     /// nothing because it, its region or this VM is drained, or all of it fails.
     fn reserve_at(&self, place: &PlaceName, now: Millis) -> Option<Reserve> {
-        if self.draining(place) || self.leaving() || !self.reports.usable(place) {
+        if self.draining(place) || self.vm_draining() || !self.reports.usable(place) {
             return None;
         }
-        if self.health_here(place, now) == 0 {
+        if self.local_health(place, now) == 0 {
             return None;
         }
         let state = self.places.get(place)?;
@@ -209,13 +212,13 @@
         let factor = f64::from(self.tuning.local_reserve_permille) / 1_000.0;
         let rate = (state.local_demand.peak() * factor).ceil() as u32;
         let in_flight = (f64::from(local.in_flight) * factor).ceil() as u32;
-        let level: f64 = state.warmth.values().map(Warmth::level).sum();
+        let warmed_rate: f64 = state.warm_up.values().map(WarmUp::warmed_rate).sum();
         Some(Reserve {
             local: Cap {
                 per_second: rate.min(usable.per_second),
                 in_flight: in_flight.min(usable.in_flight),
             },
-            warm_rate: (level + self.largest_step(place)) as u32 + 1,
+            warm_rate: (warmed_rate + self.largest_step(place)) as u32 + 1,
         })
     }
 
@@ -240,10 +243,10 @@
         if !self.holder.take(&domain, reply, now) {
             return false;
         }
-        self.avoided.remove(&reply.issuer);
+        self.avoided_until.remove(&reply.issuer);
         for grant in &reply.grants {
             let given = (grant.rate, grant.in_flight, now);
-            self.granted.insert(grant.place.clone(), given);
+            self.last_granted.insert(grant.place.clone(), given);
         }
         let report = VmReport {
             vm: reply.issuer.clone(),
@@ -252,20 +255,21 @@
             seq: reply.report_seq,
             places: reply.places.clone(),
         };
-        self.reports.take(&report, now);
+        self.reports.record(&report, now);
         true
     }
 
     /// Notes that `vm` did not answer a request for grants; another VM is asked next.
     pub fn on_grant_request_failed(&mut self, vm: &VmName, now: Millis) {
-        self.avoided.insert(vm.clone(), now + AVOID_FOR);
+        self.avoided_until
+            .insert(vm.clone(), now + AVOID_UNRESPONSIVE);
         let peers = self.peers.values().flatten();
         let domain = peers
             .filter(|p| p.vm == *vm)
             .map(|p| p.domain.clone())
             .next();
         if let Some(domain) = domain {
-            self.holder.forget_ask(&domain);
+            self.holder.abandon_request(&domain);
         }
     }
 }
--- a/crates/steering/src/holder.rs
+++ b/crates/steering/src/holder.rs
@@ -4,13 +4,13 @@
 
 use heatherknot_types::prelude::*;
 
-use crate::messages::{GrantReply, GrantToken, Want};
+use crate::messages::{GrantReply, GrantToken, PlaceRequest};
 use crate::tuning::Tuning;
 use crate::window::Window;
 
 /// The grant held for one place.
 #[derive(Clone, Debug)]
-pub struct Held {
+pub struct HeldGrant {
     /// The VM that issued it.
     pub issuer: VmName,
     /// The run of that VM.
@@ -29,7 +29,7 @@
 
 /// A request for grants that has not been answered.
 #[derive(Clone, Debug)]
-struct Ask {
+struct PendingRequest {
     number: u64,
     issuer: VmName,
     at: Millis,
@@ -41,9 +41,9 @@
     tuning: Tuning,
     vm: VmName,
     incarnation: Incarnation,
-    held: BTreeMap<PlaceName, Held>,
-    asks: BTreeMap<DomainName, Ask>,
-    next_ask: u64,
+    held: BTreeMap<PlaceName, HeldGrant>,
+    pending: BTreeMap<DomainName, PendingRequest>,
+    next_request: u64,
 }
 
 impl Holder {
@@ -54,36 +54,42 @@
             vm,
             incarnation,
             held: BTreeMap::new(),
-            asks: BTreeMap::new(),
-            next_ask: 1,
+            pending: BTreeMap::new(),
+            next_request: 1,
         }
     }
 
     /// Notes that `issuer` in `domain` is about to be asked, and gives the request's number.
     /// An answer to an earlier request to that failure domain is no longer taken.
-    pub fn note_ask(&mut self, domain: &DomainName, issuer: &VmName, now: Millis) -> u64 {
-        let number = self.next_ask;
-        self.next_ask += 1;
-        let ask = Ask {
+    pub fn start_request(&mut self, domain: &DomainName, issuer: &VmName, now: Millis) -> u64 {
+        let number = self.next_request;
+        self.next_request += 1;
+        let ask = PendingRequest {
             number,
             issuer: issuer.clone(),
             at: now,
         };
-        self.asks.insert(domain.clone(), ask);
+        self.pending.insert(domain.clone(), ask);
         number
     }
 
     /// Gives when `domain` was last asked, if the answer is still awaited.
-    pub fn asked_at(&self, domain: &DomainName) -> Option<Millis> {
-        self.asks.get(domain).map(|ask| ask.at)
+    pub fn requested_at(&self, domain: &DomainName) -> Option<Millis> {
+        self.pending.get(domain).map(|ask| ask.at)
     }
 
     /// Fills in what this VM holds of `issuer` for a want, and lowers it to what it still wants.
     ///
     /// The lowering comes first and is for good, so that the issuer can lend the rest to
     /// somebody else as soon as it reads the request.
-    pub fn want(&mut self, place: &PlaceName, issuer: &VmName, rate: u32, in_flight: u32) -> Want {
-        let mut want = Want {
+    pub fn want(
+        &mut self,
+        place: &PlaceName,
+        issuer: &VmName,
+        rate: u32,
+        in_flight: u32,
+    ) -> PlaceRequest {
+        let mut want = PlaceRequest {
             place: place.clone(),
             rate,
             in_flight,
@@ -91,12 +97,12 @@
             keep_rate: 0,
             keep_in_flight: 0,
         };
-        let run = self.incarnation_of(issuer);
+        let issuer_run = self.incarnation_of(issuer);
         if let Some(held) = self.held.get_mut(place).filter(|h| h.issuer == *issuer) {
             held.rate = held.rate.min(rate);
             held.in_flight = held.in_flight.min(in_flight);
             // The request names one run of the issuer, and numbers of another mean nothing.
-            if Some(held.issuer_incarnation) == run {
+            if Some(held.issuer_incarnation) == issuer_run {
                 want.holds = held.seq;
                 want.keep_rate = held.rate;
                 want.keep_in_flight = held.in_flight;
@@ -123,15 +129,16 @@
     /// request was sent, and a grant never replaces a newer one of the same run. An answer to
     /// this VM's earlier run may bear the same number, and is told by the run.
     pub fn take(&mut self, domain: &DomainName, reply: &GrantReply, now: Millis) -> bool {
-        let asked = self.asks.get(domain);
-        let Some(ask) = asked.filter(|a| a.number == reply.ask && a.issuer == reply.issuer) else {
+        let pending = self.pending.get(domain);
+        let Some(ask) = pending.filter(|a| a.number == reply.ask && a.issuer == reply.issuer)
+        else {
             return false;
         };
         if reply.holder_incarnation != self.incarnation {
             return false;
         }
         let until = ask.at + reply.term.min(self.tuning.term) - self.tuning.margin;
-        self.asks.remove(domain);
+        self.pending.remove(domain);
         if until <= now {
             return false;
         }
@@ -150,7 +157,7 @@
             // another and back, would each allow their whole rate within one second. What was
             // sent and is in flight counts against the next grant too.
             let (sent, used) = old.map_or_else(|| (self.new_window(), 0), |h| (h.sent, h.used));
-            let held = Held {
+            let held = HeldGrant {
                 issuer: reply.issuer.clone(),
                 issuer_incarnation: reply.issuer_incarnation,
                 seq: grant.seq,
@@ -166,12 +173,12 @@
     }
 
     /// Forgets the request to `domain`, whose answer is no longer awaited.
-    pub fn forget_ask(&mut self, domain: &DomainName) {
-        self.asks.remove(domain);
+    pub fn abandon_request(&mut self, domain: &DomainName) {
+        self.pending.remove(domain);
     }
 
     /// Gives the grant for `place` where it can still be used at `now`.
-    pub fn live(&self, place: &PlaceName, now: Millis) -> Option<&Held> {
+    pub fn live(&self, place: &PlaceName, now: Millis) -> Option<&HeldGrant> {
         self.held.get(place).filter(|h| h.until > now && h.rate > 0)
     }
 
@@ -225,7 +232,7 @@
     }
 
     /// Gives every grant held, with its place.
-    pub fn all(&self) -> impl Iterator<Item = (&PlaceName, &Held)> {
+    pub fn grants(&self) -> impl Iterator<Item = (&PlaceName, &HeldGrant)> {
         self.held.iter()
     }
 
@@ -240,7 +247,7 @@
     }
 }
 
-impl Held {
+impl HeldGrant {
     /// Gives the requests in flight under this grant.
     pub fn used(&self) -> u32 {
         self.used
--- a/crates/steering/src/lent.rs
+++ b/crates/steering/src/holder_grants.rs
@@ -4,12 +4,12 @@
 use heatherknot_types::prelude::*;
 
 use crate::allowance::{ZERO_CAP, min_cap};
-use crate::messages::Want;
+use crate::messages::PlaceRequest;
 use crate::window::Window;
 
 /// One run of one VM that holds a grant for one place.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct LentKey {
+pub struct HolderKey {
     /// The place.
     pub place: PlaceName,
     /// The holder.
@@ -20,7 +20,7 @@
 
 /// One grant as the issuer remembers it.
 #[derive(Clone, Debug)]
-pub(crate) struct Layer {
+pub(crate) struct IssuedGrant {
     pub(crate) seq: u64,
     pub(crate) cap: Cap,
     pub(crate) until: Millis,
@@ -31,17 +31,17 @@
 /// The holder uses only one of them at a time, and the issuer can't tell which it has received,
 /// so they count with the highest of them.
 #[derive(Clone, Debug)]
-pub(crate) struct Lent {
+pub(crate) struct HolderGrants {
     pub(crate) from: RegionName,
-    pub(crate) layers: Vec<Layer>,
+    pub(crate) grants: Vec<IssuedGrant>,
     pub(crate) arrivals: Window,
     pub(crate) in_flight: u32,
 }
 
-impl Lent {
+impl HolderGrants {
     /// Gives the highest of the grants that may still be used.
     pub(crate) fn cap(&self, now: Millis) -> Cap {
-        let live = self.layers.iter().filter(|l| l.until > now);
+        let live = self.grants.iter().filter(|l| l.until > now);
         live.fold(ZERO_CAP, |top, l| Cap {
             per_second: top.per_second.max(l.cap.per_second),
             in_flight: top.in_flight.max(l.cap.in_flight),
@@ -62,17 +62,17 @@
     /// The holder stopped using older grants before it sent the request, but may have used them
     /// up to that moment, so they count for one more window. A copy of the request that comes
     /// late or twice says nothing that has become untrue, since what was given up stays so.
-    pub(crate) fn give_up(&mut self, want: &Want, window: Millis, now: Millis) {
+    pub(crate) fn release(&mut self, want: &PlaceRequest, window: Millis, now: Millis) {
         let kept = Cap {
             per_second: want.keep_rate,
             in_flight: want.keep_in_flight,
         };
         let mut lowered = Vec::new();
-        for layer in &mut self.layers {
+        for layer in &mut self.grants {
             let given_up = layer.seq < want.holds;
             let shrunk = layer.seq == want.holds && min_cap(layer.cap, kept) != layer.cap;
             if shrunk {
-                lowered.push(Layer {
+                lowered.push(IssuedGrant {
                     seq: layer.seq,
                     cap: min_cap(layer.cap, kept),
                     until: layer.until,
@@ -82,7 +82,7 @@
                 layer.until = layer.until.min(now + window);
             }
         }
-        self.layers.extend(lowered);
-        self.layers.retain(|l| l.until > now);
+        self.grants.extend(lowered);
+        self.grants.retain(|l| l.until > now);
     }
 }
--- a/crates/steering/src/issuer.rs
+++ b/crates/steering/src/issuer.rs
@@ -14,9 +14,9 @@
 use heatherknot_types::prelude::*;
 
 use crate::allowance::{Allowances, NO_CAP, ZERO_CAP, min_cap};
-pub use crate::lent::LentKey;
-use crate::lent::{Layer, Lent};
-use crate::messages::{Grant, GrantRequest, GrantToken, Want};
+pub use crate::holder_grants::HolderKey;
+use crate::holder_grants::{HolderGrants, IssuedGrant};
+use crate::messages::{Grant, GrantRequest, GrantToken, PlaceRequest};
 use crate::tuning::Tuning;
 use crate::window::Window;
 
@@ -33,7 +33,7 @@
 
 /// Why an arrival doesn't fit now.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Full {
+pub enum LimitReached {
     /// The count in the window has reached a limit; it falls below at the time given.
     Rate(ScopeName, Millis),
     /// The requests in flight have reached a limit.
@@ -41,7 +41,7 @@
     /// The grant is unknown, of another run, or has expired.
     NoGrant,
     /// The grant's own rate or requests in flight are used up.
-    GrantUsed,
+    GrantExhausted,
 }
 
 /// The counts of one scope.
@@ -63,12 +63,12 @@
     vm: VmName,
     incarnation: Incarnation,
     region: RegionName,
-    opens_at: Millis,
+    admits_from: Millis,
     lends_from: Millis,
     next_seq: u64,
     scopes: BTreeMap<ScopeName, Scope>,
-    lent: BTreeMap<LentKey, Lent>,
-    wants: BTreeMap<LentKey, (Cap, RegionName, Millis)>,
+    lent: BTreeMap<HolderKey, HolderGrants>,
+    wants: BTreeMap<HolderKey, (Cap, RegionName, Millis)>,
     /// The time up to which each scope's `lent` is right if nothing changes.
     lent_valid_until: Millis,
 }
@@ -94,7 +94,7 @@
             vm,
             incarnation,
             region: RegionName::new(""),
-            opens_at: now + tuning.window,
+            admits_from: now + tuning.window,
             lends_from: now + tuning.term + tuning.margin + tuning.margin,
             next_seq: 1,
             scopes: BTreeMap::new(),
@@ -156,12 +156,12 @@
     /// # Errors
     ///
     /// Gives the limit that it would pass.
-    pub fn check_local(&mut self, place: &PlaceName, now: Millis) -> Result<(), Full> {
+    pub fn check_local(&mut self, place: &PlaceName, now: Millis) -> Result<(), LimitReached> {
         self.check_open(place, now)?;
         self.refresh(now);
         for name in [ScopeName::Place(place.clone()), ScopeName::Region] {
             let Some(scope) = self.scopes.get_mut(&name) else {
-                return Err(Full::Rate(name, now + self.tuning.window));
+                return Err(LimitReached::Rate(name, now + self.tuning.window));
             };
             check_scope(scope, &name, now)?;
             let left = scope
@@ -169,11 +169,11 @@
                 .per_second
                 .saturating_sub(scope.lent.per_second);
             if scope.local.count(now) >= left {
-                return Err(Full::Rate(name, scope.local.free_at(left, now)));
+                return Err(LimitReached::Rate(name, scope.local.free_at(left, now)));
             }
             let busy = scope.local_in_flight.saturating_add(scope.lent.in_flight);
             if busy >= scope.usable.in_flight {
-                return Err(Full::InFlight(name));
+                return Err(LimitReached::InFlight(name));
             }
         }
         Ok(())
@@ -206,23 +206,27 @@
     /// # Errors
     ///
     /// Gives the limit that it would pass, or says that the grant doesn't stand.
-    pub fn check_granted(&mut self, token: &GrantToken, now: Millis) -> Result<LentKey, Full> {
+    pub fn check_granted(
+        &mut self,
+        token: &GrantToken,
+        now: Millis,
+    ) -> Result<HolderKey, LimitReached> {
         if token.issuer != self.vm || token.issuer_incarnation != self.incarnation {
-            return Err(Full::NoGrant);
+            return Err(LimitReached::NoGrant);
         }
         self.check_open(&token.place, now)?;
-        let key = LentKey {
+        let key = HolderKey {
             place: token.place.clone(),
             holder: token.holder.clone(),
             incarnation: token.holder_incarnation,
         };
-        let lent = self.lent.get_mut(&key).ok_or(Full::NoGrant)?;
+        let lent = self.lent.get_mut(&key).ok_or(LimitReached::NoGrant)?;
         let cap = lent.cap(now);
         if cap == ZERO_CAP {
-            return Err(Full::NoGrant);
+            return Err(LimitReached::NoGrant);
         }
         if lent.arrivals.count(now) >= cap.per_second || lent.in_flight >= cap.in_flight {
-            return Err(Full::GrantUsed);
+            return Err(LimitReached::GrantExhausted);
         }
         let from = lent.from.clone();
         for name in self.scope_names(&key.place, &from) {
@@ -234,7 +238,7 @@
     }
 
     /// Counts an arrival under the grant `key`, which must have been checked at `now`.
-    pub fn start_granted(&mut self, key: &LentKey, now: Millis) {
+    pub fn start_granted(&mut self, key: &HolderKey, now: Millis) {
         let Some(lent) = self.lent.get_mut(key) else {
             return;
         };
@@ -250,7 +254,7 @@
     }
 
     /// Counts the end of an arrival under the grant `key`.
-    pub fn finish_granted(&mut self, key: &LentKey) {
+    pub fn finish_granted(&mut self, key: &HolderKey) {
         let Some(lent) = self.lent.get_mut(key) else {
             return;
         };
@@ -277,7 +281,7 @@
     ) -> Vec<Grant> {
         let mut grants = Vec::with_capacity(req.wants.len());
         for want in &req.wants {
-            let key = LentKey {
+            let key = HolderKey {
                 place: want.place.clone(),
                 holder: req.holder.clone(),
                 incarnation: req.holder_incarnation,
@@ -285,7 +289,7 @@
             if req.issuer_incarnation == Some(self.incarnation)
                 && let Some(lent) = self.lent.get_mut(&key)
             {
-                lent.give_up(want, self.tuning.window, now);
+                lent.release(want, self.tuning.window, now);
             }
             self.remember_want(&key, want, from, now);
             let kept = reserve(&want.place).filter(|_| now >= self.lends_from);
@@ -297,7 +301,13 @@
         grants
     }
 
-    fn remember_want(&mut self, key: &LentKey, want: &Want, from: &RegionName, now: Millis) {
+    fn remember_want(
+        &mut self,
+        key: &HolderKey,
+        want: &PlaceRequest,
+        from: &RegionName,
+        now: Millis,
+    ) {
         let cap = Cap {
             per_second: want.rate,
             in_flight: want.in_flight,
@@ -313,8 +323,8 @@
     /// in proportion to what all holders want, and no more than what is free.
     fn grantable(
         &mut self,
-        key: &LentKey,
-        want: &Want,
+        key: &HolderKey,
+        want: &PlaceRequest,
         from: &RegionName,
         place_reserve: Reserve,
         reserve: &dyn Fn(&PlaceName) -> Option<Reserve>,
@@ -353,7 +363,7 @@
         cap
     }
 
-    fn issue(&mut self, key: LentKey, from: &RegionName, cap: Cap, now: Millis) -> Grant {
+    fn issue(&mut self, key: HolderKey, from: &RegionName, cap: Cap, now: Millis) -> Grant {
         let seq = self.next_seq;
         self.next_seq += 1;
         let grant = Grant {
@@ -364,13 +374,13 @@
         };
         let (span, grain) = (self.tuning.window, self.tuning.window_grain);
         if cap != ZERO_CAP {
-            let lent = self.lent.entry(key).or_insert_with(|| Lent {
+            let lent = self.lent.entry(key).or_insert_with(|| HolderGrants {
                 from: from.clone(),
-                layers: Vec::new(),
+                grants: Vec::new(),
                 arrivals: Window::new(span, grain),
                 in_flight: 0,
             });
-            lent.layers.push(Layer {
+            lent.grants.push(IssuedGrant {
                 seq,
                 cap,
                 until: now + self.tuning.term + self.tuning.margin,
@@ -383,10 +393,10 @@
     /// Forgets grants that have expired and holders that no longer ask.
     pub fn tick(&mut self, now: Millis) {
         for lent in self.lent.values_mut() {
-            lent.layers.retain(|l| l.until > now);
+            lent.grants.retain(|l| l.until > now);
         }
         self.lent
-            .retain(|_, l| !l.layers.is_empty() || l.in_flight > 0 || l.arrivals.count(now) > 0);
+            .retain(|_, l| !l.grants.is_empty() || l.in_flight > 0 || l.arrivals.count(now) > 0);
         let term = self.tuning.term;
         self.wants.retain(|_, (_, _, at)| *at + term > now);
         self.lent_valid_until = Millis(0);
@@ -394,8 +404,8 @@
 
     /// Gives the rate and requests in flight that are lent out or used under grants in `name`,
     /// leaving out one holder's.
-    pub fn lent_in(&self, name: &ScopeName, except: Option<&LentKey>, now: Millis) -> Cap {
-        let in_scope = |key: &LentKey, lent: &Lent| match name {
+    pub fn lent_in(&self, name: &ScopeName, except: Option<&HolderKey>, now: Millis) -> Cap {
+        let in_scope = |key: &HolderKey, lent: &HolderGrants| match name {
             ScopeName::Place(place) => key.place == *place,
             ScopeName::Region => true,
             ScopeName::Link(from) => lent.from == *from && lent.from != self.region,
@@ -457,7 +467,7 @@
     /// Gives the time at which the last grant for `place` expires, or none.
     pub fn last_expiry(&self, place: &PlaceName) -> Option<Millis> {
         let of_place = self.lent.iter().filter(|(key, _)| key.place == *place);
-        of_place.flat_map(|(_, l)| &l.layers).map(|l| l.until).max()
+        of_place.flat_map(|(_, l)| &l.grants).map(|l| l.until).max()
     }
 
     /// Gives the run of this VM.
@@ -470,9 +480,12 @@
         self.lends_from
     }
 
-    fn check_open(&self, place: &PlaceName, now: Millis) -> Result<(), Full> {
-        if now < self.opens_at {
-            return Err(Full::Rate(ScopeName::Place(place.clone()), self.opens_at));
+    fn check_open(&self, place: &PlaceName, now: Millis) -> Result<(), LimitReached> {
+        if now < self.admits_from {
+            return Err(LimitReached::Rate(
+                ScopeName::Place(place.clone()),
+                self.admits_from,
+            ));
         }
         Ok(())
     }
@@ -486,7 +499,7 @@
     }
 
     fn wanted_in(&self, name: &ScopeName) -> Cap {
-        let in_scope = |key: &LentKey, from: &RegionName| match name {
+        let in_scope = |key: &HolderKey, from: &RegionName| match name {
             ScopeName::Place(place) => key.place == *place,
             ScopeName::Region => true,
             ScopeName::Link(link) => from == link,
@@ -517,27 +530,27 @@
                 scope.lent = lent;
             }
         }
-        let layers = self.lent.values().flat_map(|l| &l.layers);
-        let next = layers.map(|l| l.until).filter(|u| *u > now).min();
+        let grants = self.lent.values().flat_map(|l| &l.grants);
+        let next = grants.map(|l| l.until).filter(|u| *u > now).min();
         self.lent_valid_until = next.unwrap_or(Millis(u64::MAX));
     }
 }
 
-fn check_scope(scope: &mut Scope, name: &ScopeName, now: Millis) -> Result<(), Full> {
+fn check_scope(scope: &mut Scope, name: &ScopeName, now: Millis) -> Result<(), LimitReached> {
     let cap = scope.usable;
     if scope.arrivals.count(now) >= cap.per_second {
-        return Err(Full::Rate(
+        return Err(LimitReached::Rate(
             name.clone(),
             scope.arrivals.free_at(cap.per_second, now),
         ));
     }
     if scope.in_flight >= cap.in_flight {
-        return Err(Full::InFlight(name.clone()));
+        return Err(LimitReached::InFlight(name.clone()));
     }
     Ok(())
 }
 
-fn proportion(pool: Cap, want: &Want, wanted: Cap) -> Cap {
+fn proportion(pool: Cap, want: &PlaceRequest, wanted: Cap) -> Cap {
     let share = |pool: u32, want: u32, all: u32| {
         if all <= pool {
             return want;
--- a/crates/steering/src/lib.rs
+++ b/crates/steering/src/lib.rs
@@ -28,31 +28,33 @@
 
 pub mod admission;
 pub mod allowance;
-pub mod asking;
 pub mod drain;
 pub mod explain;
-pub mod fair;
+pub mod fair_share;
+pub mod grant_requests;
 pub mod holder;
+pub mod holder_grants;
 pub mod issuer;
-pub mod lent;
 pub mod lookup;
 pub mod messages;
 pub mod meter;
-pub mod pairing;
+pub mod peer;
 pub mod placement;
 pub mod record;
 pub mod report;
 pub mod retry;
-pub mod spreading;
 pub mod steering;
+pub mod traffic;
 pub mod tuning;
 pub mod upstream;
 pub mod verdict;
-pub mod warmth;
+pub mod warm_up;
 pub mod window;
 
-pub use messages::{Grant, GrantReply, GrantRequest, GrantToken, PlaceReport, VmReport, Want};
-pub use pairing::Peer;
+pub use messages::{
+    Grant, GrantReply, GrantRequest, GrantToken, PlaceReport, PlaceRequest, VmReport,
+};
+pub use peer::Peer;
 pub use steering::{Identity, Steering};
 pub use tuning::Tuning;
 pub use verdict::{Admission, Arrival, RefusalReason, Ticket, Verdict};
--- a/crates/steering/src/lookup.rs
+++ b/crates/steering/src/lookup.rs
@@ -8,7 +8,7 @@
 use crate::messages::GrantToken;
 
 /// The resolution in which expiries are kept; an answer counts until the end of its step.
-const STEP: u64 = 250;
+const EXPIRY_STEP_MS: u64 = 250;
 
 /// One place that a look-up answer names.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -42,7 +42,7 @@
 impl LiveAnswers {
     /// Counts an answer that expires at `until`.
     pub fn add(&mut self, until: Millis) {
-        let step = until.0.div_ceil(STEP);
+        let step = until.0.div_ceil(EXPIRY_STEP_MS);
         self.live += 1;
         let at = self.expiries.partition_point(|(s, _)| *s < step);
         match self.expiries.get_mut(at) {
@@ -54,7 +54,7 @@
     /// Gives the answers that are still live at `now`, and forgets the others.
     pub fn count(&mut self, now: Millis) -> u32 {
         while let Some(&(step, n)) = self.expiries.front() {
-            if step * STEP > now.0 {
+            if step * EXPIRY_STEP_MS > now.0 {
                 break;
             }
             self.expiries.pop_front();
@@ -65,17 +65,19 @@
 
     /// Gives when the last answer expires, or none where none is live.
     pub fn last_expiry(&self) -> Option<Millis> {
-        self.expiries.back().map(|(step, _)| Millis(step * STEP))
+        self.expiries
+            .back()
+            .map(|(step, _)| Millis(step * EXPIRY_STEP_MS))
     }
 }
 
 /// The live answers of one VM, by service and place.
 #[derive(Clone, Debug, Default)]
-pub struct AnswerBook {
+pub struct CachedAnswers {
     answers: BTreeMap<ServiceName, BTreeMap<PlaceName, LiveAnswers>>,
 }
 
-impl AnswerBook {
+impl CachedAnswers {
     /// Counts an answer that expires at `until`.
     pub fn add(&mut self, service: &ServiceName, place: &PlaceName, until: Millis) {
         if !self.answers.contains_key(service) {
--- a/crates/steering/src/messages.rs
+++ b/crates/steering/src/messages.rs
@@ -25,12 +25,12 @@
     pub issuer_incarnation: Option<Incarnation>,
     /// One line for each place.
     #[serde(rename = "w")]
-    pub wants: Vec<Want>,
+    pub wants: Vec<PlaceRequest>,
 }
 
 /// What a VM wants for one place and what it holds.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Want {
+pub struct PlaceRequest {
     /// The place.
     #[serde(rename = "p")]
     pub place: PlaceName,
--- a/crates/steering/src/meter.rs
+++ b/crates/steering/src/meter.rs
@@ -1,10 +1,10 @@
-//! Smoothed rates and remembered peaks of demand.
+//! Measures smoothed event rates and their recent peaks.
 
 use heatherknot_types::prelude::*;
 
-/// The rate of an event: smoothed over about two seconds, and its remembered peak.
+/// The rate of an event, smoothed over about two seconds, and its decaying peak.
 #[derive(Clone, Debug, Default)]
-pub struct Meter {
+pub struct RateMeter {
     counted: u32,
     last: Millis,
     rate: f64,
@@ -12,16 +12,16 @@
     started: bool,
 }
 
-/// The time over which a rate is smoothed, in seconds.
+/// Time constant of the smoothing, in seconds.
 const SMOOTHING_SECS: f64 = 2.0;
 
-impl Meter {
+impl RateMeter {
     /// Counts `n` events.
     pub fn add(&mut self, n: u32) {
         self.counted = self.counted.saturating_add(n);
     }
 
-    /// Brings the rate up to `now`. A peak falls to a third in `memory`.
+    /// Updates the rate to `now`. The peak decays to 1/e within `memory`.
     pub fn tick(&mut self, now: Millis, memory: Millis) {
         if !self.started {
             self.started = true;
@@ -37,16 +37,16 @@
         self.counted = 0;
         let keep = (-span / SMOOTHING_SECS).exp();
         self.rate = self.rate * keep + seen * (1.0 - keep);
-        let faded = self.peak * (-span / memory.as_secs_f64().max(0.001)).exp();
-        self.peak = faded.max(self.rate);
+        let decayed = self.peak * (-span / memory.as_secs_f64().max(0.001)).exp();
+        self.peak = decayed.max(self.rate);
     }
 
-    /// Gives the smoothed rate in events a second.
+    /// Returns the smoothed rate in events per second.
     pub fn rate(&self) -> f64 {
         self.rate
     }
 
-    /// Gives the remembered peak of the smoothed rate in events a second.
+    /// Returns the decaying peak of the smoothed rate in events per second.
     pub fn peak(&self) -> f64 {
         self.peak
     }
--- a/crates/steering/src/pairing.rs
+++ b/crates/steering/src/peer.rs
@@ -17,6 +17,9 @@
 
 /// Gives the VM that wins `key` by rendezvous hashing, or none where `vms` is empty: a VM that
 /// comes or goes moves only the keys that it wins.
-pub fn winner<'a>(key: &str, vms: impl Iterator<Item = &'a VmName>) -> Option<&'a VmName> {
+pub fn rendezvous_winner<'a>(
+    key: &str,
+    vms: impl Iterator<Item = &'a VmName>,
+) -> Option<&'a VmName> {
     vms.max_by_key(|vm| (rendezvous(&[key.as_bytes()], vm.as_str()), (*vm).clone()))
 }
--- a/crates/steering/src/record.rs
+++ b/crates/steering/src/record.rs
@@ -9,7 +9,7 @@
 
 use crate::lookup::LookupAnswer;
 use crate::messages::{GrantReply, GrantRequest, VmReport};
-use crate::pairing::Peer;
+use crate::peer::Peer;
 use crate::steering::Steering;
 use crate::upstream::{RequestOutcome, UpstreamLoad};
 use crate::verdict::{Arrival, Ticket, Verdict};
--- a/crates/steering/src/report.rs
+++ b/crates/steering/src/report.rs
@@ -12,16 +12,16 @@
 use crate::upstream::RequestOutcome;
 
 /// Health below which a place is no longer used, in thousandths.
-pub const ILL_BELOW: u16 = 500;
+pub const UNHEALTHY_BELOW: u16 = 500;
 /// Health from which a place may be used again.
-pub const WELL_FROM: u16 = 800;
+pub const HEALTHY_FROM: u16 = 800;
 /// Own outcomes of late that are enough to judge by.
-const ENOUGH_SAMPLES: f64 = 3.0;
+const MIN_SAMPLES: f64 = 3.0;
 /// The time in which an own outcome loses half its weight, in seconds.
 const OUTCOME_HALF_LIFE_SECS: f64 = 2.0;
 /// The time for which a place must be well before an earlier failure is forgotten, as a
 /// multiple of the longest hold-down.
-const FORGIVE_AFTER: u64 = 2;
+const FAILURE_RESET_MULTIPLE: u64 = 2;
 
 /// A report as it was received.
 #[derive(Clone, Debug)]
@@ -34,7 +34,7 @@
 
 /// What is known of one place.
 #[derive(Clone, Debug)]
-struct View {
+struct PlaceView {
     reports: BTreeMap<VmName, Received>,
     good: f64,
     bad: f64,
@@ -45,7 +45,7 @@
     changed_at: Millis,
 }
 
-impl View {
+impl PlaceView {
     fn new(now: Millis) -> Self {
         Self {
             reports: BTreeMap::new(),
@@ -59,7 +59,7 @@
         }
     }
 
-    fn fade(&mut self, now: Millis) {
+    fn decay(&mut self, now: Millis) {
         let span = now.since(self.last_outcome).as_secs_f64();
         self.last_outcome = now;
         let keep = 0.5_f64.powf(span / OUTCOME_HALF_LIFE_SECS);
@@ -69,7 +69,7 @@
 
     fn own_health(&self) -> Option<u16> {
         let seen = self.good + self.bad;
-        (seen >= ENOUGH_SAMPLES).then(|| (self.good * 1_000.0 / seen) as u16)
+        (seen >= MIN_SAMPLES).then(|| (self.good * 1_000.0 / seen) as u16)
     }
 }
 
@@ -89,14 +89,14 @@
     /// Age of the newest report.
     pub age: Millis,
     /// How much the newest report counts, from 0 to 1.
-    pub trust: f64,
+    pub weight: f64,
 }
 
 /// What is known of all places.
 #[derive(Clone, Debug)]
 pub struct Reports {
     tuning: Tuning,
-    places: BTreeMap<PlaceName, View>,
+    places: BTreeMap<PlaceName, PlaceView>,
 }
 
 impl Reports {
@@ -109,7 +109,7 @@
     }
 
     /// Takes in a report. One that came out of order is dropped.
-    pub fn take(&mut self, report: &VmReport, now: Millis) {
+    pub fn record(&mut self, report: &VmReport, now: Millis) {
         for place in &report.places {
             let view = self.view(&place.place, now);
             let newer = view
@@ -129,7 +129,7 @@
     }
 
     /// Gives how much a report of `age` counts, from 1 to 0.
-    pub fn trust(&self, age: Millis) -> f64 {
+    pub fn weight(&self, age: Millis) -> f64 {
         let fresh = self.tuning.report_fresh;
         if age <= fresh {
             return 1.0;
@@ -153,25 +153,25 @@
             health: 0,
             warmed: 0.0,
             age: Millis(u64::MAX),
-            trust: 0.0,
+            weight: 0.0,
         };
         let (mut health, mut weights) = (0.0, 0.0);
         for received in view.reports.values() {
             let age = now.since(received.at) + received.report.age;
-            let trust = self.trust(age);
-            if trust <= 0.0 {
+            let weight = self.weight(age);
+            if weight <= 0.0 {
                 continue;
             }
             let report = &received.report;
-            sum.rate += f64::from(report.rate) * trust;
-            sum.allowance += f64::from(report.allowance) * trust;
-            sum.lendable += f64::from(report.lendable) * trust;
-            sum.warmed += f64::from(report.warmed) * trust;
-            health += f64::from(report.health) * trust;
-            weights += trust;
+            sum.rate += f64::from(report.rate) * weight;
+            sum.allowance += f64::from(report.allowance) * weight;
+            sum.lendable += f64::from(report.lendable) * weight;
+            sum.warmed += f64::from(report.warmed) * weight;
+            health += f64::from(report.health) * weight;
+            weights += weight;
             if age < sum.age {
                 sum.age = age;
-                sum.trust = trust;
+                sum.weight = weight;
             }
         }
         sum.health = (health / weights) as u16;
@@ -179,9 +179,9 @@
     }
 
     /// Counts how one of this VM's own requests to `place` ended.
-    pub fn outcome(&mut self, place: &PlaceName, end: RequestOutcome, now: Millis) {
+    pub fn record_outcome(&mut self, place: &PlaceName, end: RequestOutcome, now: Millis) {
         let view = self.view(place, now);
-        view.fade(now);
+        view.decay(now);
         match end {
             RequestOutcome::Good => view.good += 1.0,
             RequestOutcome::Failed => view.bad += 1.0,
@@ -193,13 +193,13 @@
     /// this VM saw, in thousandths. Nothing known counts as well.
     pub fn health(&self, place: &PlaceName, now: Millis) -> u16 {
         let reported = self.summary(place, now).map_or(1_000, |s| s.health);
-        let own = self.places.get(place).and_then(View::own_health);
+        let own = self.places.get(place).and_then(PlaceView::own_health);
         reported.min(own.unwrap_or(1_000))
     }
 
     /// Gives the health of `place` as this VM's own requests saw it.
     pub fn own_health(&self, place: &PlaceName) -> u16 {
-        let own = self.places.get(place).and_then(View::own_health);
+        let own = self.places.get(place).and_then(PlaceView::own_health);
         own.unwrap_or(1_000)
     }
 
@@ -219,7 +219,7 @@
         let Some(view) = self.places.get(place) else {
             return true;
         };
-        let counts = |r: &&Received| self.trust(now.since(r.at) + r.report.age) > 0.0;
+        let counts = |r: &&Received| self.weight(now.since(r.at) + r.report.age) > 0.0;
         let newest = view.reports.values().filter(counts).max_by_key(|r| r.at);
         newest.is_none_or(|r| !r.report.without.contains(service))
     }
@@ -228,25 +228,25 @@
     ///
     /// Guards against health that flaps: traffic would swing to and fro with it and keep both
     /// ends cold. A place that was ill is left alone for a while, twice as long each time.
-    pub fn judge(&mut self, now: Millis) {
+    pub fn update_hold_downs(&mut self, now: Millis) {
         let names: Vec<PlaceName> = self.places.keys().cloned().collect();
         for name in names {
             let health = self.health(&name, now);
             let tuning = self.tuning;
             let view = self.view(&name, now);
-            view.fade(now);
-            if !view.held_down && health < ILL_BELOW {
+            view.decay(now);
+            if !view.held_down && health < UNHEALTHY_BELOW {
                 let doubled = tuning.hold_down.0 << view.failures.min(10);
                 view.hold_until = now + Millis(doubled.min(tuning.hold_down_max.0));
                 view.failures += 1;
                 view.held_down = true;
                 view.changed_at = now;
-            } else if view.held_down && health >= WELL_FROM && now >= view.hold_until {
+            } else if view.held_down && health >= HEALTHY_FROM && now >= view.hold_until {
                 view.held_down = false;
                 view.changed_at = now;
             }
-            let calm = tuning.hold_down_max.0 * FORGIVE_AFTER;
-            if !view.held_down && now.since(view.changed_at).0 >= calm {
+            let reset_after = tuning.hold_down_max.0 * FAILURE_RESET_MULTIPLE;
+            if !view.held_down && now.since(view.changed_at).0 >= reset_after {
                 view.failures = 0;
             }
             let stale = tuning.report_stale;
@@ -254,9 +254,9 @@
         }
     }
 
-    fn view(&mut self, place: &PlaceName, now: Millis) -> &mut View {
+    fn view(&mut self, place: &PlaceName, now: Millis) -> &mut PlaceView {
         if !self.places.contains_key(place) {
-            self.places.insert(place.clone(), View::new(now));
+            self.places.insert(place.clone(), PlaceView::new(now));
         }
         self.places.get_mut(place).expect("inserted above")
     }
--- a/crates/steering/src/steering.rs
+++ b/crates/steering/src/steering.rs
@@ -1,4 +1,4 @@
-//! The state from which one VM decides, and what changes it from outside.
+//! The steering state of one VM and the inputs that change it.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -10,74 +10,76 @@
 
 use crate::admission::InFlight;
 use crate::allowance::{AllowanceHistory, Allowances};
-use crate::fair::FairShare;
+use crate::fair_share::FairShare;
 use crate::holder::Holder;
 use crate::issuer::{Issuer, ScopeName};
-use crate::lookup::AnswerBook;
+use crate::lookup::CachedAnswers;
 use crate::messages::{PlaceReport, VmReport};
-use crate::meter::Meter;
-use crate::pairing::Peer;
-use crate::placement::Spread;
+use crate::meter::RateMeter;
+use crate::peer::Peer;
+use crate::placement::TrafficSplit;
 use crate::report::Reports;
 use crate::retry::RetryBudget;
 use crate::tuning::Tuning;
 use crate::upstream::{UpstreamLoad, Upstreams};
 use crate::verdict::TicketKey;
-use crate::warmth::Warmth;
+use crate::warm_up::WarmUp;
 
-/// Delay assumed to a failure domain of the same region that was never measured.
-const NEAR_DELAY: Millis = Millis(1);
-/// Delay assumed to a failure domain of another region that was never measured.
-const FAR_DELAY: Millis = Millis(55);
-/// All of a limit, in thousandths.
+/// Delay assumed to a failure domain of the same region until it is measured.
+const SAME_REGION_DELAY: Millis = Millis(1);
+/// Delay assumed to a failure domain of another region until it is measured.
+const OTHER_REGION_DELAY: Millis = Millis(55);
+/// The whole of a limit, in thousandths.
 const WHOLE_PERMILLE: u16 = 1_000;
-/// How often the spread of services is worked out anew.
-const SPREAD_INTERVAL: Millis = Millis(500);
+/// How often the traffic splits are recomputed.
+const SPLIT_INTERVAL: Millis = Millis(500);
 
-/// Which VM this is.
+/// Identifies a VM.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Identity {
     /// The VM.
     pub vm: VmName,
     /// Its failure domain.
     pub domain: DomainName,
-    /// This run of its daemon.
+    /// The incarnation of its daemon, new with each start.
     pub incarnation: Incarnation,
 }
 
-/// What is measured of one service at this VM.
+/// What this VM measures and plans for one service.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ServiceState {
-    /// Requests of callers at this VM.
-    pub(crate) demand: Meter,
-    /// Smoothed time from start to end of a request, in milliseconds.
+    /// Rate of requests from callers of this VM.
+    pub(crate) demand: RateMeter,
+    /// Moving average of the time from admission to the end of a request, in milliseconds.
     pub(crate) latency_ms: f64,
-    /// Smoothed time that a backend server here takes, in milliseconds.
-    pub(crate) run_ms: f64,
-    /// Requests a second that one cached answer brings.
-    pub(crate) per_answer: f64,
-    /// How the traffic is spread under the limits of now.
-    pub(crate) spread: Spread,
-    /// Requests a second that this VM would send to each place if it were allowed to.
+    /// Moving average of the time a local backend server takes, in milliseconds.
+    pub(crate) service_time_ms: f64,
+    /// Request rate that one cached look-up answer causes, in requests per second.
+    pub(crate) rate_per_answer: f64,
+    /// Traffic split under the current limits.
+    pub(crate) split: TrafficSplit,
+    /// Rate this VM would send to each place without the limits of its grants, in requests per
+    /// second.
     pub(crate) desired: Vec<(PlaceName, f64)>,
-    /// Requests a second to relay to each other place, beyond what cached answers bring there.
+    /// Rate to send to each place in addition to what callers with cached answers bring there, in
+    /// requests per second.
     pub(crate) relay: Vec<(PlaceName, f64)>,
 }
 
-/// What is measured of one place of this VM's failure domain.
+/// What this VM measures at one place of its failure domain.
 #[derive(Clone, Debug)]
 pub(crate) struct PlaceState {
-    /// Requests that callers of this VM bring to the place.
-    pub(crate) local_demand: Meter,
-    /// Requests in flight of those, smoothed upwards and slowly forgotten.
-    pub(crate) fair: FairShare,
-    /// Warmed rates by service.
-    pub(crate) warmth: BTreeMap<ServiceName, Warmth>,
+    /// Rate of this VM's callers' requests to the place.
+    pub(crate) local_demand: RateMeter,
+    /// Use of the place by each client account.
+    pub(crate) fair_share: FairShare,
+    /// Warm-up state by service.
+    pub(crate) warm_up: BTreeMap<ServiceName, WarmUp>,
 }
 
-/// The state from which one VM decides. See the package's page for how it is driven.
+/// Steering state of one VM. The crate documentation describes how it is driven.
 pub struct Steering {
-    pub(crate) me: Identity,
+    pub(crate) identity: Identity,
     pub(crate) region: RegionName,
     pub(crate) tuning: Tuning,
     pub(crate) plan: Arc<Plan>,
@@ -85,78 +87,78 @@
     pub(crate) allowances: AllowanceHistory,
     pub(crate) issuer: Issuer,
     pub(crate) holder: Holder,
-    pub(crate) held_fair: BTreeMap<PlaceName, FairShare>,
+    pub(crate) remote_shares: BTreeMap<PlaceName, FairShare>,
     pub(crate) peers: BTreeMap<DomainName, Vec<Peer>>,
     pub(crate) delays: BTreeMap<DomainName, Millis>,
-    pub(crate) avoided: BTreeMap<VmName, Millis>,
-    pub(crate) last_ask: BTreeMap<DomainName, Millis>,
-    pub(crate) granted: BTreeMap<PlaceName, (u32, u32, Millis)>,
+    pub(crate) avoided_until: BTreeMap<VmName, Millis>,
+    pub(crate) last_request: BTreeMap<DomainName, Millis>,
+    pub(crate) last_granted: BTreeMap<PlaceName, (u32, u32, Millis)>,
     pub(crate) reports: Reports,
     pub(crate) report_seq: u64,
     pub(crate) services: BTreeMap<ServiceName, ServiceState>,
     pub(crate) places: BTreeMap<PlaceName, PlaceState>,
     pub(crate) upstreams: Upstreams,
     pub(crate) retries: BTreeMap<(ServiceName, PlaceName), RetryBudget>,
-    pub(crate) answers: AnswerBook,
+    pub(crate) answers: CachedAnswers,
     pub(crate) tickets: SlotMap<TicketKey, InFlight>,
-    pub(crate) last_spread: Millis,
-    pub(crate) emptied: BTreeMap<PlaceName, Millis>,
+    pub(crate) last_split_update: Millis,
+    pub(crate) drained_since: BTreeMap<PlaceName, Millis>,
 }
 
 impl Steering {
-    /// Makes the state of a daemon that started at `now`. It admits nothing before `on_plan`
-    /// and `on_capacity_part` have been called and one window has passed.
-    pub fn new(me: Identity, tuning: Tuning, now: Millis) -> Self {
+    /// Creates the state of a daemon that started at `now`. It admits nothing until `on_plan` and
+    /// `on_capacity_part` have been called and one window has passed.
+    pub fn new(identity: Identity, tuning: Tuning, now: Millis) -> Self {
         Self {
-            issuer: Issuer::new(me.vm.clone(), me.incarnation, tuning, now),
-            holder: Holder::new(me.vm.clone(), me.incarnation, tuning),
+            issuer: Issuer::new(identity.vm.clone(), identity.incarnation, tuning, now),
+            holder: Holder::new(identity.vm.clone(), identity.incarnation, tuning),
             region: RegionName::new(""),
             tuning,
             plan: Arc::default(),
             part: 0,
             allowances: AllowanceHistory::default(),
-            held_fair: BTreeMap::new(),
+            remote_shares: BTreeMap::new(),
             peers: BTreeMap::new(),
             delays: BTreeMap::new(),
-            avoided: BTreeMap::new(),
-            last_ask: BTreeMap::new(),
-            granted: BTreeMap::new(),
+            avoided_until: BTreeMap::new(),
+            last_request: BTreeMap::new(),
+            last_granted: BTreeMap::new(),
             reports: Reports::new(tuning),
             report_seq: 0,
             services: BTreeMap::new(),
             places: BTreeMap::new(),
             upstreams: Upstreams::default(),
             retries: BTreeMap::new(),
-            answers: AnswerBook::default(),
+            answers: CachedAnswers::default(),
             tickets: SlotMap::with_key(),
-            last_spread: now,
-            emptied: BTreeMap::new(),
-            me,
+            last_split_update: now,
+            drained_since: BTreeMap::new(),
+            identity,
         }
     }
 
-    /// Gives which VM this is.
+    /// Returns the identity of this VM.
     pub fn identity(&self) -> &Identity {
-        &self.me
+        &self.identity
     }
 
-    /// Gives the settings in force.
+    /// Returns the plan in force.
     pub fn plan(&self) -> &Arc<Plan> {
         &self.plan
     }
 
-    /// Takes in settings; older ones than those in force change nothing. Caps that shrink stop
-    /// new grants at once, and grants already out run out within their term.
+    /// Applies a plan; one older than the plan in force is ignored. A lowered cap stops new grants
+    /// at once, and outstanding grants end within their term.
     pub fn on_plan(&mut self, plan: Arc<Plan>, now: Millis) {
         if plan.revision < self.plan.revision {
             return;
         }
-        let domain = plan.domains.get(&self.me.domain);
+        let domain = plan.domains.get(&self.identity.domain);
         self.region = domain.map_or_else(|| RegionName::new(""), |d| d.region.clone());
         self.plan = plan;
         let plan = Arc::clone(&self.plan);
-        let ours = |place: &PlaceName| is_ours(&plan, place, &self.me.domain);
-        self.upstreams.set_plan(&plan.services, &ours);
+        let local = |place: &PlaceName| is_local(&plan, place, &self.identity.domain);
+        self.upstreams.set_plan(&plan.services, &local);
         self.services
             .retain(|name, _| plan.services.contains_key(name));
         for name in plan.services.keys() {
@@ -164,7 +166,7 @@
                 self.services.insert(name.clone(), ServiceState::default());
             }
         }
-        self.set_places(now);
+        self.update_places(now);
         self.retries.retain(|(service, place), _| {
             plan.services.contains_key(service) && plan.places.contains_key(place)
         });
@@ -172,23 +174,24 @@
         self.apply_allowances(now);
     }
 
-    /// Takes in this VM's part of its failure domain's capacity, in thousandths. Lower it here
-    /// first and in the capacity ledger only when [`Steering::fits_capacity_part`] says so.
+    /// Sets this VM's part of its failure domain's capacity, in thousandths. To give up capacity,
+    /// lower the part here first, and in the capacity ledger only once
+    /// [`Steering::fits_capacity_part`] returns true.
     pub fn on_capacity_part(&mut self, part: u16, now: Millis) {
         self.part = part;
         self.allowances.set_part(part, now);
         self.apply_allowances(now);
     }
 
-    /// Gives this VM's part of its failure domain's capacity, in thousandths.
+    /// Returns this VM's part of its failure domain's capacity, in thousandths.
     pub fn capacity_part(&self) -> u16 {
         self.part
     }
 
-    /// Says whether all that this VM has lent out and in use fits into `part` thousandths, so
-    /// that another VM may have the rest.
+    /// Returns whether all capacity that this VM has lent out or uses fits into `part`
+    /// thousandths, so that the rest can go to another VM.
     pub fn fits_capacity_part(&self, part: u16, now: Millis) -> bool {
-        let lower = Allowances::of(&self.plan, &self.me.domain, part);
+        let lower = Allowances::of(&self.plan, &self.identity.domain, part);
         let mut bounds = vec![(ScopeName::Region, lower.region)];
         bounds.extend(
             lower
@@ -214,7 +217,7 @@
         })
     }
 
-    /// Takes in the VMs known of every failure domain.
+    /// Replaces the list of known VMs.
     pub fn on_peers(&mut self, peers: Vec<Peer>) {
         self.peers.clear();
         for peer in peers {
@@ -225,17 +228,17 @@
         }
     }
 
-    /// Takes in the one-way delay measured to a failure domain.
+    /// Records the one-way delay measured to a failure domain.
     pub fn on_delay(&mut self, domain: &DomainName, delay: Millis) {
         self.delays.insert(domain.clone(), delay);
     }
 
-    /// Takes in a VM's report.
+    /// Records a VM's load report.
     pub fn on_report(&mut self, report: &VmReport, now: Millis) {
-        self.reports.take(report, now);
+        self.reports.record(report, now);
     }
 
-    /// Takes in an upstream's load or health answer.
+    /// Records an upstream's load or health response.
     pub fn on_upstream_load(
         &mut self,
         service: &ServiceName,
@@ -246,41 +249,41 @@
         self.upstreams.report(service, upstream, load, now);
     }
 
-    /// Notes that an upstream of this failure domain is leaving, or that it no longer is.
+    /// Sets whether an upstream of this failure domain is shutting down.
     pub fn on_upstream_leaving(
         &mut self,
         service: &ServiceName,
         upstream: &UpstreamName,
-        leaving: bool,
+        vm_draining: bool,
     ) {
-        self.upstreams.set_leaving(service, upstream, leaving);
+        self.upstreams.set_leaving(service, upstream, vm_draining);
     }
 
-    /// Notes that an upstream of this failure domain has just started and is cold.
+    /// Records that an upstream of this failure domain has just started with cold caches.
     pub fn on_upstream_cold(
         &mut self,
         service: &ServiceName,
         upstream: &UpstreamName,
         now: Millis,
     ) {
-        self.upstreams.started_cold(service, upstream, now);
+        self.upstreams.mark_cold(service, upstream, now);
     }
 
-    /// Sets the warmed rates of a place of this failure domain: to nothing where its caches
-    /// were lost, or to `rate` requests a second of this VM's part where another VM that served
-    /// it before knows.
+    /// Sets the warmed rate of a place of this failure domain: zero after its caches were lost, or
+    /// this VM's part of a rate, in requests per second, known from a VM that served the place
+    /// before.
     pub fn on_warmed(&mut self, place: &PlaceName, rate: f64) {
         if let Some(state) = self.places.get_mut(place) {
-            let n = state.warmth.len().max(1) as f64;
-            for warmth in state.warmth.values_mut() {
-                warmth.set_level(rate / n);
+            let n = state.warm_up.len().max(1) as f64;
+            for warm_up in state.warm_up.values_mut() {
+                warm_up.set_warmed_rate(rate / n);
             }
         }
     }
 
-    /// Brings everything up to `now`. Call it about ten times a second.
+    /// Advances the state to `now`. Call it about ten times a second.
     pub fn tick(&mut self, now: Millis) {
-        if self.allowances.forget(&self.tuning, now) {
+        if self.allowances.prune(&self.tuning, now) {
             self.apply_allowances(now);
         }
         self.issuer.tick(now);
@@ -288,16 +291,16 @@
         self.answers.tick(now);
         self.upstreams.tick(&self.tuning, now);
         self.tick_meters(now);
-        self.reports.judge(now);
-        self.avoided.retain(|_, until| *until > now);
-        if now.since(self.last_spread) >= SPREAD_INTERVAL {
-            let span = now.since(self.last_spread);
-            self.last_spread = now;
-            self.spread(span, now);
+        self.reports.update_hold_downs(now);
+        self.avoided_until.retain(|_, until| *until > now);
+        if now.since(self.last_split_update) >= SPLIT_INTERVAL {
+            let span = now.since(self.last_split_update);
+            self.last_split_update = now;
+            self.update_splits(span, now);
         }
     }
 
-    /// Gives this VM's load at the places of its failure domain.
+    /// Returns this VM's load report for the places of its failure domain.
     pub fn report(&mut self, now: Millis) -> VmReport {
         self.report_seq += 1;
         let places = self
@@ -306,9 +309,9 @@
             .map(|p| self.place_report(p, now))
             .collect();
         VmReport {
-            vm: self.me.vm.clone(),
-            domain: self.me.domain.clone(),
-            incarnation: self.me.incarnation,
+            vm: self.identity.vm.clone(),
+            domain: self.identity.domain.clone(),
+            incarnation: self.identity.incarnation,
             seq: self.report_seq,
             places,
         }
@@ -320,32 +323,32 @@
         let used = self.issuer.used_in(&name, now).per_second;
         let lent = self.issuer.lent_in(&name, None, now).per_second;
         let local = self.issuer.local_in(&name, now).per_second;
-        let warmth = self.places.get(place).map(|s| &s.warmth);
-        let warmed: f64 = warmth.map_or(0.0, |w| w.values().map(Warmth::level).sum());
+        let warm_up = self.places.get(place).map(|s| &s.warm_up);
+        let warmed: f64 = warm_up.map_or(0.0, |w| w.values().map(WarmUp::warmed_rate).sum());
         PlaceReport {
             place: place.clone(),
             age: Millis(0),
             rate: used,
             allowance: usable,
             lendable: usable.saturating_sub(lent).saturating_sub(local),
-            health: self.health_here(place, now),
+            health: self.local_health(place, now),
             warmed: warmed as u32,
-            without: self.services_without(place, now),
+            without: self.unavailable_services(place, now),
         }
     }
 
-    /// Gives the services that have backend servers at `place` of which none may get work now.
-    fn services_without(&self, place: &PlaceName, now: Millis) -> Vec<ServiceName> {
+    /// Returns the services with backend servers at `place`, none of which is usable now.
+    fn unavailable_services(&self, place: &PlaceName, now: Millis) -> Vec<ServiceName> {
         let here = |s: &ServicePlan| s.upstreams.iter().any(|u| u.place == *place);
         let services = self.plan.services.iter().filter(|(_, s)| here(s));
         let without = services.filter(|(name, _)| !self.upstreams.any_usable(name, place, now));
         without.map(|(name, _)| name.clone()).collect()
     }
 
-    /// Gives the health of a place of this failure domain: what its requests saw, and nothing
-    /// where no backend server may be used.
-    pub(crate) fn health_here(&self, place: &PlaceName, now: Millis) -> u16 {
-        let services = self.places.get(place).map(|s| s.warmth.keys());
+    /// Returns the health of a place of this failure domain as seen by this VM's requests, or zero
+    /// if no backend server there is usable.
+    pub(crate) fn local_health(&self, place: &PlaceName, now: Millis) -> u16 {
+        let services = self.places.get(place).map(|s| s.warm_up.keys());
         let mut services = services.into_iter().flatten();
         if services.any(|s| self.upstreams.any_usable(s, place, now)) {
             self.reports.own_health(place)
@@ -354,36 +357,35 @@
         }
     }
 
-    /// Gives the parts of `service`'s traffic by place, from 0 to 1, as they are now.
-    pub fn weights(&self, service: &ServiceName) -> &Spread {
-        static NONE: Spread = Spread::EMPTY;
-        self.services.get(service).map_or(&NONE, |s| &s.spread)
+    /// Returns the current split of `service`'s traffic.
+    pub fn weights(&self, service: &ServiceName) -> &TrafficSplit {
+        static NONE: TrafficSplit = TrafficSplit::EMPTY;
+        self.services.get(service).map_or(&NONE, |s| &s.split)
     }
 
-    /// Gives how often any place's part of any service turned from growing to shrinking or
-    /// back.
+    /// Returns how often the share of any place changed direction, over all services.
     pub fn direction_changes(&self) -> u64 {
         self.services
             .values()
-            .map(|s| s.spread.direction_changes)
+            .map(|s| s.split.direction_changes)
             .sum()
     }
 
-    /// Gives the issuer's side, for figures and tests.
+    /// Returns the grant issuer, for metrics and tests.
     pub fn issuer(&self) -> &Issuer {
         &self.issuer
     }
 
-    /// Gives the holder's side, for figures and tests.
+    /// Returns the grant holder, for metrics and tests.
     pub fn holder(&self) -> &Holder {
         &self.holder
     }
 
-    pub(crate) fn is_ours(&self, place: &PlaceName) -> bool {
-        is_ours(&self.plan, place, &self.me.domain)
+    pub(crate) fn is_local(&self, place: &PlaceName) -> bool {
+        is_local(&self.plan, place, &self.identity.domain)
     }
 
-    /// Says whether an operator is moving traffic away from `place` or its region.
+    /// Returns whether an operator is draining `place` or its region.
     pub(crate) fn draining(&self, place: &PlaceName) -> bool {
         let Some(plan) = self.plan.places.get(place) else {
             return false;
@@ -393,10 +395,10 @@
         plan.draining || region.is_some_and(|r| r.draining)
     }
 
-    /// Says whether an operator is moving traffic away from this VM.
-    pub(crate) fn leaving(&self) -> bool {
-        let domain = self.plan.domains.get(&self.me.domain);
-        domain.is_some_and(|d| d.draining_vms.contains(&self.me.vm))
+    /// Returns whether an operator is draining this VM.
+    pub(crate) fn vm_draining(&self) -> bool {
+        let domain = self.plan.domains.get(&self.identity.domain);
+        domain.is_some_and(|d| d.draining_vms.contains(&self.identity.vm))
     }
 
     pub(crate) fn region_of(&self, domain: &DomainName) -> Option<&RegionName> {
@@ -404,55 +406,64 @@
     }
 
     pub(crate) fn delay_to(&self, domain: &DomainName) -> Millis {
-        if *domain == self.me.domain {
+        if *domain == self.identity.domain {
             return Millis(0);
         }
         let near = self.region_of(domain) == Some(&self.region);
-        let assumed = if near { NEAR_DELAY } else { FAR_DELAY };
+        let assumed = if near {
+            SAME_REGION_DELAY
+        } else {
+            OTHER_REGION_DELAY
+        };
         self.delays.get(domain).copied().unwrap_or(assumed)
     }
 
-    /// Gives the growth that a service may make at a place of this failure domain in a second.
+    /// Returns the growth allowed to a service at a place of this failure domain within one
+    /// second, in requests per second.
     pub(crate) fn growth_step(&self, service: &ServicePlan, place: &PlaceName) -> f64 {
         let usable = self.issuer.usable_in(&ScopeName::Place(place.clone()));
         f64::from(usable.per_second) * f64::from(service.growth_permille) / 1_000.0
     }
 
-    fn set_places(&mut self, now: Millis) {
+    fn update_places(&mut self, now: Millis) {
         let plan = Arc::clone(&self.plan);
-        let domain = self.me.domain.clone();
-        self.places.retain(|name, _| is_ours(&plan, name, &domain));
-        let ours = plan.places.iter().filter(|(_, p)| p.domain == domain);
-        for (name, _) in ours {
+        let domain = self.identity.domain.clone();
+        self.places.retain(|name, _| is_local(&plan, name, &domain));
+        let local = plan.places.iter().filter(|(_, p)| p.domain == domain);
+        for (name, _) in local {
             let tuning = self.tuning;
             let state = self
                 .places
                 .entry(name.clone())
                 .or_insert_with(|| PlaceState {
-                    local_demand: Meter::default(),
-                    fair: FairShare::new(tuning),
-                    warmth: BTreeMap::new(),
+                    local_demand: RateMeter::default(),
+                    fair_share: FairShare::new(tuning),
+                    warm_up: BTreeMap::new(),
                 });
-            state.fair.set_shares(&shares_at(&plan, name));
+            state.fair_share.set_shares(&shares_at(&plan, name));
             let here = |service: &ServicePlan| service.upstreams.iter().any(|u| u.place == *name);
             state
-                .warmth
+                .warm_up
                 .retain(|s, _| plan.services.get(s).is_some_and(here));
             for (service, _) in plan.services.iter().filter(|(_, s)| here(s)) {
-                let cold = || Warmth::new(&tuning, now);
-                state.warmth.entry(service.clone()).or_insert_with(cold);
+                let cold = || WarmUp::new(&tuning, now);
+                state.warm_up.entry(service.clone()).or_insert_with(cold);
             }
         }
-        self.held_fair
+        self.remote_shares
             .retain(|name, _| plan.places.contains_key(name));
-        for (name, fair) in &mut self.held_fair {
-            fair.set_shares(&shares_at(&plan, name));
+        for (name, fair_share) in &mut self.remote_shares {
+            fair_share.set_shares(&shares_at(&plan, name));
         }
     }
 
     fn apply_allowances(&mut self, now: Millis) {
-        let usable = self.allowances.usable(&self.me.domain, &self.tuning, now);
-        let lendable = self.allowances.lendable(&self.me.domain, &self.tuning, now);
+        let usable = self
+            .allowances
+            .usable(&self.identity.domain, &self.tuning, now);
+        let lendable = self
+            .allowances
+            .lendable(&self.identity.domain, &self.tuning, now);
         self.issuer.set_allowances(&self.region, &usable, &lendable);
     }
 
@@ -463,24 +474,24 @@
         }
         for place in self.places.values_mut() {
             place.local_demand.tick(now, memory);
-            place.fair.tick(now);
-            for warmth in place.warmth.values_mut() {
-                warmth.tick(&self.tuning, now);
+            place.fair_share.tick(now);
+            for warm_up in place.warm_up.values_mut() {
+                warm_up.tick(&self.tuning, now);
             }
         }
-        for fair in self.held_fair.values_mut() {
-            fair.tick(now);
+        for fair_share in self.remote_shares.values_mut() {
+            fair_share.tick(now);
         }
     }
 }
 
-fn is_ours(plan: &Plan, place: &PlaceName, domain: &DomainName) -> bool {
+fn is_local(plan: &Plan, place: &PlaceName, domain: &DomainName) -> bool {
     plan.places.get(place).is_some_and(|p| p.domain == *domain)
 }
 
-/// Gives the shares of each account with a service at `place`. A plan without accounts, as in
-/// a trace written by hand, guarantees the largest share that any of an account's services
-/// there has.
+/// Returns the shares of each account with a service at `place`. For an account that the plan does
+/// not list, as in a trace written by hand, the guaranteed share is the largest share of any of
+/// its services there.
 pub(crate) fn shares_at(plan: &Plan, place: &PlaceName) -> BTreeMap<AccountName, AccountPlan> {
     let mut shares: BTreeMap<AccountName, AccountPlan> = BTreeMap::new();
     for service in plan.services.values() {
--- a/crates/steering/src/upstream.rs
+++ b/crates/steering/src/upstream.rs
@@ -224,7 +224,7 @@
     }
 
     /// Notes that an upstream has just started and is cold.
-    pub fn started_cold(&mut self, service: &ServiceName, upstream: &UpstreamName, now: Millis) {
+    pub fn mark_cold(&mut self, service: &ServiceName, upstream: &UpstreamName, now: Millis) {
         if let Some(u) = self.find(service, upstream) {
             u.warm_from = Some(now);
             u.failures = 0;
--- a/crates/steering/src/window.rs
+++ b/crates/steering/src/window.rs
@@ -1,14 +1,14 @@
-//! A count of events in any span of one window, with no burst beyond it.
+//! Counts events in a sliding window.
 
 use std::collections::VecDeque;
 
 use heatherknot_types::prelude::*;
 
-/// The events of the last window, oldest first.
+/// Events of the last window, oldest first.
 ///
-/// An event at `t` counts from `t` up to but not including `t + span`. A grain above 1 ms
-/// rounds each event up to the grain's end: fewer entries, and each counts a little longer, so
-/// the count may be too high and never too low.
+/// An event at `t` counts from `t` up to but not including `t + span`. A grain above 1 ms rounds
+/// each event up to the end of its grain, which stores fewer entries but counts each event a
+/// little longer, so the count may be too high but never too low.
 #[derive(Clone, Debug)]
 pub struct Window {
     span: Millis,
@@ -18,7 +18,7 @@
 }
 
 impl Window {
-    /// Makes an empty window of `span`, counted in steps of `grain` (at least 1 ms).
+    /// Creates an empty window of length `span` with a resolution of `grain` (at least 1 ms).
     pub fn new(span: Millis, grain: Millis) -> Self {
         Self {
             span,
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Gives the number of events that count at `now`.
+    /// Returns the number of events in the window at `now` and removes older ones.
     pub fn count(&mut self, now: Millis) -> u32 {
         while let Some(&(at, n)) = self.events.front() {
             if at + self.span > now {
@@ -55,7 +55,7 @@
         self.sum
     }
 
-    /// Gives the number of events that count at `now` without forgetting old ones.
+    /// Returns the number of events in the window at `now` without removing older ones.
     pub fn peek(&self, now: Millis) -> u32 {
         let gone = self
             .events
@@ -64,8 +64,8 @@
         self.sum - gone.map(|(_, n)| n).sum::<u32>()
     }
 
-    /// Gives the time at which fewer than `limit` events count, if nothing more is added.
-    /// A limit of zero is never met, and gives the end of the window.
+    /// Returns the time at which fewer than `limit` events are in the window if none is added. A
+    /// limit of zero is never met and returns the end of the window.
     pub fn free_at(&self, limit: u32, now: Millis) -> Millis {
         let mut left = self.peek(now);
         if left < limit {
--- a/crates/steering/tests/fairness.rs
+++ b/crates/steering/tests/fairness.rs
@@ -5,7 +5,7 @@
 use bolero::TypeGenerator;
 use common::*;
 use heatherknot_steering::Tuning;
-use heatherknot_steering::fair::{FairShare, Share};
+use heatherknot_steering::fair_share::{FairShare, Share};
 use heatherknot_types::plan::Cap;
 use heatherknot_types::prelude::*;
 
@@ -55,7 +55,7 @@
                 fair.demand(account, Class::Interactive, now);
                 let total = admitted.len();
                 let share = fair.check(account, Class::Interactive, LIMIT, now);
-                if share != Share::Over && total < LIMIT.per_second as usize {
+                if share != Share::Exceeded && total < LIMIT.per_second as usize {
                     fair.start(account, Class::Interactive, now);
                     admitted.push(step);
                     most = most.max(admitted.len());
@@ -92,7 +92,7 @@
     let mut borrowed = 0;
 
     for _ in 0..200 {
-        if fair.check(&loud, Class::Interactive, LIMIT, Millis(0)) != Share::Over {
+        if fair.check(&loud, Class::Interactive, LIMIT, Millis(0)) != Share::Exceeded {
             fair.start(&loud, Class::Interactive, Millis(0));
             borrowed += 1;
         }
@@ -119,7 +119,7 @@
                 fair.demand(account, Class::Interactive, now);
                 let total: usize = served.iter().filter(|(at, _)| at + 10 > step).count();
                 let share = fair.check(account, Class::Interactive, LIMIT, now);
-                if share != Share::Over && total < 100 {
+                if share != Share::Exceeded && total < 100 {
                     fair.start(account, Class::Interactive, now);
                     fair.finish(account);
                     served.push((step, account.clone()));
@@ -169,7 +169,7 @@
             for _ in 0..n {
                 fair.demand(account, class, now);
                 let share = fair.check(account, class, LIMIT, now);
-                if share == Share::Over || admitted.len() >= LIMIT.per_second as usize {
+                if share == Share::Exceeded || admitted.len() >= LIMIT.per_second as usize {
                     let mine = account == &me && class == Class::Interactive;
                     refused += u32::from(mine && step >= 10);
                     continue;
@@ -193,7 +193,7 @@
     fair.set_shares(&[(me.clone(), share(100, 400))].into());
 
     let admitted = (0..200).filter(|_| {
-        let may = fair.check(&me, Class::Interactive, LIMIT, Millis(0)) != Share::Over;
+        let may = fair.check(&me, Class::Interactive, LIMIT, Millis(0)) != Share::Exceeded;
         if may {
             fair.start(&me, Class::Interactive, Millis(0));
         }
--- a/crates/steering/tests/grants_property.rs
+++ b/crates/steering/tests/grants_property.rs
@@ -7,8 +7,8 @@
 use bolero::TypeGenerator;
 use common::cap;
 use heatherknot_steering::allowance::Allowances;
-use heatherknot_steering::holder::{Held, Holder};
-use heatherknot_steering::issuer::{Issuer, LentKey, Reserve};
+use heatherknot_steering::holder::{HeldGrant, Holder};
+use heatherknot_steering::issuer::{HolderKey, Issuer, Reserve};
 use heatherknot_steering::{GrantReply, GrantRequest, GrantToken, Tuning};
 use heatherknot_types::plan::Cap;
 use heatherknot_types::prelude::*;
@@ -123,7 +123,7 @@
 
 enum Running {
     Local(usize, u64, PlaceName),
-    Granted(usize, u64, LentKey, GrantToken),
+    Granted(usize, u64, HolderKey, GrantToken),
 }
 
 /// An event that loads a place, its region and perhaps the link, with the issuer it belongs to.
@@ -279,7 +279,7 @@
         let clock = self.clock_of(holder);
         let vm = issuer_name(issuer);
         let h = &mut self.holders[holder];
-        let ask = h.note_ask(&"n1".into(), &vm, clock);
+        let ask = h.start_request(&"n1".into(), &vm, clock);
         let want =
             |place: &&str| h.want(&PlaceName::from(*place), &vm, rate.into(), in_flight.into());
         let wants = PLACES.iter().map(want).collect();
@@ -546,7 +546,7 @@
         let mut sum = cap(0, 0);
         for (at, holder) in self.holders.iter().enumerate() {
             let held = holder.live(place, self.clock_of(at));
-            let counts = |h: &&Held| match from {
+            let counts = |h: &&HeldGrant| match from {
                 None => h.issuer == vm && h.issuer_incarnation == run,
                 Some(region) => h.issuer == vm && region == region_of_holder(at),
             };
--- a/crates/steering/tests/rules.rs
+++ b/crates/steering/tests/rules.rs
@@ -9,7 +9,7 @@
 use heatherknot_steering::allowance::Allowances;
 use heatherknot_steering::holder::Holder;
 use heatherknot_steering::lookup::LiveAnswers;
-use heatherknot_steering::pairing::winner;
+use heatherknot_steering::peer::rendezvous_winner;
 use heatherknot_steering::record::{Decision, Entry, Input, step};
 use heatherknot_steering::report::Reports;
 use heatherknot_steering::retry::RetryBudget;
@@ -84,7 +84,7 @@
         .map(|n| format!("d{}-{}", n % 15, n / 15))
         .collect();
     let pair = |source: &String, gone: Option<&VmName>| {
-        winner(source, vms.iter().filter(|vm| Some(*vm) != gone))
+        rendezvous_winner(source, vms.iter().filter(|vm| Some(*vm) != gone))
             .expect("a VM")
             .clone()
     };
@@ -112,14 +112,14 @@
     let mut taken = 0;
 
     for at in 0..1_000 {
-        budget.first_try(Millis(at));
+        budget.record_first_try(Millis(at));
         taken += u32::from(budget.take(100, Millis(at)));
     }
 
     assert!((95..=102).contains(&taken), "{taken}");
-    budget.overloaded(Millis(3_000));
+    budget.set_overloaded(Millis(3_000));
     for at in 1_000..2_000 {
-        budget.first_try(Millis(at));
+        budget.record_first_try(Millis(at));
     }
     assert!(
         !budget.take(100, Millis(2_000)),
@@ -212,7 +212,7 @@
 fn a_cold_upstream_gets_its_slots_step_by_step() {
     let mut u = upstreams();
     let service = ServiceName::from(GALLERY);
-    u.started_cold(&service, &"n1-0".into(), Millis(0));
+    u.mark_cold(&service, &"n1-0".into(), Millis(0));
     let tuning = Tuning::default();
 
     let slots =
@@ -279,8 +279,8 @@
 fn a_report_counts_for_less_as_it_ages_and_then_for_nothing() {
     let mut reports = Reports::new(Tuning::default());
     let place = PlaceName::from("s1");
-    reports.take(&report(2, 900), Millis(0));
-    reports.take(&report(1, 100), Millis(0));
+    reports.record(&report(2, 900), Millis(0));
+    reports.record(&report(1, 100), Millis(0));
 
     let at = |ms| {
         reports
@@ -306,13 +306,13 @@
 
     for turn in 0..3_u64 {
         let start = turn * 20_000;
-        reports.take(&report(2 * turn, 0), Millis(start));
-        reports.judge(Millis(start));
-        reports.take(&report(2 * turn + 1, 1_000), Millis(start + 100));
+        reports.record(&report(2 * turn, 0), Millis(start));
+        reports.update_hold_downs(Millis(start));
+        reports.record(&report(2 * turn + 1, 1_000), Millis(start + 100));
         let mut at = start;
         while !reports.usable(&place) {
             at += 100;
-            reports.judge(Millis(at));
+            reports.update_hold_downs(Millis(at));
         }
         alone.push(at - start);
     }
@@ -321,7 +321,7 @@
 }
 
 fn take_grant(holder: &mut Holder, seq: u64, now: Millis) {
-    let ask = holder.note_ask(&"s1".into(), &"v-s1".into(), now);
+    let ask = holder.start_request(&"s1".into(), &"v-s1".into(), now);
     let reply = GrantReply {
         ask,
         holder_incarnation: Incarnation(1),
