--- a/crates/steering/src/admission.rs
+++ b/crates/steering/src/admission.rs
@@ -1,4 +1,4 @@
-//! What becomes of each request at this VM: run here, hand over, wait or refuse.
+//! Admission of requests: run here, relay to another VM, wait or refuse.
 
 use std::sync::Arc;
 
@@ -12,20 +12,21 @@
 use crate::upstream::RequestOutcome;
 use crate::verdict::{Arrival, RefusalReason, Ticket, Verdict};
 
-/// How soon to look again for a free slot or for a request in flight to end.
+/// Delay before a request that found no free slot, or too many requests in flight, tries again.
 const BUSY_RETRY_DELAY: Millis = Millis(20);
-/// The shortest time after which a refused caller is asked to come back.
+/// Shortest retry-after time sent with a refusal.
 const MIN_RETRY_AFTER: Millis = Millis(200);
-/// How long a service without a place is said to stay so.
+/// Retry-after time sent when no place can take the service.
 const NO_PLACE_RETRY_AFTER: Millis = Millis(2_000);
-/// The part of a request's usual time that must be left for it to be worth starting.
+/// Fraction of the usual latency that must be left before the deadline for a request to be
+/// started.
 const MIN_TIME_FRACTION: f64 = 0.5;
-/// Requests a second that count as none.
+/// Rates at or below this count as zero, in requests per second.
 const NEGLIGIBLE_RATE: f64 = 0.01;
-/// How much of a new latency goes into the smoothed one.
+/// Weight of a new sample in the moving averages of latency.
 const LATENCY_GAIN: f64 = 0.05;
 
-/// What a request in progress holds.
+/// A request in progress and what it reserves.
 #[derive(Clone, Debug)]
 pub(crate) struct InFlight {
     service: ServiceName,
@@ -51,7 +52,7 @@
     },
 }
 
-/// Why one place can't take a request now.
+/// Why one place cannot take a request now, and until when.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct Blocked {
     reason: RefusalReason,
@@ -59,7 +60,7 @@
 }
 
 impl Steering {
-    /// Decides on a request.
+    /// Decides whether a request runs here, is relayed, waits or is refused.
     pub fn admit(&mut self, req: &Arrival, rng: &mut fastrand::Rng, now: Millis) -> Verdict {
         let plan = Arc::clone(&self.plan);
         let Some(service) = plan.services.get(&req.service) else {
@@ -75,12 +76,12 @@
         found.unwrap_or_else(|blocked| self.wait_or_refuse(req, blocked, rng, now))
     }
 
-    /// Counts a request that waits behind others, or found no room to wait: what it asks for is
-    /// known at once. Its later [`Arrival`], if there is one, says that it has waited.
+    /// Counts the demand of a request that has joined a queue, or found it full. Its later
+    /// [`Arrival`], if there is one, is marked as having waited.
     ///
-    /// Guards against a VM whose line is always full: only what leaves the line would count as
-    /// demand, so the demand would look as large as what is served, and nothing more would be
-    /// asked of other failure domains.
+    /// Guards against a VM whose queue is always full: if only the requests that leave the queue
+    /// counted as demand, the demand would equal what is served, and no more capacity would be
+    /// requested from other failure domains.
     pub fn on_queued(&mut self, req: &Arrival, rng: &mut fastrand::Rng, now: Millis) {
         let plan = Arc::clone(&self.plan);
         let Some(service) = plan.services.get(&req.service) else {
@@ -141,8 +142,8 @@
         Err(blocked)
     }
 
-    /// Gives the places to try, the first by chance according to the weights and the others by
-    /// falling weight.
+    /// Returns the places to try: the first drawn at random in proportion to the weights, the
+    /// others by descending weight.
     fn place_order(&self, service: &ServiceName, rng: &mut fastrand::Rng) -> Vec<PlaceName> {
         let Some(state) = self.services.get(service) else {
             return Vec::new();
@@ -156,8 +157,8 @@
         });
         let first = picked.map(|at| rates.remove(at).0);
         rates.sort_by(|a, b| b.1.total_cmp(&a.1));
-        // Guards against a drain that never ends: others are full for a moment, and single
-        // requests fall back to the place that drains and has no part left.
+        // Guards against a drain that never ends: while the other places are briefly full, single
+        // requests would fall back to the draining place, which no longer has a share.
         let open = |(place, rate): &(PlaceName, f64)| {
             self.reports.usable(place) && (*rate > NEGLIGIBLE_RATE || !self.draining(place))
         };
@@ -165,7 +166,7 @@
         first.into_iter().chain(rest).collect()
     }
 
-    /// Counts what the account asks for where it would go first.
+    /// Counts the account's demand at the first local place in the order.
     fn count_account_demand(
         &mut self,
         req: &Arrival,
@@ -189,8 +190,8 @@
     ) -> Result<Verdict, Blocked> {
         let limit = self.issuer.local_limit(place, now);
         self.check_share(req, service, place, limit, now)?;
-        // Lending leaves room for this demand. What is over its account's share isn't in it:
-        // a surge here must not take the room of callers elsewhere.
+        // The issuer keeps capacity for this demand. Demand above the account's share is excluded,
+        // so that a surge here does not take capacity from callers elsewhere.
         if !req.waited
             && let Some(state) = self.places.get_mut(place)
         {
@@ -248,7 +249,7 @@
         place: &PlaceName,
         now: Millis,
     ) -> Result<Verdict, Blocked> {
-        let Some(held) = self.holder.live(place, now) else {
+        let Some(held) = self.holder.live_grant(place, now) else {
             return Err(unavailable(RefusalReason::Cap, now));
         };
         let limit = Cap {
@@ -280,7 +281,7 @@
             });
         }
         self.charge_retry(req, service, place, now)?;
-        let Some(token) = self.holder.send(place, committed, now) else {
+        let Some(token) = self.holder.record_send(place, committed, now) else {
             return Err(unavailable(RefusalReason::Cap, now));
         };
         self.remote_shares(place)
@@ -416,8 +417,8 @@
         }
     }
 
-    /// Notes that a request goes to another upstream of its place than the one named by
-    /// [`Verdict::Run`], as where that one had no free slot after all.
+    /// Moves a request to another upstream of its place than the one in [`Verdict::Run`], for
+    /// example if that one had no free slot.
     pub fn reassign(&mut self, ticket: Ticket, to: &UpstreamName) {
         let Some(request) = self.tickets.get_mut(ticket) else {
             return;
@@ -431,12 +432,12 @@
         self.upstreams.reassign(&request.service, &from, to);
     }
 
-    /// Notes that a request has its slot and is about to be sent, and says whether the time
-    /// `left` is enough for it to run as long as its like usually do.
+    /// Records that a request has its slot and is about to be sent, and returns whether the time
+    /// `left` covers the usual service time.
     ///
-    /// Guards against a place that is full for a moment and then stays useless: requests that
-    /// waited too long for a slot would take it until their deadline, each would count as a
-    /// failure of its backend server, and that would be left alone although it is well.
+    /// Guards against a place that stays unusable after a brief overload: requests that waited too
+    /// long for a slot would occupy it until their deadline, and each would count as a failure of
+    /// its backend server, which would then be ejected although it is healthy.
     pub fn begin_send(&mut self, ticket: Ticket, left: Millis, now: Millis) -> bool {
         let Some(request) = self.tickets.get_mut(ticket) else {
             return false;
@@ -446,7 +447,7 @@
         left.0 as f64 >= state.map_or(0.0, |s| s.service_time_ms).floor()
     }
 
-    /// Counts the end of a request; a ticket given back twice counts once.
+    /// Records the end of a request. A ticket that was already finished is ignored.
     pub fn finish(&mut self, ticket: Ticket, end: RequestOutcome, now: Millis) {
         let Some(done) = self.tickets.remove(ticket) else {
             return;
@@ -505,9 +506,8 @@
         req.deadline.0 > 0 && req.deadline.0 as f64 >= usual * MIN_TIME_FRACTION
     }
 
-    /// Lets a request wait if there will be room before its deadline. One that is refused is
-    /// told when to come back, a little later by chance, so that the refused don't all come
-    /// back at once.
+    /// Lets a request wait if capacity is expected before its deadline. A refused request gets a
+    /// retry-after time with random jitter, so that refused callers do not all return at once.
     fn wait_or_refuse(
         &mut self,
         req: &Arrival,
@@ -516,10 +516,10 @@
         now: Millis,
     ) -> Verdict {
         let wait = blocked.until.since(now).max(Millis(1));
-        // An account that has filled all that it may borrow waits like any other request, in the
-        // bounded line of its own service. Refused at once, an account that is alone at a place
-        // would lose requests each time its requests in flight reach what others may yet need,
-        // with room free a few milliseconds later.
+        // An account that has used all it may borrow waits in the bounded queue of its service
+        // like any other request. If refused at once, an account alone at a place would lose
+        // requests whenever its requests in flight reach what is reserved for others, although
+        // capacity is free a few milliseconds later.
         let may_wait = matches!(
             blocked.reason,
             RefusalReason::Cap | RefusalReason::Busy | RefusalReason::AccountShare
@@ -561,7 +561,7 @@
     }
 }
 
-/// Gives the reason that ends sooner. An account that is over its share stays told so.
+/// Returns the block that ends first. A block for exceeding the account's share takes precedence.
 fn preferred_block(a: Blocked, b: Blocked) -> Blocked {
     let over = |x: &Blocked| x.reason == RefusalReason::AccountShare;
     match (over(&a), over(&b)) {
--- a/crates/steering/src/allowance.rs
+++ b/crates/steering/src/allowance.rs
@@ -1,9 +1,9 @@
-//! What one VM may use of the caps of places, its region and the links toward it.
+//! Computes what one VM may use of the caps of places, its region and the links to it.
 //!
-//! The capacity ledger of the failure domain gives each VM a part of 1000. A region's cap is
-//! split between its failure domains, and a link's cap between the failure domains at its end,
-//! in proportion to the caps of their places. Every split rounds down, so the parts never sum
-//! above the whole.
+//! The capacity ledger of the failure domain assigns each VM a part of 1000. A region's cap is
+//! split between its failure domains, and a link's cap between the failure domains at its
+//! destination, in proportion to the caps of their places. Every split rounds down, so the parts
+//! never sum to more than the whole.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
@@ -13,26 +13,26 @@
 
 use crate::tuning::Tuning;
 
-/// A cap that never binds: there is none in the settings.
+/// A cap that never limits anything, used where the settings have none.
 pub const NO_CAP: Cap = Cap {
     per_second: u32::MAX,
     in_flight: u32::MAX,
 };
 
-/// A cap that lets nothing through.
+/// A cap that admits nothing.
 pub const ZERO_CAP: Cap = Cap {
     per_second: 0,
     in_flight: 0,
 };
 
-/// One VM's parts of the caps that bind it.
+/// One VM's parts of the caps that apply to it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Allowances {
-    /// Of each place in the VM's failure domain.
+    /// Allowance for each place of the VM's failure domain.
     pub places: BTreeMap<PlaceName, Cap>,
-    /// Of its region.
+    /// Allowance for its region.
     pub region: Cap,
-    /// Of each capped link to its region, by the region at the other end.
+    /// Allowance for each capped link to its region, by the region at the other end.
     pub links: BTreeMap<RegionName, Cap>,
 }
 
@@ -47,7 +47,7 @@
 }
 
 impl Allowances {
-    /// Works out the parts of a VM that holds `part` thousandths of `domain`.
+    /// Computes the allowances of a VM that holds `part` thousandths of `domain`.
     pub fn of(plan: &Plan, domain: &DomainName, part: u16) -> Self {
         let Some(domain_plan) = plan.domains.get(domain) else {
             return Self::default();
@@ -70,8 +70,8 @@
         }
     }
 
-    /// Gives the lower of two allowances in every respect; a cap that only one of them has
-    /// counts as it stands.
+    /// Returns the minimum of two allowances for each cap of `self`; a cap missing in `other` does
+    /// not limit it.
     pub fn min(&self, other: &Self) -> Self {
         Self {
             places: min_by_key(&self.places, &other.places),
@@ -89,7 +89,7 @@
     a.iter().map(lower).collect()
 }
 
-/// Gives the lower of two caps in both respects.
+/// Returns the minimum of two caps in both dimensions.
 pub fn min_cap(a: Cap, b: Cap) -> Cap {
     Cap {
         per_second: a.per_second.min(b.per_second),
@@ -109,7 +109,8 @@
     }
 }
 
-/// The share of a region's cap that falls to one VM, as fractions for rate and in flight.
+/// One VM's fraction of a region's cap, as numerators and denominators for the rate and the
+/// requests in flight.
 struct CapFraction {
     rate: (u64, u64),
     in_flight: (u64, u64),
@@ -150,22 +151,22 @@
     }
 }
 
-/// The settings and parts of the last while, from which the allowances in force follow.
+/// The current and recent plans and parts, from which the allowances in force are computed.
 #[derive(Clone, Debug, Default)]
 pub struct AllowanceHistory {
     plan: Arc<Plan>,
     part: u16,
-    /// Settings replaced of late, each with the time at which it was.
+    /// Recently replaced plans, each with the time of its replacement.
     past_plans: VecDeque<(Millis, Arc<Plan>)>,
-    /// Parts replaced of late, likewise.
+    /// Recently replaced parts, each with the time of its replacement.
     past_parts: VecDeque<(Millis, u16)>,
 }
 
 impl AllowanceHistory {
-    /// Replaces the settings.
+    /// Replaces the plan.
     pub fn set_plan(&mut self, plan: Arc<Plan>, now: Millis) {
         let before = std::mem::replace(&mut self.plan, plan);
-        // The very first settings replace none.
+        // The first plan replaces none.
         if before.revision != Revision::NONE {
             self.past_plans.push_back((now, before));
         }
@@ -177,7 +178,8 @@
         self.past_parts.push_back((now, before));
     }
 
-    /// Forgets what no rule looks at any more, and says whether what is in force may change.
+    /// Removes entries that no longer matter, and returns whether the allowances in force may
+    /// change.
     pub fn prune(&mut self, tuning: &Tuning, now: Millis) -> bool {
         let before = self.past_plans.len() + self.past_parts.len();
         let kept = tuning.settle.max(lending_delay(tuning));
@@ -186,12 +188,12 @@
         before > 0
     }
 
-    /// Gives what callers may use now in `domain`.
+    /// Returns what callers may use now in `domain`.
     ///
     /// Guards against two failure domains of a region that learn of a new split some seconds
-    /// apart: the one that gains would use what the other has not yet given up, and the region
-    /// would pass its cap. A lower part of a region or link counts at once, a higher one only
-    /// after `settle`. A place lies in one failure domain and needs no such wait.
+    /// apart: the one that gains would use capacity that the other has not yet given up, and the
+    /// region would exceed its cap. A lower part of a region or link applies at once, a higher one
+    /// only after `settle`. A place belongs to one failure domain and needs no such delay.
     pub fn usable(&self, domain: &DomainName, tuning: &Tuning, now: Millis) -> Allowances {
         let current = Allowances::of(&self.plan, domain, self.part);
         let lowest = self.lowest_since(domain, self.part, tuning.settle, now);
@@ -202,11 +204,11 @@
         }
     }
 
-    /// Gives what may be lent now in `domain`.
+    /// Returns what may be lent now in `domain`.
     ///
-    /// Guards against a part that its former holder had lent out: the VM is gone and its entry
-    /// removed, but the sources still hold its grants. A part counts for lending only after
-    /// those have expired.
+    /// Guards against capacity that its former holder had lent out: that VM is gone and its ledger
+    /// entry removed, but its grants may still be held. A gained part counts for lending only
+    /// after those have expired.
     pub fn lendable(&self, domain: &DomainName, tuning: &Tuning, now: Millis) -> Allowances {
         let span = lending_delay(tuning);
         let recent = self.past_parts.iter().filter(|(at, _)| *at + span > now);
@@ -229,7 +231,7 @@
     }
 }
 
-/// Gives how long grants of a VM that is gone may still be used by their holders.
+/// Returns how long the grants of a VM that is gone may still be used by their holders.
 fn lending_delay(tuning: &Tuning) -> Millis {
     tuning.term + tuning.margin + tuning.margin
 }
--- a/crates/steering/src/drain.rs
+++ b/crates/steering/src/drain.rs
@@ -1,4 +1,4 @@
-//! How far the moving away of traffic has come.
+//! Progress of moving traffic away from a place.
 
 use std::fmt;
 
@@ -8,41 +8,42 @@
 use crate::issuer::ScopeName;
 use crate::steering::Steering;
 
-/// How far this VM is with moving its traffic away from a place.
+/// This VM's progress in moving its traffic away from a place.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct DrainStatus {
     /// The place.
     pub place: PlaceName,
-    /// Whether an operator drains it.
+    /// Whether an operator is draining it.
     pub draining: bool,
-    /// Requests a second that this VM still means for it.
+    /// Rate that this VM still plans to send there, in requests per second.
     pub still_meant: f64,
-    /// Requests of this VM in flight there, or at this VM where the place is its own.
+    /// This VM's requests in flight there, or all requests in flight at this VM if the place is
+    /// its own.
     pub in_flight: u32,
-    /// How long answers in callers' caches can still name it.
+    /// Time until the last cached look-up answer that names it expires.
     pub answers_left: Millis,
-    /// How long grants of this VM for it can still be used by others.
+    /// Time until the last grant of this VM for it expires.
     pub grants_left: Millis,
-    /// Why traffic stays, where it does.
+    /// Why traffic remains, if it does.
     pub waits_for: Option<DrainWait>,
 }
 
-/// What keeps traffic at a place that drains.
+/// What keeps traffic at a draining place.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum DrainWait {
-    /// Other places have no room for it under the caps and growth limits.
+    /// Other places lack capacity under the caps and growth limits.
     Room,
-    /// Answers in callers' caches still name it.
+    /// Cached look-up answers still name it.
     Answers,
-    /// Grants that others hold have not expired.
+    /// Grants held by other VMs have not expired.
     Grants,
     /// Requests are in flight.
     InFlight,
 }
 
 impl DrainStatus {
-    /// Says whether nothing of this VM goes to the place any more.
+    /// Returns whether this VM no longer sends traffic to the place.
     pub fn done(&self) -> bool {
         self.draining && self.waits_for.is_none()
     }
@@ -69,8 +70,8 @@
 }
 
 impl Steering {
-    /// Gives how far this VM is with moving traffic away from `place`. The place is drained when
-    /// every VM of the system says so.
+    /// Returns this VM's progress in draining `place`. The place is drained once every VM of the
+    /// system reports [`DrainStatus::done`].
     pub fn drain_status(&mut self, place: &PlaceName, now: Millis) -> DrainStatus {
         let own = self.is_local(place);
         let scope = ScopeName::Place(place.clone());
@@ -97,14 +98,14 @@
 
     fn planned_rate(&self, place: &PlaceName) -> f64 {
         let services = self.services.values();
-        // A service that nobody calls means nothing for any place.
+        // A service without callers plans no traffic for any place.
         services
             .map(|s| s.demand.rate() * s.split.share(place))
             .sum()
     }
 }
 
-/// Requests a second that count as none.
+/// Rates at or below this count as zero, in requests per second.
 const NEGLIGIBLE_RATE: f64 = 0.05;
 
 fn blocking_wait(status: &DrainStatus) -> Option<DrainWait> {
--- a/crates/steering/src/explain.rs
+++ b/crates/steering/src/explain.rs
@@ -1,4 +1,4 @@
-//! Why a service's traffic goes where it goes.
+//! Explains the distribution of a service's traffic.
 
 use std::fmt;
 
@@ -8,47 +8,47 @@
 use crate::issuer::ScopeName;
 use crate::steering::Steering;
 
-/// Why one service's traffic at one VM goes where it goes.
+/// Explains how one VM distributes one service's traffic.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Explanation {
     /// The service.
     pub service: ServiceName,
-    /// The VM that decides.
+    /// The VM.
     pub vm: VmName,
-    /// The settings that it decides under.
+    /// The revision of the settings in force.
     pub revision: Revision,
-    /// Requests a second of callers at this VM.
+    /// Demand of callers of this VM, in requests per second.
     pub demand: f64,
     /// Weight of latency against headroom, in thousandths.
     pub latency_weight_permille: u16,
-    /// Part of the traffic that has no room anywhere, in thousandths.
+    /// Share of the traffic that no place can take, in thousandths.
     pub unplaced_permille: u16,
-    /// The places that could take the service.
+    /// The places that have upstreams of the service.
     pub places: Vec<PlaceExplanation>,
 }
 
-/// Why one place gets what it gets.
+/// Explains the share of one place.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct PlaceExplanation {
     /// The place.
     pub place: PlaceName,
-    /// Its part of the traffic, in thousandths.
+    /// Its share of the traffic, in thousandths.
     pub permille: u16,
     /// One-way delay to it.
     pub delay: Millis,
-    /// Requests a second that this VM may send there, by all services together.
+    /// Rate that this VM may send there for all services together, in requests per second.
     pub limit: u32,
-    /// What sets that limit.
+    /// What determines that limit.
     pub limited_by: Limit,
-    /// How full it is, in thousandths, as reported or seen.
+    /// Its utilization, in thousandths, as reported or measured.
     pub full_permille: u16,
-    /// Health as believed, in thousandths.
+    /// Its assumed health, in thousandths.
     pub health: u16,
-    /// Age of the newest report, or none where there is none that counts.
+    /// Age of the newest report, or `None` without a valid report.
     pub report_age: Option<Millis>,
 }
 
-/// What sets the limit of a place.
+/// What determines the limit of a place.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Limit {
@@ -60,18 +60,18 @@
     Grant,
     /// No grant is held.
     NoGrant,
-    /// It has not warmed up further.
+    /// The place has not warmed up further.
     Growth,
-    /// It is ill, or was so too lately.
+    /// The place is unhealthy, or in the hold-down after it was.
     Health,
-    /// An operator drains it.
+    /// An operator is draining the place.
     Drain,
-    /// No backend server of the service may be used there.
+    /// No backend server of the service is usable there.
     NoUpstream,
 }
 
 impl Steering {
-    /// Explains where `service`'s traffic goes, or gives none for an unknown service.
+    /// Explains the distribution of `service`'s traffic, or returns `None` for an unknown service.
     pub fn explain(&self, service: &ServiceName, now: Millis) -> Option<Explanation> {
         let plan = self.plan.services.get(service)?;
         let state = self.services.get(service)?;
@@ -130,7 +130,7 @@
         let (limit, by) = if self.is_local(place) {
             self.own_limit(service, place, now)
         } else {
-            match self.holder.live(place, now) {
+            match self.holder.live_grant(place, now) {
                 Some(held) => (held.rate, Limit::Grant),
                 None => (0, Limit::NoGrant),
             }
--- a/crates/steering/src/fair_share.rs
+++ b/crates/steering/src/fair_share.rs
@@ -1,8 +1,9 @@
-//! Fair sharing of one limit between client accounts, and between the classes of each.
+//! Fair sharing of one limit between client accounts, and between the classes of each account.
 //!
-//! Each account has a guaranteed share and a most that it may take. What the others leave unused may be borrowed, but what
-//! an account has lately needed of its share, with some room to grow, is kept for it. A surge of
-//! one account therefore ends at its own share plus what nobody else needs.
+//! Each account has a guaranteed share and a maximum share. Unused capacity may be borrowed,
+//! except what an account recently needed of its guaranteed share plus some room to grow, which is
+//! reserved for it. A surge of one account is therefore limited to its own share plus what no
+//! other account needs.
 
 use std::collections::BTreeMap;
 
@@ -13,7 +14,7 @@
 use crate::tuning::Tuning;
 use crate::window::Window;
 
-/// One account's use of the limit.
+/// One account's shares and its use of the limit.
 #[derive(Clone, Debug)]
 struct AccountUsage {
     guaranteed_permille: u32,
@@ -26,8 +27,8 @@
     in_flight_peak: f64,
 }
 
-/// What is asked for, admitted or not: its remembered peak, and all of the last window, since
-/// the peak of an account that has just come back says too little.
+/// Demand of an account, admitted or not: its decaying peak, and the full count of the last
+/// window, since the peak of an account that has just become active again is too low.
 #[derive(Clone, Debug)]
 struct Demand {
     meter: RateMeter,
@@ -48,7 +49,7 @@
         self.recent.add(now);
     }
 
-    /// Gives what is needed in a window with `permille` of room, and nothing for no demand.
+    /// Returns the requests to expect in a window, scaled by `permille`, and zero without demand.
     fn needed(&self, permille: u32, now: Millis) -> u32 {
         let recent = f64::from(self.recent.peek(now));
         let peak = recent.max(self.meter.peak());
@@ -59,19 +60,19 @@
     }
 }
 
-/// The resolution in which demand is counted.
+/// Resolution of the demand count.
 const DEMAND_GRAIN: Millis = Millis(50);
-/// A peak below which there is no demand, in requests a second.
+/// Demand below this rate counts as none, in requests per second.
 const MIN_PEAK: f64 = 0.05;
 
 /// Whether an account may have one more request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Share {
-    /// It is within the account's guaranteed share.
+    /// Within the account's guaranteed share.
     Guaranteed,
-    /// It is of what no other account needs now.
+    /// Within capacity that no other account needs now.
     Borrowed,
-    /// It would be of another account's share.
+    /// Would take another account's share.
     Exceeded,
 }
 
@@ -86,7 +87,7 @@
 }
 
 impl FairShare {
-    /// Makes a share-out without accounts.
+    /// Creates a limit without accounts.
     pub fn new(tuning: Tuning) -> Self {
         Self {
             tuning,
@@ -97,8 +98,8 @@
         }
     }
 
-    /// Takes in the accounts' shares, each in thousandths of the limit. Guarantees that sum
-    /// above the whole are lowered in proportion.
+    /// Sets the accounts' shares, in thousandths of the limit. Guaranteed shares that sum to more
+    /// than the whole are scaled down in proportion.
     pub fn set_shares(&mut self, shares: &BTreeMap<AccountName, AccountPlan>) {
         let guaranteed = shares.values().map(|s| u32::from(s.guaranteed_permille));
         let sum: u32 = guaranteed.sum();
@@ -116,7 +117,7 @@
             .retain(|_, a| a.guaranteed_permille > 0 || a.in_flight > 0);
     }
 
-    /// Counts what an account asks for, admitted or not.
+    /// Counts one request of an account's demand, admitted or not.
     pub fn demand(&mut self, name: &AccountName, class: Class, now: Millis) {
         let account = self.account(name);
         account.demand.add(now);
@@ -125,14 +126,14 @@
         }
     }
 
-    /// Says whether `name` may have one more request of `class` under `limit`.
+    /// Returns whether `name` may have one more request of `class` under `limit`.
     pub fn check(&mut self, name: &AccountName, class: Class, limit: Cap, now: Millis) -> Share {
         let Some(account) = self.accounts.get_mut(name) else {
             return Share::Exceeded;
         };
         let interactive = account.interactive_used.count(now);
-        // A bulk request leaves room for the interactive ones that its own account still
-        // expects in this window, and bulk that has borrowed doesn't count against those.
+        // A bulk request leaves room for the interactive requests that its own account still
+        // expects in this window. Borrowed bulk requests do not count against interactive ones.
         let (used, expected) = match class {
             Class::Interactive => (interactive, 0),
             Class::Bulk => {
@@ -163,7 +164,7 @@
         }
     }
 
-    /// Gives what the accounts other than `name` may still claim of their shares.
+    /// Returns the capacity that the accounts other than `name` may still claim of their shares.
     fn kept_for_others(&self, name: &AccountName, limit: Cap, now: Millis) -> Cap {
         let factor = self.tuning.account_reserve_permille;
         let mut kept = Cap {
@@ -208,7 +209,7 @@
         }
     }
 
-    /// Gives when `name` may expect room again: when the oldest request in its window leaves.
+    /// Returns when `name` may expect room again: when the oldest request leaves its window.
     pub fn free_at(&self, name: &AccountName, limit: Cap, now: Millis) -> Millis {
         let Some(account) = self.accounts.get(name) else {
             return now + self.tuning.window;
@@ -218,7 +219,7 @@
         account.used.free_at(own.min(used.max(1)), now)
     }
 
-    /// Brings the meters up to `now`.
+    /// Advances the meters to `now`.
     pub fn tick(&mut self, now: Millis) {
         let span = now.since(self.last_tick).as_secs_f64();
         self.last_tick = now;
@@ -232,7 +233,7 @@
         }
     }
 
-    /// Gives each account with its requests in the last window and in flight.
+    /// Returns each account with its requests in the last window and in flight.
     pub fn usage(&self, now: Millis) -> impl Iterator<Item = (&AccountName, Cap)> {
         self.accounts.iter().map(move |(name, account)| {
             let used = Cap {
--- a/crates/steering/src/grant_requests.rs
+++ b/crates/steering/src/grant_requests.rs
@@ -1,4 +1,4 @@
-//! Asking other failure domains for grants, and answering their requests.
+//! Requests grants from other failure domains, and answers their requests.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -12,25 +12,25 @@
 use crate::steering::Steering;
 use crate::warm_up::WarmUp;
 
-/// Requests a second below which a place isn't worth a grant.
+/// Rate below which no grant is requested, in requests per second.
 const MIN_REQUEST_RATE: f64 = 0.2;
-/// The shortest time for which a request is reckoned to be in flight, in seconds.
+/// Lower bound of the latency used to estimate requests in flight, in seconds.
 const MIN_LATENCY_SECS: f64 = 0.05;
-/// Requests in flight asked for, as a multiple of what the usual latency makes likely.
+/// Factor between the requests in flight asked for and those expected from the usual latency.
 const IN_FLIGHT_HEADROOM: f64 = 2.0;
-/// How long a VM that didn't answer is passed over.
+/// How long a VM that did not answer is avoided.
 const AVOID_UNRESPONSIVE: Millis = Millis(3_000);
 
-/// What this VM would send to one place if it were allowed to.
+/// Load that this VM would send to one place without the limits of its grants.
 #[derive(Clone, Copy, Debug, Default)]
 struct DesiredLoad {
-    /// Requests a second.
+    /// Requests per second.
     rate: f64,
     /// Requests in flight.
     in_flight: f64,
 }
 
-/// What this VM wants of one place.
+/// Capacity to request at one place.
 struct PlaceDemand {
     place: PlaceName,
     rate: u32,
@@ -38,8 +38,8 @@
 }
 
 impl Steering {
-    /// Gives the requests for grants to send now, at most one for each other failure domain,
-    /// each with the VM to send it to. Nothing is asked that would change nothing.
+    /// Returns the grant requests to send now, at most one for each other failure domain, each
+    /// with its destination VM. A request that would change nothing is omitted.
     pub fn request_grants(&mut self, now: Millis) -> Vec<(VmName, GrantRequest)> {
         let names = self.plan.domains.keys();
         let others: Vec<DomainName> = names
@@ -58,7 +58,8 @@
         requests
     }
 
-    /// Gives what all services together would send to each place if they were allowed to.
+    /// Returns the load that all services together would send to each place without the limits of
+    /// the grants.
     fn desired_by_place(&self) -> BTreeMap<PlaceName, DesiredLoad> {
         let mut places: BTreeMap<PlaceName, DesiredLoad> = BTreeMap::new();
         for state in self.services.values() {
@@ -89,8 +90,11 @@
         let ask = self.holder.start_request(domain, &issuer, now);
         let mut wants: Vec<PlaceRequest> = Vec::with_capacity(demand.len());
         for w in &demand {
-            if w.rate > 0 || self.holder.live(&w.place, now).is_some() {
-                wants.push(self.holder.want(&w.place, &issuer, w.rate, w.in_flight));
+            if w.rate > 0 || self.holder.live_grant(&w.place, now).is_some() {
+                wants.push(
+                    self.holder
+                        .place_request(&w.place, &issuer, w.rate, w.in_flight),
+                );
             }
         }
         self.last_request.insert(domain.clone(), now);
@@ -105,8 +109,8 @@
         Some((issuer, req))
     }
 
-    /// Gives the VM of `domain` that this VM asks: the winner of a rendezvous hash, so that
-    /// the sources spread over the VMs, without those that lately gave no answer.
+    /// Returns the VM of `domain` to request grants from: the winner of a rendezvous hash, which
+    /// spreads the requesting VMs over the issuers, preferring VMs that recently answered.
     fn select_issuer(&self, domain: &DomainName) -> Option<VmName> {
         let peers = self.peers.get(domain)?;
         let usable = || peers.iter().filter(|p| p.usable).map(|p| &p.vm);
@@ -127,7 +131,7 @@
         let mut demand = Vec::new();
         for (place, _) in plan.places.iter().filter(|(_, p)| p.domain == *domain) {
             let desired = desired.get(place).copied().unwrap_or_default();
-            // Callers with cached answers come whatever this VM would now prefer.
+            // Callers with cached answers arrive regardless of this VM's current preference.
             let rate = desired.rate.max(self.committed_rate(place, now));
             demand.push(self.demand_at(place, rate, desired.in_flight));
         }
@@ -148,10 +152,10 @@
         demand
     }
 
-    /// Says whether asking about one place would change anything: it needs more, holds much
-    /// more than it needs, or its grant is halfway to its end.
+    /// Returns whether a request for one place would change anything: more is needed, much more is
+    /// held than needed, the grant is past half of its term, or the issuer has changed.
     fn should_request(&self, demand: &PlaceDemand, issuer: &VmName, now: Millis) -> bool {
-        let Some(held) = self.holder.live(&demand.place, now) else {
+        let Some(held) = self.holder.live_grant(&demand.place, now) else {
             return demand.rate > 0;
         };
         let renew = held.until.since(now) < Millis(self.tuning.term.0 / 2);
@@ -161,8 +165,7 @@
         (renew && demand.rate > 0) || more || idle || moved
     }
 
-    /// Answers a request for grants. The owner must know by other means that the request comes
-    /// from the VM that it names.
+    /// Answers a grant request. The caller must have authenticated the VM that the request names.
     pub fn on_grant_request(&mut self, req: &GrantRequest, now: Millis) -> GrantReply {
         let nowhere = RegionName::new("");
         let from = self.region_of(&req.domain).cloned();
@@ -173,7 +176,7 @@
             .collect();
         let reserve = |place: &PlaceName| {
             let found = reserves.iter().find(|(p, _)| p == place);
-            // A VM of a failure domain that the settings don't name gets nothing.
+            // A VM of an unknown failure domain gets no grant.
             found.and_then(|(_, r)| *r).filter(|_| from.is_some())
         };
         let region = from.as_ref().unwrap_or(&nowhere);
@@ -196,8 +199,9 @@
         }
     }
 
-    /// Gives what to keep back at a place of this failure domain, or none where it lends
-    /// nothing because it, its region or this VM is drained, or all of it fails.
+    /// Returns the capacity to withhold at a place of this failure domain. `None` if the place
+    /// lends nothing because it, its region or this VM is draining, it is unhealthy, or it has no
+    /// usable backend server.
     fn reserve_at(&self, place: &PlaceName, now: Millis) -> Option<Reserve> {
         if self.draining(place) || self.vm_draining() || !self.reports.usable(place) {
             return None;
@@ -232,7 +236,7 @@
             .fold(0.0, f64::max)
     }
 
-    /// Takes in the answer to a request for grants, and says whether it was of use.
+    /// Applies the reply to a grant request and returns whether it was accepted.
     pub fn on_grant_reply(&mut self, reply: &GrantReply, now: Millis) -> bool {
         let peers = self.peers.iter();
         let mut known = peers.flat_map(|(d, vms)| vms.iter().map(move |p| (d, p)));
@@ -240,7 +244,7 @@
         let Some(domain) = found.map(|(d, _)| d.clone()) else {
             return false;
         };
-        if !self.holder.take(&domain, reply, now) {
+        if !self.holder.accept_reply(&domain, reply, now) {
             return false;
         }
         self.avoided_until.remove(&reply.issuer);
@@ -259,7 +263,7 @@
         true
     }
 
-    /// Notes that `vm` did not answer a request for grants; another VM is asked next.
+    /// Records that `vm` did not answer a grant request; another VM is asked next.
     pub fn on_grant_request_failed(&mut self, vm: &VmName, now: Millis) {
         self.avoided_until
             .insert(vm.clone(), now + AVOID_UNRESPONSIVE);
--- a/crates/steering/src/holder.rs
+++ b/crates/steering/src/holder.rs
@@ -13,21 +13,21 @@
 pub struct HeldGrant {
     /// The VM that issued it.
     pub issuer: VmName,
-    /// The run of that VM.
+    /// The incarnation of that VM.
     pub issuer_incarnation: Incarnation,
-    /// Its number.
+    /// The sequence number of the grant.
     pub seq: u64,
-    /// Requests that may be started in a window.
+    /// Requests that may start in one window.
     pub rate: u32,
     /// Requests that may be in flight at once.
     pub in_flight: u32,
-    /// When this VM stops using it.
+    /// When this VM stops using the grant.
     pub until: Millis,
     sent: Window,
     used: u32,
 }
 
-/// A request for grants that has not been answered.
+/// A grant request that awaits its reply.
 #[derive(Clone, Debug)]
 struct PendingRequest {
     number: u64,
@@ -47,7 +47,7 @@
 }
 
 impl Holder {
-    /// Makes a holder that holds nothing.
+    /// Creates a holder without grants.
     pub fn new(vm: VmName, incarnation: Incarnation, tuning: Tuning) -> Self {
         Self {
             tuning,
@@ -59,8 +59,8 @@
         }
     }
 
-    /// Notes that `issuer` in `domain` is about to be asked, and gives the request's number.
-    /// An answer to an earlier request to that failure domain is no longer taken.
+    /// Records that `issuer` in `domain` is about to be asked, and returns the number of the
+    /// request. A reply to an earlier request to that failure domain is no longer accepted.
     pub fn start_request(&mut self, domain: &DomainName, issuer: &VmName, now: Millis) -> u64 {
         let number = self.next_request;
         self.next_request += 1;
@@ -73,16 +73,17 @@
         number
     }
 
-    /// Gives when `domain` was last asked, if the answer is still awaited.
+    /// Returns when `domain` was last asked, if the reply is still outstanding.
     pub fn requested_at(&self, domain: &DomainName) -> Option<Millis> {
         self.pending.get(domain).map(|ask| ask.at)
     }
 
-    /// Fills in what this VM holds of `issuer` for a want, and lowers it to what it still wants.
+    /// Builds the request for one place, including the grant of `issuer` that this VM holds, and
+    /// lowers that grant to what is still wanted.
     ///
-    /// The lowering comes first and is for good, so that the issuer can lend the rest to
-    /// somebody else as soon as it reads the request.
-    pub fn want(
+    /// The grant is lowered permanently and before the request is sent, so that the issuer can
+    /// lend the rest to another holder as soon as it reads the request.
+    pub fn place_request(
         &mut self,
         place: &PlaceName,
         issuer: &VmName,
@@ -101,7 +102,8 @@
         if let Some(held) = self.held.get_mut(place).filter(|h| h.issuer == *issuer) {
             held.rate = held.rate.min(rate);
             held.in_flight = held.in_flight.min(in_flight);
-            // The request names one run of the issuer, and numbers of another mean nothing.
+            // The request names one incarnation of the issuer; sequence numbers of another one
+            // have no meaning.
             if Some(held.issuer_incarnation) == issuer_run {
                 want.holds = held.seq;
                 want.keep_rate = held.rate;
@@ -111,24 +113,24 @@
         want
     }
 
-    /// Gives the run of the VM that holds the grants.
+    /// Returns the incarnation of this VM.
     pub fn incarnation(&self) -> Incarnation {
         self.incarnation
     }
 
-    /// Gives the run of `issuer` whose grants this VM holds.
+    /// Returns the incarnation of `issuer` whose grants this VM holds.
     pub fn incarnation_of(&self, issuer: &VmName) -> Option<Incarnation> {
         let mut of_issuer = self.held.values().filter(|h| h.issuer == *issuer);
         of_issuer.next().map(|h| h.issuer_incarnation)
     }
 
-    /// Takes in the answer to a request, and says whether it was taken.
+    /// Applies the reply to a grant request and returns whether it was accepted.
     ///
-    /// Guards against an answer that comes late, twice or out of order: only the newest request
-    /// to a failure domain has an answer that counts, the term is counted from before that
-    /// request was sent, and a grant never replaces a newer one of the same run. An answer to
-    /// this VM's earlier run may bear the same number, and is told by the run.
-    pub fn take(&mut self, domain: &DomainName, reply: &GrantReply, now: Millis) -> bool {
+    /// Guards against replies that come late, twice or out of order: only the newest request to a
+    /// failure domain is answered, the term counts from before that request was sent, and a grant
+    /// never replaces a newer one of the same incarnation. A reply to an earlier incarnation of
+    /// this VM may carry the same number; the incarnation in the reply tells them apart.
+    pub fn accept_reply(&mut self, domain: &DomainName, reply: &GrantReply, now: Millis) -> bool {
         let pending = self.pending.get(domain);
         let Some(ask) = pending.filter(|a| a.number == reply.ask && a.issuer == reply.issuer)
         else {
@@ -153,9 +155,9 @@
                 self.held.insert(grant.place.clone(), old);
                 continue;
             }
-            // Guards against a burst: grants that follow each other, also from one issuer to
-            // another and back, would each allow their whole rate within one second. What was
-            // sent and is in flight counts against the next grant too.
+            // Guards against a burst: consecutive grants, also from one issuer to another and
+            // back, would each allow their full rate within the same second. So requests already
+            // sent or in flight count against the next grant too.
             let (sent, used) = old.map_or_else(|| (self.new_window(), 0), |h| (h.sent, h.used));
             let held = HeldGrant {
                 issuer: reply.issuer.clone(),
@@ -172,29 +174,34 @@
         true
     }
 
-    /// Forgets the request to `domain`, whose answer is no longer awaited.
+    /// Drops the request to `domain`, whose reply is no longer expected.
     pub fn abandon_request(&mut self, domain: &DomainName) {
         self.pending.remove(domain);
     }
 
-    /// Gives the grant for `place` where it can still be used at `now`.
-    pub fn live(&self, place: &PlaceName, now: Millis) -> Option<&HeldGrant> {
+    /// Returns the grant for `place` if it is usable at `now`.
+    pub fn live_grant(&self, place: &PlaceName, now: Millis) -> Option<&HeldGrant> {
         self.held.get(place).filter(|h| h.until > now && h.rate > 0)
     }
 
-    /// Gives how many requests to `place` may still be started in this window at `now`, where
-    /// `committed` a second are left to callers with cached answers.
+    /// Returns how many requests to `place` may still start in the window at `now`, after setting
+    /// aside `committed` requests per second for callers with cached answers.
     pub fn available(&self, place: &PlaceName, committed: u32, now: Millis) -> u32 {
-        self.live(place, now).map_or(0, |h| {
+        self.live_grant(place, now).map_or(0, |h| {
             let rate = h.rate.saturating_sub(committed);
             let left = rate.saturating_sub(h.sent.peek(now));
             left.min(h.in_flight.saturating_sub(h.used))
         })
     }
 
-    /// Counts a request to `place` and gives what it must bear, or none where the grant has
-    /// no room for it.
-    pub fn send(&mut self, place: &PlaceName, committed: u32, now: Millis) -> Option<GrantToken> {
+    /// Counts a request to `place` and returns the token to send with it, or `None` if the grant
+    /// has no room.
+    pub fn record_send(
+        &mut self,
+        place: &PlaceName,
+        committed: u32,
+        now: Millis,
+    ) -> Option<GrantToken> {
         if self.available(place, committed, now) == 0 {
             return None;
         }
@@ -205,7 +212,7 @@
         Some(self.token(place)?.clone())
     }
 
-    /// Gives what a request under the grant for `place` must bear.
+    /// Returns the token to send with requests under the grant for `place`.
     pub fn token(&self, place: &PlaceName) -> Option<GrantToken> {
         let held = self.held.get(place)?;
         Some(GrantToken {
@@ -225,18 +232,18 @@
         }
     }
 
-    /// Gives when the next request to `place` would fit, or none where no grant is held.
+    /// Returns when the next request to `place` may start, or `None` without a usable grant.
     pub fn free_at(&self, place: &PlaceName, now: Millis) -> Option<Millis> {
-        let held = self.live(place, now)?;
+        let held = self.live_grant(place, now)?;
         Some(held.sent.free_at(held.rate, now))
     }
 
-    /// Gives every grant held, with its place.
+    /// Returns all grants held, with their places.
     pub fn grants(&self) -> impl Iterator<Item = (&PlaceName, &HeldGrant)> {
         self.held.iter()
     }
 
-    /// Drops grants that expired, have nothing in flight and sent nothing in this window.
+    /// Removes expired grants that have nothing in flight and sent nothing in this window.
     pub fn tick(&mut self, now: Millis) {
         self.held
             .retain(|_, h| h.until > now || h.used > 0 || h.sent.count(now) > 0);
@@ -248,12 +255,12 @@
 }
 
 impl HeldGrant {
-    /// Gives the requests in flight under this grant.
+    /// Returns the requests in flight under this grant.
     pub fn used(&self) -> u32 {
         self.used
     }
 
-    /// Gives the requests sent in the last window.
+    /// Returns the requests sent in the last window.
     pub fn sent(&self, now: Millis) -> u32 {
         self.sent.peek(now)
     }
--- a/crates/steering/src/holder_grants.rs
+++ b/crates/steering/src/holder_grants.rs
@@ -1,4 +1,4 @@
-//! What one holder may still use of what this VM has lent it.
+//! The grants that one holder may still use, as the issuer tracks them.
 
 use heatherknot_types::plan::Cap;
 use heatherknot_types::prelude::*;
@@ -7,18 +7,18 @@
 use crate::messages::PlaceRequest;
 use crate::window::Window;
 
-/// One run of one VM that holds a grant for one place.
+/// Identifies the holder of a grant for one place: one incarnation of a VM.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct HolderKey {
     /// The place.
     pub place: PlaceName,
     /// The holder.
     pub holder: VmName,
-    /// The run of the holder.
+    /// The incarnation of the holder.
     pub incarnation: Incarnation,
 }
 
-/// One grant as the issuer remembers it.
+/// A grant as tracked by its issuer.
 #[derive(Clone, Debug)]
 pub(crate) struct IssuedGrant {
     pub(crate) seq: u64,
@@ -28,8 +28,8 @@
 
 /// All grants to one holder for one place that it may still use.
 ///
-/// The holder uses only one of them at a time, and the issuer can't tell which it has received,
-/// so they count with the highest of them.
+/// The holder uses only one of them at a time, but the issuer cannot know which one it has
+/// received, so their maximum counts.
 #[derive(Clone, Debug)]
 pub(crate) struct HolderGrants {
     pub(crate) from: RegionName,
@@ -39,7 +39,7 @@
 }
 
 impl HolderGrants {
-    /// Gives the highest of the grants that may still be used.
+    /// Returns the maximum of the grants that may still be used.
     pub(crate) fn cap(&self, now: Millis) -> Cap {
         let live = self.grants.iter().filter(|l| l.until > now);
         live.fold(ZERO_CAP, |top, l| Cap {
@@ -48,7 +48,8 @@
         })
     }
 
-    /// Gives what is set aside: those grants, or what is used under them if that is more.
+    /// Returns the capacity reserved for the holder: the maximum of its grants, or its actual use
+    /// if higher.
     pub(crate) fn reserved(&self, now: Millis) -> Cap {
         let cap = self.cap(now);
         Cap {
@@ -57,11 +58,11 @@
         }
     }
 
-    /// Takes in what the holder says that it has given up for good.
+    /// Applies what the holder has permanently given up.
     ///
     /// The holder stopped using older grants before it sent the request, but may have used them
-    /// up to that moment, so they count for one more window. A copy of the request that comes
-    /// late or twice says nothing that has become untrue, since what was given up stays so.
+    /// until then, so they count for one more window. A request that arrives late or twice is
+    /// harmless, since what was given up stays given up.
     pub(crate) fn release(&mut self, want: &PlaceRequest, window: Millis, now: Millis) {
         let kept = Cap {
             per_second: want.keep_rate,
--- a/crates/steering/src/issuer.rs
+++ b/crates/steering/src/issuer.rs
@@ -1,12 +1,12 @@
-//! The issuer's side of grants: what this VM has lent out and what arrives.
+//! The issuer's side of grants: capacity lent to other VMs, and the requests that arrive.
 //!
-//! Three kinds of scope bind an arrival: the place, the region and, from another region, the
-//! link. Each scope counts arrivals of callers of its own and of grants, in the last window and
-//! in flight. For each scope and at every moment:
+//! An arrival counts against up to three scopes: its place, the region and, if it comes from
+//! another region, the link. Each scope counts the arrivals of local callers and under grants,
+//! both within the last window and in flight. At any moment, for each scope:
 //!
 //! * arrivals in the last window are at most the allowance;
-//! * local arrivals in the last window and the rates of all grants that may still be used are
-//!   together at most the allowance, and so for requests in flight.
+//! * local arrivals in the last window plus the rates of all usable grants are at most the
+//!   allowance, and likewise for requests in flight.
 
 use std::collections::BTreeMap;
 
@@ -20,7 +20,7 @@
 use crate::tuning::Tuning;
 use crate::window::Window;
 
-/// What a cap binds.
+/// The scope of a cap.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ScopeName {
     /// A place of the VM's failure domain.
@@ -31,20 +31,20 @@
     Link(RegionName),
 }
 
-/// Why an arrival doesn't fit now.
+/// The limit that rejects an arrival.
 #[derive(Clone, Debug, PartialEq)]
 pub enum LimitReached {
-    /// The count in the window has reached a limit; it falls below at the time given.
+    /// The rate limit of a scope is reached; the count falls below it at the given time.
     Rate(ScopeName, Millis),
-    /// The requests in flight have reached a limit.
+    /// The limit on requests in flight of a scope is reached.
     InFlight(ScopeName),
-    /// The grant is unknown, of another run, or has expired.
+    /// The grant is unknown, belongs to another incarnation, or has expired.
     NoGrant,
-    /// The grant's own rate or requests in flight are used up.
+    /// The rate or the requests in flight of the grant itself are used up.
     GrantExhausted,
 }
 
-/// The counts of one scope.
+/// Limits and counts of one scope.
 #[derive(Clone, Debug)]
 struct Scope {
     usable: Cap,
@@ -56,7 +56,7 @@
     lent: Cap,
 }
 
-/// What one VM lends and what has arrived.
+/// Capacity that one VM has lent, and its arrivals.
 #[derive(Clone, Debug)]
 pub struct Issuer {
     tuning: Tuning,
@@ -68,26 +68,26 @@
     next_seq: u64,
     scopes: BTreeMap<ScopeName, Scope>,
     lent: BTreeMap<HolderKey, HolderGrants>,
-    wants: BTreeMap<HolderKey, (Cap, RegionName, Millis)>,
-    /// The time up to which each scope's `lent` is right if nothing changes.
+    requested: BTreeMap<HolderKey, (Cap, RegionName, Millis)>,
+    /// The time until which the cached `lent` of each scope stays valid if nothing changes.
     lent_valid_until: Millis,
 }
 
-/// What the issuer keeps back from lending for one place.
+/// Capacity that the issuer withholds from lending at one place.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Reserve {
-    /// Kept for callers of its own.
+    /// Capacity reserved for local callers.
     pub local: Cap,
-    /// The rate up to which the place is warm enough.
+    /// Highest rate for which the place is warm.
     pub warm_rate: u32,
 }
 
 impl Issuer {
-    /// Makes an issuer that started at `now`.
+    /// Creates an issuer that started at `now`.
     ///
-    /// Guards against a run before this one, at the same VM, whose grants the sources still
-    /// hold and whose last arrivals still count in the window: it lends nothing until those
-    /// grants have expired, and admits nothing for one window.
+    /// Guards against an earlier incarnation of this VM whose grants may still be held and whose
+    /// last arrivals still count in the window: the issuer lends nothing until those grants have
+    /// expired, and admits nothing for one window.
     pub fn new(vm: VmName, incarnation: Incarnation, tuning: Tuning, now: Millis) -> Self {
         Self {
             tuning,
@@ -99,13 +99,13 @@
             next_seq: 1,
             scopes: BTreeMap::new(),
             lent: BTreeMap::new(),
-            wants: BTreeMap::new(),
+            requested: BTreeMap::new(),
             lent_valid_until: Millis(0),
         }
     }
 
-    /// Takes in what the VM may use and what it may lend. What is already lent stays so until
-    /// it expires or is given back.
+    /// Sets the capacity that the VM may use and lend. Capacity already lent stays lent until its
+    /// grant expires or is given back.
     pub fn set_allowances(
         &mut self,
         region: &RegionName,
@@ -126,8 +126,8 @@
             let lend = lendable.links.get(from).copied().unwrap_or(ZERO_CAP);
             self.set_scope(ScopeName::Link(from.clone()), *cap, lend);
         }
-        // A link without a cap in the settings any more has no scope; a place without one
-        // stays at zero until nothing is in flight there.
+        // Drop the scopes of links that no longer have a cap. A place without an allowance stays
+        // at zero until nothing is in flight there.
         self.scopes.retain(|name, scope| match name {
             ScopeName::Link(from) => usable.links.contains_key(from),
             ScopeName::Place(place) => usable.places.contains_key(place) || scope.in_flight > 0,
@@ -151,14 +151,14 @@
         scope.lendable = min_cap(lendable, usable);
     }
 
-    /// Says whether a local arrival at `place` fits now.
+    /// Checks whether a local arrival at `place` is within all limits.
     ///
     /// # Errors
     ///
-    /// Gives the limit that it would pass.
+    /// Returns the limit that it would exceed.
     pub fn check_local(&mut self, place: &PlaceName, now: Millis) -> Result<(), LimitReached> {
-        self.check_open(place, now)?;
-        self.refresh(now);
+        self.check_admitting(place, now)?;
+        self.refresh_lent(now);
         for name in [ScopeName::Place(place.clone()), ScopeName::Region] {
             let Some(scope) = self.scopes.get_mut(&name) else {
                 return Err(LimitReached::Rate(name, now + self.tuning.window));
@@ -179,7 +179,7 @@
         Ok(())
     }
 
-    /// Counts a local arrival at `place`, which must have been checked at `now`.
+    /// Counts a local arrival at `place` after a successful `check_local` at the same `now`.
     pub fn start_local(&mut self, place: &PlaceName, now: Millis) {
         for name in [ScopeName::Place(place.clone()), ScopeName::Region] {
             if let Some(scope) = self.scopes.get_mut(&name) {
@@ -201,11 +201,12 @@
         }
     }
 
-    /// Says whether an arrival that bears `token` fits now, and under which grant.
+    /// Checks whether an arrival with `token` is within all limits, and returns the key of its
+    /// grant.
     ///
     /// # Errors
     ///
-    /// Gives the limit that it would pass, or says that the grant doesn't stand.
+    /// Returns the limit that it would exceed, or that the grant is not valid.
     pub fn check_granted(
         &mut self,
         token: &GrantToken,
@@ -214,7 +215,7 @@
         if token.issuer != self.vm || token.issuer_incarnation != self.incarnation {
             return Err(LimitReached::NoGrant);
         }
-        self.check_open(&token.place, now)?;
+        self.check_admitting(&token.place, now)?;
         let key = HolderKey {
             place: token.place.clone(),
             holder: token.holder.clone(),
@@ -237,7 +238,8 @@
         Ok(key)
     }
 
-    /// Counts an arrival under the grant `key`, which must have been checked at `now`.
+    /// Counts an arrival under the grant `key` after a successful `check_granted` at the same
+    /// `now`.
     pub fn start_granted(&mut self, key: &HolderKey, now: Millis) {
         let Some(lent) = self.lent.get_mut(key) else {
             return;
@@ -268,9 +270,9 @@
         self.lent_valid_until = Millis(0);
     }
 
-    /// Answers a request for grants from a VM in region `from`.
+    /// Issues grants for a request from a VM in region `from`.
     ///
-    /// `reserve` gives what to keep back at each place, and none for a place that lends
+    /// `reserve` returns the capacity to withhold at a place, or `None` for a place that lends
     /// nothing, such as one that drains.
     pub fn lend(
         &mut self,
@@ -291,7 +293,7 @@
             {
                 lent.release(want, self.tuning.window, now);
             }
-            self.remember_want(&key, want, from, now);
+            self.record_request(&key, want, from, now);
             let kept = reserve(&want.place).filter(|_| now >= self.lends_from);
             let cap = kept.map_or(ZERO_CAP, |r| {
                 self.grantable(&key, want, from, r, reserve, now)
@@ -301,7 +303,7 @@
         grants
     }
 
-    fn remember_want(
+    fn record_request(
         &mut self,
         key: &HolderKey,
         want: &PlaceRequest,
@@ -313,14 +315,14 @@
             in_flight: want.in_flight,
         };
         if cap == ZERO_CAP {
-            self.wants.remove(key);
+            self.requested.remove(key);
         } else {
-            self.wants.insert(key.clone(), (cap, from.clone(), now));
+            self.requested.insert(key.clone(), (cap, from.clone(), now));
         }
     }
 
-    /// Works out how much the holder can have: no more than its share of what is lendable,
-    /// in proportion to what all holders want, and no more than what is free.
+    /// Computes the capacity to grant: at most the holder's share of the lendable capacity, in
+    /// proportion to the requests of all holders, and at most what is free.
     fn grantable(
         &mut self,
         key: &HolderKey,
@@ -336,7 +338,7 @@
         };
         for name in self.scope_names(&key.place, from) {
             let others = self.lent_in(&name, Some(key), now);
-            let wanted = self.wanted_in(&name);
+            let wanted = self.requested_in(&name);
             let kept = match &name {
                 ScopeName::Place(_) => place_reserve.local,
                 ScopeName::Region => self.region_reserve(reserve),
@@ -353,9 +355,9 @@
                 per_second: kept.per_second.max(scope.local.count(now)),
                 in_flight: kept.in_flight.max(scope.local_in_flight),
             };
-            let pool = minus(lendable, local);
-            cap = min_cap(cap, proportion(pool, want, wanted));
-            cap = min_cap(cap, minus(pool, others));
+            let pool = sub_caps(lendable, local);
+            cap = min_cap(cap, proportional_share(pool, want, wanted));
+            cap = min_cap(cap, sub_caps(pool, others));
         }
         if cap.per_second == 0 || cap.in_flight == 0 {
             return ZERO_CAP;
@@ -390,7 +392,7 @@
         grant
     }
 
-    /// Forgets grants that have expired and holders that no longer ask.
+    /// Removes expired grants and the requests of holders that no longer ask.
     pub fn tick(&mut self, now: Millis) {
         for lent in self.lent.values_mut() {
             lent.grants.retain(|l| l.until > now);
@@ -398,12 +400,12 @@
         self.lent
             .retain(|_, l| !l.grants.is_empty() || l.in_flight > 0 || l.arrivals.count(now) > 0);
         let term = self.tuning.term;
-        self.wants.retain(|_, (_, _, at)| *at + term > now);
+        self.requested.retain(|_, (_, _, at)| *at + term > now);
         self.lent_valid_until = Millis(0);
     }
 
-    /// Gives the rate and requests in flight that are lent out or used under grants in `name`,
-    /// leaving out one holder's.
+    /// Returns the capacity lent out or in use under grants in `name`, without that of the holder
+    /// `except`.
     pub fn lent_in(&self, name: &ScopeName, except: Option<&HolderKey>, now: Millis) -> Cap {
         let in_scope = |key: &HolderKey, lent: &HolderGrants| match name {
             ScopeName::Place(place) => key.place == *place,
@@ -413,13 +415,13 @@
         let mut sum = ZERO_CAP;
         for (key, lent) in &self.lent {
             if Some(key) != except && in_scope(key, lent) {
-                sum = plus(sum, lent.reserved(now));
+                sum = add_caps(sum, lent.reserved(now));
             }
         }
         sum
     }
 
-    /// Gives the arrivals in the last window and the requests in flight in `name`.
+    /// Returns the arrivals in the last window and the requests in flight in `name`.
     pub fn used_in(&self, name: &ScopeName, now: Millis) -> Cap {
         self.scopes.get(name).map_or(ZERO_CAP, |scope| Cap {
             per_second: scope.arrivals.peek(now),
@@ -427,7 +429,7 @@
         })
     }
 
-    /// Gives the local part of [`Issuer::used_in`].
+    /// Returns the local arrivals counted in [`Issuer::used_in`].
     pub fn local_in(&self, name: &ScopeName, now: Millis) -> Cap {
         self.scopes.get(name).map_or(ZERO_CAP, |scope| Cap {
             per_second: scope.local.peek(now),
@@ -435,20 +437,21 @@
         })
     }
 
-    /// Gives the limit that local arrivals at `place` share with the arrivals under grants
-    /// counted so far: what is lent and not used is not theirs, nor what the region lacks.
+    /// Returns the limit for local arrivals at `place` together with the arrivals under grants
+    /// counted so far. It excludes capacity that is lent but unused, and capacity missing in the
+    /// region.
     pub fn local_limit(&mut self, place: &PlaceName, now: Millis) -> Cap {
-        self.refresh(now);
+        self.refresh_lent(now);
         let name = ScopeName::Place(place.clone());
         let used = self.used_in(&name, now);
         let left = min_cap(
-            self.left_in(&name, now),
-            self.left_in(&ScopeName::Region, now),
+            self.remaining_in(&name, now),
+            self.remaining_in(&ScopeName::Region, now),
         );
-        plus(used, left)
+        add_caps(used, left)
     }
 
-    fn left_in(&self, name: &ScopeName, now: Millis) -> Cap {
+    fn remaining_in(&self, name: &ScopeName, now: Millis) -> Cap {
         let Some(scope) = self.scopes.get(name) else {
             return ZERO_CAP;
         };
@@ -456,31 +459,31 @@
             per_second: scope.local.peek(now),
             in_flight: scope.local_in_flight,
         };
-        minus(minus(scope.usable, scope.lent), local)
+        sub_caps(sub_caps(scope.usable, scope.lent), local)
     }
 
-    /// Gives what may be used in `name`; a scope without a cap is unbounded.
+    /// Returns the usable capacity of `name`; a scope without a cap is unlimited.
     pub fn usable_in(&self, name: &ScopeName) -> Cap {
         self.scopes.get(name).map_or(NO_CAP, |scope| scope.usable)
     }
 
-    /// Gives the time at which the last grant for `place` expires, or none.
+    /// Returns when the last grant for `place` expires, if there is one.
     pub fn last_expiry(&self, place: &PlaceName) -> Option<Millis> {
         let of_place = self.lent.iter().filter(|(key, _)| key.place == *place);
         of_place.flat_map(|(_, l)| &l.grants).map(|l| l.until).max()
     }
 
-    /// Gives the run of this VM.
+    /// Returns the incarnation of this VM.
     pub fn incarnation(&self) -> Incarnation {
         self.incarnation
     }
 
-    /// Gives the time from which this run lends.
+    /// Returns when this incarnation starts to lend.
     pub fn lends_from(&self) -> Millis {
         self.lends_from
     }
 
-    fn check_open(&self, place: &PlaceName, now: Millis) -> Result<(), LimitReached> {
+    fn check_admitting(&self, place: &PlaceName, now: Millis) -> Result<(), LimitReached> {
         if now < self.admits_from {
             return Err(LimitReached::Rate(
                 ScopeName::Place(place.clone()),
@@ -498,17 +501,17 @@
         names
     }
 
-    fn wanted_in(&self, name: &ScopeName) -> Cap {
+    fn requested_in(&self, name: &ScopeName) -> Cap {
         let in_scope = |key: &HolderKey, from: &RegionName| match name {
             ScopeName::Place(place) => key.place == *place,
             ScopeName::Region => true,
             ScopeName::Link(link) => from == link,
         };
-        let wants = self
-            .wants
+        let requested = self
+            .requested
             .iter()
             .filter(|(key, (_, from, _))| in_scope(key, from));
-        wants.fold(ZERO_CAP, |sum, (_, (cap, _, _))| plus(sum, *cap))
+        requested.fold(ZERO_CAP, |sum, (_, (cap, _, _))| add_caps(sum, *cap))
     }
 
     fn region_reserve(&self, reserve: &dyn Fn(&PlaceName) -> Option<Reserve>) -> Cap {
@@ -516,10 +519,10 @@
             ScopeName::Place(place) => reserve(place),
             _ => None,
         });
-        places.fold(ZERO_CAP, |sum, r| plus(sum, r.local))
+        places.fold(ZERO_CAP, |sum, r| add_caps(sum, r.local))
     }
 
-    fn refresh(&mut self, now: Millis) {
+    fn refresh_lent(&mut self, now: Millis) {
         if now < self.lent_valid_until {
             return;
         }
@@ -550,7 +553,7 @@
     Ok(())
 }
 
-fn proportion(pool: Cap, want: &PlaceRequest, wanted: Cap) -> Cap {
+fn proportional_share(pool: Cap, want: &PlaceRequest, wanted: Cap) -> Cap {
     let share = |pool: u32, want: u32, all: u32| {
         if all <= pool {
             return want;
@@ -563,14 +566,14 @@
     }
 }
 
-fn plus(a: Cap, b: Cap) -> Cap {
+fn add_caps(a: Cap, b: Cap) -> Cap {
     Cap {
         per_second: a.per_second.saturating_add(b.per_second),
         in_flight: a.in_flight.saturating_add(b.in_flight),
     }
 }
 
-pub(crate) fn minus(a: Cap, b: Cap) -> Cap {
+pub(crate) fn sub_caps(a: Cap, b: Cap) -> Cap {
     Cap {
         per_second: a.per_second.saturating_sub(b.per_second),
         in_flight: a.in_flight.saturating_sub(b.in_flight),
--- a/crates/steering/src/lib.rs
+++ b/crates/steering/src/lib.rs
@@ -1,29 +1,30 @@
-//! Steering decisions: budgets, grants, placement, admission and drains as plain functions.
+//! Traffic steering decisions: budgets, grants, placement, admission and drains as pure functions.
 //!
-//! Nothing here performs input or output or reads a clock: every function takes the time as
-//! [`Millis`](heatherknot_types::prelude::Millis) and chance as `fastrand::Rng`, so the daemon
-//! and the replay make the very same decisions.
+//! Nothing here performs I/O or reads a clock. Every function takes the time as
+//! [`Millis`](heatherknot_types::prelude::Millis) and randomness as `fastrand::Rng`, so that the
+//! daemon and the replay make exactly the same decisions.
 //!
 //! # How the state of one VM is driven
 //!
-//! Each entry VM keeps one [`Steering`](steering::Steering). Its owner calls
+//! Each entry VM keeps one [`Steering`]. Its owner calls
 //!
-//! 1. `on_plan`, `on_capacity_part`, `on_peers`, `on_delay` whenever settings, the VM's part of its
-//!    failure domain's capacity, the known VMs or a measured delay change;
-//! 2. `tick` ten times a second: it ages meters, warms places and works out the weights;
-//! 3. `request_grants` once a second: it gives at most one `GrantRequest` for each other failure
-//!    domain. The owner sends it to the VM named with it; the receiver answers with what
-//!    `on_grant_request` returns; the sender hands that answer to `on_grant_reply`, or calls
-//!    `on_grant_request_failed`. An answer also carries the issuer's load, so no other report is needed,
-//!    though `report` and `on_report` are there for VMs that have no grants between them;
-//! 4. `admit` for each request. `Run` names the backend server, `Relay` the VM to hand the
-//!    request to and the grant to send with it; the receiver calls `admit` with that grant.
-//!    `Wait` tells when to call again with the same request, `Refuse` why and when to come back;
+//! 1. `on_plan`, `on_capacity_part`, `on_peers` and `on_delay` when the settings, the VM's part
+//!    of its failure domain's capacity, the known VMs or a measured delay change;
+//! 2. `tick` ten times a second, which updates meters and warm-up and computes the weights;
+//! 3. `request_grants` once a second, which returns at most one `GrantRequest` for each other
+//!    failure domain. The owner sends it to the VM named with it; the receiver replies with the
+//!    result of `on_grant_request`; the sender passes the reply to `on_grant_reply`, or calls
+//!    `on_grant_request_failed`. A reply also carries the issuer's load, so VMs that exchange
+//!    grants need no other report; `report` and `on_report` are for VMs that do not;
+//! 4. `admit` for each request. `Run` names the backend server, `Relay` the VM to relay the
+//!    request to and the grant token to send with it; the receiver calls `admit` with that token.
+//!    `Wait` says when to call again with the same request, `Refuse` why it is refused and when
+//!    the caller may retry;
 //! 5. `finish` exactly once for each `Run` and each `Relay`;
 //! 6. `on_lookup` for each look-up, which counts the answer as load until it expires;
 //! 7. `explain` and `drain_status` when an operator asks.
 //!
-//! [`record::step`] does any of these from an [`record::Input`], which is how a recorded
+//! [`record::step`] performs any of these calls for a [`record::Input`], which is how a recorded
 //! incident is replayed.
 
 pub mod admission;
--- a/crates/steering/src/lookup.rs
+++ b/crates/steering/src/lookup.rs
@@ -1,4 +1,4 @@
-//! The load that look-up answers in callers' caches can still bring.
+//! Tracks the load that look-up answers in callers' caches can still cause.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -7,32 +7,33 @@
 
 use crate::messages::GrantToken;
 
-/// The resolution in which expiries are kept; an answer counts until the end of its step.
+/// Resolution of the stored expiry times, in milliseconds; an answer counts until the end of its
+/// step.
 const EXPIRY_STEP_MS: u64 = 250;
 
-/// One place that a look-up answer names.
+/// One place in a look-up answer.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Choice {
     /// The place.
     pub place: PlaceName,
     /// Its failure domain.
     pub domain: DomainName,
-    /// The entry VM that issued the grant, where it is in another failure domain.
+    /// The entry VM that issued the grant, if the place is in another failure domain.
     pub vm: Option<VmName>,
-    /// What the caller's requests bear there.
+    /// The token that the caller's requests carry there.
     pub grant: Option<GrantToken>,
 }
 
-/// What a look-up is answered with.
+/// The answer to a look-up.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LookupAnswer {
-    /// Where to go, the best first.
+    /// The places to use, best first.
     pub choices: Vec<Choice>,
-    /// How long the answer may be kept. It never outlives the grant that it stands on.
+    /// How long the answer may be cached. It never outlives the grant it relies on.
     pub ttl: Millis,
 }
 
-/// The answers about one service at one place that are still in callers' caches.
+/// Unexpired answers about one service that name one place first.
 #[derive(Clone, Debug, Default)]
 pub struct LiveAnswers {
     expiries: VecDeque<(u64, u32)>,
@@ -51,7 +52,7 @@
         }
     }
 
-    /// Gives the answers that are still live at `now`, and forgets the others.
+    /// Returns the number of answers unexpired at `now` and removes the others.
     pub fn count(&mut self, now: Millis) -> u32 {
         while let Some(&(step, n)) = self.expiries.front() {
             if step * EXPIRY_STEP_MS > now.0 {
@@ -63,7 +64,7 @@
         self.live
     }
 
-    /// Gives when the last answer expires, or none where none is live.
+    /// Returns when the last answer expires, or `None` if there is none.
     pub fn last_expiry(&self) -> Option<Millis> {
         self.expiries
             .back()
@@ -71,7 +72,7 @@
     }
 }
 
-/// The live answers of one VM, by service and place.
+/// The unexpired answers given by one VM, by service and place.
 #[derive(Clone, Debug, Default)]
 pub struct CachedAnswers {
     answers: BTreeMap<ServiceName, BTreeMap<PlaceName, LiveAnswers>>,
@@ -87,7 +88,7 @@
         places.entry(place.clone()).or_default().add(until);
     }
 
-    /// Gives the answers about `service` that name `place` first.
+    /// Returns the number of unexpired answers about `service` that name `place` first.
     pub fn live(&mut self, service: &ServiceName, place: &PlaceName, now: Millis) -> u32 {
         let places = self.answers.get_mut(service);
         places
@@ -95,7 +96,7 @@
             .map_or(0, |l| l.count(now))
     }
 
-    /// Gives every service with the number of its live answers that name `place` first.
+    /// Returns each service with its number of unexpired answers that name `place` first.
     pub fn at_place(&mut self, place: &PlaceName, now: Millis) -> Vec<(ServiceName, u32)> {
         let all = self.answers.iter_mut();
         let live = all.filter_map(|(service, places)| {
@@ -105,20 +106,20 @@
         live.collect()
     }
 
-    /// Gives every place with the number of live answers about `service` that name it first.
+    /// Returns each place with its number of unexpired answers about `service` that name it first.
     pub fn of_service(&mut self, service: &ServiceName, now: Millis) -> Vec<(PlaceName, u32)> {
         let places = self.answers.get_mut(service).into_iter().flatten();
         let live = places.map(|(place, live)| (place.clone(), live.count(now)));
         live.filter(|(_, n)| *n > 0).collect()
     }
 
-    /// Gives when the last answer that names `place` expires, or none.
+    /// Returns when the last answer that names `place` first expires, or `None` if there is none.
     pub fn last_expiry(&self, place: &PlaceName) -> Option<Millis> {
         let of_place = self.answers.values().filter_map(|p| p.get(place));
         of_place.filter_map(LiveAnswers::last_expiry).max()
     }
 
-    /// Forgets expired answers.
+    /// Removes expired answers.
     pub fn tick(&mut self, now: Millis) {
         for places in self.answers.values_mut() {
             places.retain(|_, live| live.count(now) > 0);
--- a/crates/steering/src/messages.rs
+++ b/crates/steering/src/messages.rs
@@ -1,121 +1,121 @@
-//! What the VMs say to each other: requests for grants, grants, load reports.
+//! Messages between VMs: grant requests, grants and load reports.
 //!
-//! Field names are one letter on the wire, since control may cost a daemon 7 KB a second.
+//! Field names are one letter on the wire, as a daemon has 7 KB per second for control traffic.
 
 use heatherknot_types::prelude::*;
 use serde::{Deserialize, Serialize};
 
-/// What a VM asks of one VM of another failure domain, for all places there at once.
+/// A request for grants from one VM of another failure domain, for all places there at once.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct GrantRequest {
-    /// The number of this request, growing within one run of the holder.
+    /// Sequence number of the request, increasing within one incarnation of the holder.
     #[serde(rename = "n")]
     pub ask: u64,
-    /// The VM that asks.
+    /// The requesting VM.
     #[serde(rename = "v")]
     pub holder: VmName,
-    /// The run of the VM that asks.
+    /// The incarnation of the requesting VM.
     #[serde(rename = "i")]
     pub holder_incarnation: Incarnation,
-    /// The failure domain of the VM that asks.
+    /// The failure domain of the requesting VM.
     #[serde(rename = "d")]
     pub domain: DomainName,
-    /// The run of the issuer whose grants the wants speak of, where there are any.
+    /// The incarnation of the issuer whose grants `wants` refers to, if any are held.
     #[serde(rename = "t", default, skip_serializing_if = "Option::is_none")]
     pub issuer_incarnation: Option<Incarnation>,
-    /// One line for each place.
+    /// One entry for each place.
     #[serde(rename = "w")]
     pub wants: Vec<PlaceRequest>,
 }
 
-/// What a VM wants for one place and what it holds.
+/// The capacity requested at one place, and the grant currently held there.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct PlaceRequest {
     /// The place.
     #[serde(rename = "p")]
     pub place: PlaceName,
-    /// Requests started in a second that the holder wants; zero gives everything back.
+    /// Requested rate in requests per second; zero gives the grant back.
     #[serde(rename = "r")]
     pub rate: u32,
-    /// Requests at once that the holder wants.
+    /// Requested number of requests in flight.
     #[serde(rename = "f")]
     pub in_flight: u32,
-    /// The newest grant that the holder has; it never again uses an older one.
+    /// Sequence number of the holder's newest grant; older ones are never used again.
     #[serde(rename = "s", default)]
     pub holds: u64,
-    /// The rate to which the holder has lowered that grant for good.
+    /// Rate to which the holder has permanently lowered that grant.
     #[serde(rename = "k", default)]
     pub keep_rate: u32,
-    /// The requests at once to which the holder has lowered that grant for good.
+    /// Requests in flight to which the holder has permanently lowered that grant.
     #[serde(rename = "g", default)]
     pub keep_in_flight: u32,
 }
 
-/// The answer to a [`GrantRequest`].
+/// The reply to a [`GrantRequest`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct GrantReply {
-    /// The number of the request answered.
+    /// Sequence number of the request that is answered.
     #[serde(rename = "n")]
     pub ask: u64,
-    /// The run of the VM that asked.
+    /// The incarnation of the requesting VM.
     #[serde(rename = "h")]
     pub holder_incarnation: Incarnation,
-    /// The VM that answers.
+    /// The VM that replies.
     #[serde(rename = "v")]
     pub issuer: VmName,
-    /// The run of the VM that answers.
+    /// The incarnation of the VM that replies.
     #[serde(rename = "i")]
     pub issuer_incarnation: Incarnation,
-    /// How long the grants last, counted by the holder from before it asked.
+    /// Lifetime of the grants, which the holder counts from before it sent the request.
     #[serde(rename = "t")]
     pub term: Millis,
-    /// The grants, at most one for each place asked for.
+    /// The grants, at most one for each requested place.
     #[serde(rename = "g")]
     pub grants: Vec<Grant>,
-    /// The number of the report that `places` makes, counted with [`VmReport::seq`].
+    /// Sequence number of the report in `places`, from the same sequence as [`VmReport::seq`].
     #[serde(rename = "q", default)]
     pub report_seq: u64,
-    /// The issuer's load at the places asked for.
+    /// The issuer's load at the requested places.
     #[serde(rename = "l", default)]
     pub places: Vec<PlaceReport>,
 }
 
-/// A bounded, expiring right to send requests to one place.
+/// A limited, expiring right to send requests to one place.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Grant {
     /// The place.
     #[serde(rename = "p")]
     pub place: PlaceName,
-    /// The number of the grant, growing within one run of the issuer.
+    /// Sequence number of the grant, increasing within one incarnation of the issuer.
     #[serde(rename = "s")]
     pub seq: u64,
-    /// Requests that may be started in any window of a second.
+    /// Requests that may start in any window of one second.
     #[serde(rename = "r")]
     pub rate: u32,
-    /// Requests that may be in progress at once.
+    /// Requests that may be in flight at once.
     #[serde(rename = "f")]
     pub in_flight: u32,
 }
 
-/// What a relayed request carries to show under which grant it was sent.
+/// Sent with a relayed request to identify the grant it uses.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct GrantToken {
     /// The VM that issued the grant.
     #[serde(rename = "v")]
     pub issuer: VmName,
-    /// The run of the VM that issued the grant.
+    /// The incarnation of the VM that issued the grant.
     #[serde(rename = "t")]
     pub issuer_incarnation: Incarnation,
     /// The VM that holds the grant.
     #[serde(rename = "h")]
     pub holder: VmName,
-    /// The run of the VM that holds the grant.
+    /// The incarnation of the VM that holds the grant.
     #[serde(rename = "i")]
     pub holder_incarnation: Incarnation,
     /// The place.
     #[serde(rename = "p")]
     pub place: PlaceName,
-    /// The number of the grant.
+    /// Sequence number of the grant.
     #[serde(rename = "s")]
     pub seq: u64,
 }
@@ -123,19 +123,19 @@
 /// One VM's load at the places of its failure domain.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct VmReport {
-    /// The VM that reports.
+    /// The reporting VM.
     #[serde(rename = "v")]
     pub vm: VmName,
-    /// The failure domain of the VM that reports.
+    /// The failure domain of the reporting VM.
     #[serde(rename = "d")]
     pub domain: DomainName,
-    /// The run of the VM that reports.
+    /// The incarnation of the reporting VM.
     #[serde(rename = "i")]
     pub incarnation: Incarnation,
-    /// The number of the report, growing within one run.
+    /// Sequence number of the report, increasing within one incarnation.
     #[serde(rename = "n")]
     pub seq: u64,
-    /// The places.
+    /// One entry for each place.
     #[serde(rename = "l")]
     pub places: Vec<PlaceReport>,
 }
@@ -146,25 +146,25 @@
     /// The place.
     #[serde(rename = "p")]
     pub place: PlaceName,
-    /// How old the measurement was when it was sent.
+    /// Age of the measurement when it was sent.
     #[serde(rename = "a", default)]
     pub age: Millis,
-    /// Requests started in a second, now.
+    /// Current rate in requests per second.
     #[serde(rename = "r")]
     pub rate: u32,
-    /// Requests in a second that the VM's part of the cap allows.
+    /// Rate that the VM's part of the cap allows, in requests per second.
     #[serde(rename = "c")]
     pub allowance: u32,
-    /// Requests in a second that the VM could still lend.
+    /// Rate that the VM could still lend, in requests per second.
     #[serde(rename = "e")]
     pub lendable: u32,
-    /// Answers of backend servers that were good, in thousandths.
+    /// Share of successful responses from backend servers, in thousandths.
     #[serde(rename = "h")]
     pub health: u16,
-    /// Requests in a second that the place has warmed up to, as this VM sees it.
+    /// Rate to which the place has warmed up, as seen by this VM, in requests per second.
     #[serde(rename = "w")]
     pub warmed: u32,
-    /// The services of the place of which no backend server may get work now.
+    /// Services of the place that have no usable backend server now.
     #[serde(rename = "x", default, skip_serializing_if = "Vec::is_empty")]
     pub without: Vec<ServiceName>,
 }
--- a/crates/steering/src/peer.rs
+++ b/crates/steering/src/peer.rs
@@ -1,22 +1,22 @@
-//! Which VM of another failure domain a VM asks for grants.
+//! Selects the VM of another failure domain to request grants from.
 
 use heatherknot_types::hash::rendezvous;
 use heatherknot_types::prelude::*;
 use serde::{Deserialize, Serialize};
 
-/// A VM of the system as membership knows it. Nothing that must hold rests on it.
+/// A VM as known from membership. The information is advisory; no cap depends on it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Peer {
     /// The VM.
     pub vm: VmName,
     /// Its failure domain.
     pub domain: DomainName,
-    /// Whether it is thought to be up and staying.
+    /// Whether it is believed to be up and not leaving.
     pub usable: bool,
 }
 
-/// Gives the VM that wins `key` by rendezvous hashing, or none where `vms` is empty: a VM that
-/// comes or goes moves only the keys that it wins.
+/// Returns the VM with the highest rendezvous hash for `key`, or `None` if `vms` is empty. When a
+/// VM joins or leaves, only the keys it wins move.
 pub fn rendezvous_winner<'a>(
     key: &str,
     vms: impl Iterator<Item = &'a VmName>,
--- a/crates/steering/src/record.rs
+++ b/crates/steering/src/record.rs
@@ -1,5 +1,4 @@
-//! Everything that changes a VM's state, and everything it decides, as data: what a daemon
-//! records is what a replay feeds back.
+//! All inputs and decisions of a VM as data: a daemon records them, and a replay feeds them back.
 
 use std::sync::Arc;
 
@@ -14,70 +13,70 @@
 use crate::upstream::{RequestOutcome, UpstreamLoad};
 use crate::verdict::{Arrival, Ticket, Verdict};
 
-/// Something that happened at a VM.
+/// An input to a VM's state.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Input {
-    /// Settings came into force.
+    /// A plan came into force.
     Plan(Arc<Plan>),
     /// The VM's part of its failure domain's capacity changed.
     Part(u16),
-    /// The VMs known changed.
+    /// The list of known VMs changed.
     Peers(Vec<Peer>),
     /// A delay was measured.
     Delay {
-        /// To which failure domain.
+        /// The failure domain measured.
         domain: DomainName,
-        /// One way.
+        /// The one-way delay.
         delay: Millis,
     },
-    /// A report came.
+    /// A load report was received.
     Report(VmReport),
-    /// An upstream's load or health answer came.
+    /// An upstream's load or health response was received.
     Upstream {
         /// The service.
         service: ServiceName,
         /// The upstream.
         upstream: UpstreamName,
-        /// What it said.
+        /// The response.
         load: UpstreamLoad,
     },
-    /// An upstream is leaving, or no longer is.
+    /// An upstream started or stopped shutting down.
     UpstreamLeaving {
         /// The service.
         service: ServiceName,
         /// The upstream.
         upstream: UpstreamName,
-        /// Whether it is.
+        /// Whether it is shutting down.
         leaving: bool,
     },
-    /// An upstream started cold.
+    /// An upstream started with cold caches.
     UpstreamCold {
         /// The service.
         service: ServiceName,
         /// The upstream.
         upstream: UpstreamName,
     },
-    /// A place's warmed rate is known from elsewhere.
+    /// The warmed rate of a place is known from another VM.
     Warmed {
         /// The place.
         place: PlaceName,
-        /// Requests a second.
+        /// Requests per second.
         rate: u32,
     },
-    /// Time passed.
+    /// Advances the time.
     Tick,
-    /// It is time to ask for grants.
+    /// Requests grants if needed.
     Ask,
-    /// Another VM asked for grants.
+    /// A grant request from another VM was received.
     GrantRequest(GrantRequest),
-    /// An answer to a request for grants came.
+    /// The reply to a grant request was received.
     Grant(GrantReply),
-    /// A request for grants got no answer.
+    /// A grant request was not answered.
     AskFailed(VmName),
-    /// A caller looked a service up.
+    /// A caller looked up a service.
     Lookup(ServiceName),
-    /// A request asks to be admitted.
+    /// A request arrived for admission.
     Arrival(Arrival),
     /// A request ended.
     Finish {
@@ -88,34 +87,34 @@
     },
 }
 
-/// What a VM decided on an [`Input`].
+/// The decision of a VM on an [`Input`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Decision {
-    /// Nothing to do.
+    /// No action.
     None,
-    /// Send these requests for grants.
+    /// Send these grant requests.
     Ask(Vec<(VmName, GrantRequest)>),
-    /// Answer a request for grants with this.
+    /// Send this reply to a grant request.
     Grant(GrantReply),
-    /// Answer a look-up with this.
+    /// Send this answer to a look-up.
     Lookup(Option<LookupAnswer>),
-    /// Do this with a request.
+    /// The decision on a request.
     Verdict(Verdict),
 }
 
-/// An input with its time and its decision, as one line of a recording.
+/// An input with its time and decision, which is one line of a recording.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Entry {
-    /// When, on the VM's own clock.
+    /// Time on the VM's own clock.
     pub at: Millis,
-    /// What happened.
+    /// The input.
     pub input: Input,
-    /// What was decided.
+    /// The decision.
     pub decision: Decision,
 }
 
-/// Hands `input` to the function that it is for and gives what that decided.
+/// Passes `input` to the method that handles it and returns the decision.
 pub fn step(vm: &mut Steering, input: &Input, rng: &mut fastrand::Rng, now: Millis) -> Decision {
     match input {
         Input::Plan(plan) => vm.on_plan(Arc::clone(plan), now),
--- a/crates/steering/src/report.rs
+++ b/crates/steering/src/report.rs
@@ -1,7 +1,7 @@
-//! What this VM knows of places: reports with their age, and what it saw itself.
+//! What this VM knows of places, from load reports and from its own requests.
 //!
-//! A report counts in full while it is fresh, then for less, then for nothing. Where this VM's
-//! own requests fail, the report of a healthy place is not believed.
+//! The weight of a report falls with its age, from full to zero. A report that a place is healthy
+//! is overridden if this VM's own requests to it fail.
 
 use std::collections::BTreeMap;
 
@@ -13,17 +13,17 @@
 
 /// Health below which a place is no longer used, in thousandths.
 pub const UNHEALTHY_BELOW: u16 = 500;
-/// Health from which a place may be used again.
+/// Health from which a place may be used again, in thousandths.
 pub const HEALTHY_FROM: u16 = 800;
-/// Own outcomes of late that are enough to judge by.
+/// Minimum number of recent own outcomes (with decay) to compute a health value from.
 const MIN_SAMPLES: f64 = 3.0;
-/// The time in which an own outcome loses half its weight, in seconds.
+/// Half-life of an own outcome's weight, in seconds.
 const OUTCOME_HALF_LIFE_SECS: f64 = 2.0;
-/// The time for which a place must be well before an earlier failure is forgotten, as a
-/// multiple of the longest hold-down.
+/// How long a place must stay healthy before its earlier failures are forgotten, as a multiple of
+/// the longest hold-down.
 const FAILURE_RESET_MULTIPLE: u64 = 2;
 
-/// A report as it was received.
+/// A report and when it was received.
 #[derive(Clone, Debug)]
 struct Received {
     at: Millis,
@@ -73,22 +73,22 @@
     }
 }
 
-/// The summary of all reports on one place, weighted by their age.
+/// All reports on one place combined, weighted by age.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Summary {
-    /// Requests started in a second at the VMs that reported.
+    /// Rate at the reporting VMs, in requests per second.
     pub rate: f64,
-    /// What those VMs' parts of the cap allow, in requests a second.
+    /// Rate that those VMs' parts of the cap allow, in requests per second.
     pub allowance: f64,
-    /// What those VMs could still lend, in requests a second, less for older reports.
+    /// Rate that those VMs could still lend, in requests per second, discounted by age.
     pub lendable: f64,
-    /// Good answers, in thousandths.
+    /// Share of successful responses, in thousandths.
     pub health: u16,
-    /// Warmed rate at those VMs.
+    /// Warmed rate at those VMs, in requests per second.
     pub warmed: f64,
     /// Age of the newest report.
     pub age: Millis,
-    /// How much the newest report counts, from 0 to 1.
+    /// Weight of the newest report, from 0 to 1.
     pub weight: f64,
 }
 
@@ -100,7 +100,7 @@
 }
 
 impl Reports {
-    /// Makes an empty one.
+    /// Creates an empty collection.
     pub fn new(tuning: Tuning) -> Self {
         Self {
             tuning,
@@ -108,7 +108,7 @@
         }
     }
 
-    /// Takes in a report. One that came out of order is dropped.
+    /// Records a report. A report older than the newest one of its VM is dropped.
     pub fn record(&mut self, report: &VmReport, now: Millis) {
         for place in &report.places {
             let view = self.view(&place.place, now);
@@ -128,7 +128,7 @@
         }
     }
 
-    /// Gives how much a report of `age` counts, from 1 to 0.
+    /// Returns the weight of a report of `age`, from 1 to 0.
     pub fn weight(&self, age: Millis) -> f64 {
         let fresh = self.tuning.report_fresh;
         if age <= fresh {
@@ -143,7 +143,7 @@
         (1.0 - age.since(fresh).as_secs_f64() / span).max(0.0)
     }
 
-    /// Gives what the reports on `place` say together, or none where none counts any more.
+    /// Returns the combined reports on `place`, or `None` if none has any weight.
     pub fn summary(&self, place: &PlaceName, now: Millis) -> Option<Summary> {
         let view = self.places.get(place)?;
         let mut sum = Summary {
@@ -178,7 +178,7 @@
         (weights > 0.0).then_some(sum)
     }
 
-    /// Counts how one of this VM's own requests to `place` ended.
+    /// Records the outcome of one of this VM's own requests to `place`.
     pub fn record_outcome(&mut self, place: &PlaceName, end: RequestOutcome, now: Millis) {
         let view = self.view(place, now);
         view.decay(now);
@@ -189,32 +189,32 @@
         }
     }
 
-    /// Gives the health of `place` as it is believed: the worse of what is reported and what
-    /// this VM saw, in thousandths. Nothing known counts as well.
+    /// Returns the assumed health of `place`, in thousandths: the lower of the reported health and
+    /// that seen by this VM's own requests. An unknown place counts as healthy.
     pub fn health(&self, place: &PlaceName, now: Millis) -> u16 {
         let reported = self.summary(place, now).map_or(1_000, |s| s.health);
         let own = self.places.get(place).and_then(PlaceView::own_health);
         reported.min(own.unwrap_or(1_000))
     }
 
-    /// Gives the health of `place` as this VM's own requests saw it.
+    /// Returns the health of `place` as seen by this VM's own requests, in thousandths.
     pub fn own_health(&self, place: &PlaceName) -> u16 {
         let own = self.places.get(place).and_then(PlaceView::own_health);
         own.unwrap_or(1_000)
     }
 
-    /// Says whether `place` may be used: it is well, or has not been ill for long enough.
+    /// Returns whether `place` may be used, that is, whether it is not in a hold-down.
     pub fn usable(&self, place: &PlaceName) -> bool {
         self.places.get(place).is_none_or(|view| !view.held_down)
     }
 
-    /// Says whether `place` has backend servers of `service` that may get work, as its VMs
-    /// report.
+    /// Returns whether `place` has usable backend servers of `service` according to the newest
+    /// report of its VMs.
     ///
-    /// Guards against a service whose backend servers stall at a place where those of other
-    /// services are well: the place's health stays high, since what stalls is soon left alone
-    /// there and the others' good answers are all that is counted, and without this word other
-    /// failure domains would go on sending the service there.
+    /// Guards against a service whose backend servers hang at a place where those of other
+    /// services are healthy: the hanging servers soon get no requests there, so only the other
+    /// services' successes count and the place's health stays high. Without this check other
+    /// failure domains would keep sending the service there.
     pub fn serves(&self, service: &ServiceName, place: &PlaceName, now: Millis) -> bool {
         let Some(view) = self.places.get(place) else {
             return true;
@@ -224,10 +224,11 @@
         newest.is_none_or(|r| !r.report.without.contains(service))
     }
 
-    /// Judges every place anew.
+    /// Starts and ends the hold-downs of all places.
     ///
-    /// Guards against health that flaps: traffic would swing to and fro with it and keep both
-    /// ends cold. A place that was ill is left alone for a while, twice as long each time.
+    /// Guards against flapping health, with which traffic would swing back and forth and keep the
+    /// caches at both ends cold. An unhealthy place is held down for a period that doubles with
+    /// each failure.
     pub fn update_hold_downs(&mut self, now: Millis) {
         let names: Vec<PlaceName> = self.places.keys().cloned().collect();
         for name in names {
--- a/crates/steering/src/traffic.rs
+++ b/crates/steering/src/traffic.rs
@@ -9,7 +9,7 @@
 use heatherknot_types::prelude::*;
 
 use crate::allowance::min_cap;
-use crate::issuer::{ScopeName, minus};
+use crate::issuer::{ScopeName, sub_caps};
 use crate::lookup::{Choice, LookupAnswer};
 use crate::placement::{AvailablePlace, PlaceShare, ServiceDemand, Target, assign};
 use crate::steering::{ServiceState, Steering};
@@ -103,11 +103,6 @@
     /// per second, and requests they briefly did not cover returned to the draining place, one at
     /// a time, until the operator gave up. Once all traffic has had room elsewhere for a while,
     /// requests wait in the queue through such moments.
-    ///
-    /// Guards against a drain that never ends: the grants that this VM holds elsewhere go up
-    /// and down by a few requests a second, and what they don't cover for a moment came back
-    /// to the place that drains, single requests until the operator gave up. Once all of the
-    /// traffic has had place elsewhere for a while, such moments are waited out in line.
     fn is_drained(&self, place: &PlaceName, now: Millis) -> bool {
         let since = self.drained_since.get(place);
         self.draining(place) && since.is_some_and(|at| now.since(*at) >= DRAIN_SETTLE)
@@ -187,9 +182,9 @@
     fn local_place(&mut self, place: &PlaceName, now: Millis) -> (AvailablePlace, AvailablePlace) {
         let name = ScopeName::Place(place.clone());
         let usable = self.issuer.usable_in(&name);
-        let left = minus(usable, self.issuer.lent_in(&name, None, now));
+        let left = sub_caps(usable, self.issuer.lent_in(&name, None, now));
         let region = self.issuer.usable_in(&ScopeName::Region);
-        let region_left = minus(region, self.issuer.lent_in(&ScopeName::Region, None, now));
+        let region_left = sub_caps(region, self.issuer.lent_in(&ScopeName::Region, None, now));
         let used = f64::from(self.issuer.used_in(&name, now).per_second);
         let local = f64::from(self.issuer.local_in(&name, now).per_second);
         let limit = f64::from(min_cap(left, region_left).per_second);
@@ -211,7 +206,7 @@
     fn remote_place(&mut self, place: &PlaceName, now: Millis) -> (AvailablePlace, AvailablePlace) {
         let domain = self.plan.places.get(place).map(|p| p.domain.clone());
         let delay = domain.map_or(Millis(0), |d| self.delay_to(&d));
-        let held = self.holder.live(place, now);
+        let held = self.holder.live_grant(place, now);
         let rate = held.map_or(0.0, |h| f64::from(h.rate));
         let sent = held.map_or(0.0, |h| f64::from(h.sent(now)));
         let summary = self.reports.summary(place, now);
@@ -369,7 +364,7 @@
         };
         if !self.is_local(place) {
             let committed_rate = self.committed_rate(place, now);
-            let Some(held) = self.holder.live(place, now) else {
+            let Some(held) = self.holder.live_grant(place, now) else {
                 return;
             };
             let left = held.until.since(now);
--- a/crates/steering/src/tuning.rs
+++ b/crates/steering/src/tuning.rs
@@ -1,55 +1,54 @@
-//! The spans and ratios that the decisions use and that are no operator's setting.
+//! Durations and ratios used by the decisions that operators cannot configure.
 
 use heatherknot_types::prelude::*;
 use serde::{Deserialize, Serialize};
 
-/// The spans and ratios of the decisions. A replay may try others.
+/// Durations and ratios used by the decisions. A replay may override them.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Tuning {
-    /// The span in which arrivals are counted against a cap.
+    /// Length of the window in which arrivals are counted against a cap.
     pub window: Millis,
-    /// The resolution of that count. 1 ms is exact; a coarser one counts an arrival for longer.
+    /// Resolution of that window. 1 ms is exact; a coarser one counts an arrival for longer.
     pub window_grain: Millis,
-    /// How long a grant lasts.
+    /// Lifetime of a grant.
     pub term: Millis,
-    /// How much longer the issuer counts a grant, and how much sooner the holder stops, for
-    /// clocks that run at different speeds and messages under way.
+    /// Time by which the issuer counts a grant longer, and the holder stops earlier, to allow for
+    /// clocks that run at different speeds and messages in transit.
     pub margin: Millis,
-    /// The least time between two requests to the same issuer.
+    /// Shortest time between two requests to the same failure domain.
     pub ask_interval: Millis,
-    /// What a holder asks for beyond its need, in thousandths of the need.
+    /// What a holder asks for, in thousandths of its need.
     pub ask_headroom_permille: u32,
-    /// What an issuer keeps for callers of its own beyond their recent demand, in thousandths.
+    /// What an issuer reserves for local callers, in thousandths of their recent demand.
     pub local_reserve_permille: u32,
-    /// What fair sharing keeps for an account beyond its recent demand, in thousandths.
+    /// What fair sharing reserves for an account, in thousandths of its recent demand.
     pub account_reserve_permille: u32,
-    /// How long the peak of a demand is remembered.
+    /// Time constant with which the peak of a demand decays.
     pub peak_memory: Millis,
-    /// How long a report counts in full.
+    /// Age up to which a report has full weight.
     pub report_fresh: Millis,
-    /// The age at which a report counts for nothing.
+    /// Age from which a report has no weight.
     pub report_stale: Millis,
-    /// The share of a service's traffic that may move in a second for preference alone, in
-    /// thousandths; what a limit demands moves at once.
+    /// Share of a service's traffic that may move per second for preference alone, in thousandths.
+    /// Moves required by a limit apply at once.
     pub move_permille: u32,
-    /// The smallest move worth making for preference alone, in thousandths.
+    /// Smallest move made for preference alone, in thousandths.
     pub dead_band_permille: u32,
-    /// How long a place must look well before it is used again after its first failure; each
-    /// further failure doubles it.
+    /// Hold-down of a place after its first failure. It doubles with each further failure.
     pub hold_down: Millis,
-    /// The longest of those.
+    /// Longest hold-down.
     pub hold_down_max: Millis,
-    /// How long a growth of a part of a region's or link's cap waits, so that every daemon has
-    /// the settings that took it from another.
+    /// Delay before a VM uses a larger part of a region's or link's cap, so that every daemon has
+    /// received the settings that took it from another VM.
     pub settle: Millis,
-    /// The longest time a request is told to wait for a place in the window.
+    /// Longest time a request is told to wait for room in the window.
     pub max_wait: Millis,
-    /// How long an upstream gets fewer requests after it starts.
+    /// How long an upstream gets fewer requests after its start.
     pub upstream_warm_up: Millis,
-    /// How long an upstream that shed a request is left alone.
+    /// How long an upstream gets no requests after it shed one.
     pub shed_pause: Millis,
-    /// The time in which an unused warmed rate falls by half.
+    /// Half-life of an unused warmed rate.
     pub cooling_half_life: Millis,
 }
 
--- a/crates/steering/src/upstream.rs
+++ b/crates/steering/src/upstream.rs
@@ -1,8 +1,9 @@
-//! Which backend server of a place gets a request.
+//! Selects the backend server of a place for a request.
 //!
-//! A failure domain has two or three upstreams of a service with 3 to 9 slots each, so all of
-//! them are looked at. Load is what the upstream reported, corrected by what this VM has started
-//! and finished since; a report that claims less than this VM has in flight itself is wrong.
+//! A failure domain has two or three upstreams of a service with 3 to 9 slots each, so all of them
+//! are compared. The load is what the upstream reported, corrected by the requests this VM has
+//! started and finished since. It is never taken to be lower than this VM's own requests in
+//! flight.
 
 use std::collections::BTreeMap;
 
@@ -12,37 +13,37 @@
 
 use crate::tuning::Tuning;
 
-/// Failures in a row after which an upstream is left alone for a while.
+/// Consecutive failures after which an upstream is ejected for a while.
 const EJECT_AFTER: u32 = 3;
 
-/// What is known of one upstream from its health or load answer.
+/// State of one upstream according to its health or load response.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UpstreamLoad {
-    /// Slots in use, by all VMs together.
+    /// Slots in use by all VMs together.
     pub in_use: u16,
-    /// Whether it says that it is well.
+    /// Whether it reports itself healthy.
     pub healthy: bool,
-    /// Whether it says that it is leaving.
+    /// Whether it reports that it is shutting down.
     pub leaving: bool,
-    /// How old the measurement is.
+    /// Age of the measurement.
     pub age: Millis,
 }
 
-/// How a request ended, as the choice of upstreams and places sees it.
+/// The outcome of a request, for the selection of upstreams and places.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum RequestOutcome {
-    /// A whole answer came.
+    /// A complete response was received.
     Good,
-    /// The upstream failed: no connection, a broken answer, a server error.
+    /// The upstream failed: no connection, a broken response or a server error.
     Failed,
-    /// The upstream refused the request for want of room.
+    /// The upstream refused the request for lack of capacity.
     Shed,
-    /// The caller gave up; it says nothing of the upstream.
+    /// The caller gave up, which says nothing about the upstream.
     Cancelled,
 }
 
-/// One upstream as this VM sees it.
+/// An upstream as seen by this VM.
 #[derive(Clone, Debug)]
 pub struct Upstream {
     plan: UpstreamPlan,
@@ -80,17 +81,18 @@
         }
     }
 
-    /// Gives the upstream's settings.
+    /// Returns the upstream's plan.
     pub fn plan(&self) -> &UpstreamPlan {
         &self.plan
     }
 
-    /// Gives this VM's own requests in flight there.
+    /// Returns this VM's own requests in flight there.
     pub fn in_flight(&self) -> u32 {
         self.in_flight
     }
 
-    /// Gives the slots thought to be in use. A report older than `stale` counts for nothing.
+    /// Returns the estimated number of slots in use. A report older than `report_stale` is
+    /// ignored.
     pub fn in_use(&self, tuning: &Tuning, now: Millis) -> u32 {
         let Some((at, load)) = self.reported else {
             return self.in_flight;
@@ -104,8 +106,9 @@
             .max(self.in_flight)
     }
 
-    /// Gives the slots that may be used now: fewer while it warms up, and no more than it had
-    /// when it last shed a request. After failures, one request tries it out.
+    /// Returns the number of slots that may be used now: fewer during warm-up, and limited after
+    /// the upstream shed a request. While recovering from an ejection it gets one request at a
+    /// time.
     pub fn slots(&self, tuning: &Tuning, now: Millis) -> u32 {
         if self.ejections > 0 {
             return 1;
@@ -119,7 +122,7 @@
         (u64::from(slots) * warmed / span).max(1) as u32
     }
 
-    /// Says whether it may get new work at all.
+    /// Returns whether it may get new requests.
     pub fn usable(&self, now: Millis) -> bool {
         let reported_ill = self
             .reported
@@ -162,7 +165,7 @@
         let doubled = tuning.hold_down.0 << self.ejections.min(10);
         self.ejected_until = now + Millis(doubled.min(tuning.hold_down_max.0));
         self.ejections += 1;
-        // One more failure after the pause ejects it again.
+        // A single failure after the ejection ends ejects it again.
         self.failures = EJECT_AFTER - 1;
     }
 
@@ -176,15 +179,15 @@
     }
 }
 
-/// The upstreams of every service in one failure domain.
+/// The upstreams of all services in one failure domain.
 #[derive(Clone, Debug, Default)]
 pub struct Upstreams {
     services: BTreeMap<ServiceName, Vec<Upstream>>,
 }
 
 impl Upstreams {
-    /// Takes in the upstreams of the settings that lie in a place for which `ours` is true.
-    /// What is known of those that stay is kept; one whose address changed is another server.
+    /// Applies the upstreams in the plan that lie in a place for which `ours` returns true. The
+    /// state of upstreams that remain is kept; one whose address changed counts as a new server.
     pub fn set_plan(
         &mut self,
         services: &BTreeMap<ServiceName, ServicePlan>,
@@ -201,7 +204,7 @@
         }
     }
 
-    /// Takes in a load or health answer of an upstream.
+    /// Records a load or health response of an upstream.
     pub fn report(
         &mut self,
         service: &ServiceName,
@@ -216,14 +219,14 @@
         }
     }
 
-    /// Notes that an upstream is leaving, or that it isn't any more.
+    /// Sets whether an upstream is shutting down.
     pub fn set_leaving(&mut self, service: &ServiceName, upstream: &UpstreamName, leaving: bool) {
         if let Some(u) = self.find(service, upstream) {
             u.leaving = leaving;
         }
     }
 
-    /// Notes that an upstream has just started and is cold.
+    /// Records that an upstream has just started with cold caches.
     pub fn mark_cold(&mut self, service: &ServiceName, upstream: &UpstreamName, now: Millis) {
         if let Some(u) = self.find(service, upstream) {
             u.warm_from = Some(now);
@@ -234,9 +237,8 @@
         }
     }
 
-    /// Picks the upstream with the smallest part of its slots in use, by chance among equals,
-    /// and none where no slot is free. A bulk request leaves the last free slot of the place
-    /// to interactive ones.
+    /// Returns the upstream with the lowest fraction of slots in use, at random among equals, or
+    /// `None` if no slot is free. The last free slot of the place is not given to bulk requests.
     pub fn pick(
         &self,
         service: &ServiceName,
@@ -277,20 +279,20 @@
         best
     }
 
-    /// Says whether `service` has an upstream in `place` that may get work now, busy or not.
+    /// Returns whether `service` has a usable upstream in `place`, busy or not.
     pub fn any_usable(&self, service: &ServiceName, place: &PlaceName, now: Millis) -> bool {
         let mut here = self.of(service).iter().filter(|u| u.plan.place == *place);
         here.any(|u| u.usable(now))
     }
 
-    /// Counts a request given to an upstream.
+    /// Counts a request sent to an upstream.
     pub fn start(&mut self, service: &ServiceName, upstream: &UpstreamName) {
         if let Some(u) = self.find(service, upstream) {
             u.start();
         }
     }
 
-    /// Counts a request for the upstream `to` in place of `from`, which it was given to first.
+    /// Moves a request in progress from the upstream `from` to `to`.
     pub fn reassign(&mut self, service: &ServiceName, from: &UpstreamName, to: &UpstreamName) {
         if let Some(u) = self.find(service, from) {
             u.in_flight = u.in_flight.saturating_sub(1);
@@ -299,7 +301,7 @@
         self.start(service, to);
     }
 
-    /// Counts the end of a request.
+    /// Records the outcome of a request.
     pub fn finish(
         &mut self,
         service: &ServiceName,
@@ -313,14 +315,14 @@
         }
     }
 
-    /// Lets slots that were found missing come back one by one.
+    /// Restores, one by one, the slots withheld after requests were shed.
     pub fn tick(&mut self, tuning: &Tuning, now: Millis) {
         for u in self.services.values_mut().flatten() {
             u.tick(tuning, now);
         }
     }
 
-    /// Gives the upstreams of `service` in this failure domain.
+    /// Returns the upstreams of `service` in this failure domain.
     pub fn of(&self, service: &ServiceName) -> &[Upstream] {
         self.services.get(service).map_or(&[], |all| all)
     }
--- a/crates/steering/src/verdict.rs
+++ b/crates/steering/src/verdict.rs
@@ -1,4 +1,4 @@
-//! A request as admission sees it, and what it decides on it.
+//! Input and result of admission.
 
 use heatherknot_types::prelude::*;
 use serde::{Deserialize, Serialize};
@@ -7,67 +7,67 @@
 use crate::upstream::RequestOutcome;
 
 slotmap::new_key_type! {
-    /// The key of a request in progress at this VM.
+    /// Identifies a request in progress at this VM.
     pub struct TicketKey;
 }
 
-/// What is given back at the end of a request, by [`Steering::finish`](crate::steering::Steering::finish).
+/// Passed to [`Steering::finish`](crate::steering::Steering::finish) at the end of a request.
 pub type Ticket = TicketKey;
 
-/// A request that asks to be admitted.
+/// A request to admit.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Arrival {
     /// The service.
     pub service: ServiceName,
-    /// How urgent it is.
+    /// Its priority class.
     pub class: Class,
-    /// The time left for it.
+    /// Time left until its deadline.
     pub deadline: Millis,
-    /// Zero for a first try.
+    /// Number of earlier attempts; zero for a first try.
     pub attempt: u8,
-    /// Whether this request was told to wait before, so that it counts as demand only once.
+    /// Whether this request has waited before, so that it counts as demand only once.
     pub waited: bool,
-    /// The grant that it bears, where another VM or a look-up answer sent it here.
+    /// The grant token it carries, if another VM relayed it or a look-up answer directed it here.
     pub grant: Option<GrantToken>,
 }
 
-/// What becomes of a request.
+/// The admission decision on a request.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Verdict {
     /// Send it to a backend server of this failure domain.
     Run {
-        /// To be given to [`Steering::finish`](crate::steering::Steering::finish).
+        /// To be passed to [`Steering::finish`](crate::steering::Steering::finish).
         ticket: Ticket,
         /// The place.
         place: PlaceName,
         /// The backend server.
         upstream: UpstreamName,
     },
-    /// Hand it to a VM of another failure domain.
+    /// Relay it to a VM of another failure domain.
     Relay {
-        /// To be given to [`Steering::finish`](crate::steering::Steering::finish).
+        /// To be passed to [`Steering::finish`](crate::steering::Steering::finish).
         ticket: Ticket,
         /// The VM.
         vm: VmName,
-        /// What the request must bear.
+        /// The token to send with the request.
         token: GrantToken,
     },
-    /// Ask again at the time given, or as soon as another request ends.
+    /// Call again at the given time, or as soon as another request ends.
     Wait {
-        /// When to ask again.
+        /// When to call again.
         until: Millis,
     },
-    /// It was not run.
+    /// Refuse it; it has not run.
     Refuse {
-        /// Why.
+        /// The reason.
         reason: RefusalReason,
-        /// When the caller may come back.
+        /// How long the caller should wait before retrying.
         retry_after: Millis,
     },
 }
 
-/// Another name for [`Verdict`], as the request path calls it.
+/// Alias of [`Verdict`] for use in the request path.
 pub type Admission = Verdict;
 
 /// Why a request was refused.
@@ -76,7 +76,7 @@
 pub enum RefusalReason {
     /// No such service in the settings.
     UnknownService,
-    /// The time left is too short for an answer.
+    /// The time left is too short for a response.
     Deadline,
     /// The account has used its share, and others need the rest.
     AccountShare,
@@ -84,18 +84,18 @@
     Cap,
     /// No backend server has a free slot.
     Busy,
-    /// No backend server of the service may be used.
+    /// No backend server of the service is usable.
     NoUpstream,
-    /// The grant that the request bears doesn't stand.
+    /// The grant that the request carries is not valid.
     Grant,
     /// The retry budget is used up.
     RetryBudget,
 }
 
 impl RefusalReason {
-    /// Gives how a relayed request ended, for the VM that relayed it, where the VM that it was
-    /// handed to refused it for this reason.
-    pub fn end(self) -> RequestOutcome {
+    /// Returns the outcome, from the view of the VM that relayed a request, of a request refused
+    /// for this reason.
+    pub fn outcome(self) -> RequestOutcome {
         match self {
             RefusalReason::NoUpstream | RefusalReason::UnknownService => RequestOutcome::Failed,
             RefusalReason::Deadline => RequestOutcome::Cancelled,
--- a/crates/steering/tests/common/fleet.rs
+++ b/crates/steering/tests/common/fleet.rs
@@ -204,7 +204,8 @@
             }
             Verdict::Refuse { reason, .. } => {
                 self.refused += 1;
-                self.running.push((domain.clone(), ticket, reason.end()));
+                self.running
+                    .push((domain.clone(), ticket, reason.outcome()));
             }
             Verdict::Wait { .. } | Verdict::Relay { .. } => {
                 self.refused += 1;
--- a/crates/steering/tests/grants_property.rs
+++ b/crates/steering/tests/grants_property.rs
@@ -280,8 +280,9 @@
         let vm = issuer_name(issuer);
         let h = &mut self.holders[holder];
         let ask = h.start_request(&"n1".into(), &vm, clock);
-        let want =
-            |place: &&str| h.want(&PlaceName::from(*place), &vm, rate.into(), in_flight.into());
+        let want = |place: &&str| {
+            h.place_request(&PlaceName::from(*place), &vm, rate.into(), in_flight.into())
+        };
         let wants = PLACES.iter().map(want).collect();
         let req = GrantRequest {
             ask,
@@ -325,7 +326,7 @@
             }
             Message::Reply(holder, reply) => {
                 let clock = self.clock_of(*holder);
-                self.holders[*holder].take(&"n1".into(), reply, clock);
+                self.holders[*holder].accept_reply(&"n1".into(), reply, clock);
                 None
             }
             Message::Request(token) => {
@@ -381,7 +382,7 @@
         let holder = holder % HOLDERS;
         let place = PlaceName::from(PLACES[place % PLACES.len()]);
         let clock = self.clock_of(holder);
-        if let Some(token) = self.holders[holder].send(&place, 0, clock) {
+        if let Some(token) = self.holders[holder].record_send(&place, 0, clock) {
             self.departures.push(Load {
                 at: self.now,
                 issuer: issuer_at(&token.issuer),
@@ -545,7 +546,7 @@
         let run = self.issuers[issuer].incarnation();
         let mut sum = cap(0, 0);
         for (at, holder) in self.holders.iter().enumerate() {
-            let held = holder.live(place, self.clock_of(at));
+            let held = holder.live_grant(place, self.clock_of(at));
             let counts = |h: &&HeldGrant| match from {
                 None => h.issuer == vm && h.issuer_incarnation == run,
                 Some(region) => h.issuer == vm && region == region_of_holder(at),
--- a/crates/steering/tests/rules.rs
+++ b/crates/steering/tests/rules.rs
@@ -337,7 +337,7 @@
         report_seq: seq,
         places: Vec::new(),
     };
-    assert!(holder.take(&"s1".into(), &reply, now));
+    assert!(holder.accept_reply(&"s1".into(), &reply, now));
 }
 
 /// A link is over its cap for a moment, again and again: a source forgets an expired grant with
@@ -348,16 +348,16 @@
     let place = PlaceName::from("s1");
     take_grant(&mut holder, 1, Millis(0));
     let tokens: Vec<_> = (0..3)
-        .filter_map(|_| holder.send(&place, 0, Millis(8_900)))
+        .filter_map(|_| holder.record_send(&place, 0, Millis(8_900)))
         .collect();
     assert_eq!(3, tokens.len());
 
     holder.tick(Millis(9_000));
     take_grant(&mut holder, 2, Millis(9_000));
-    let at_once = holder.send(&place, 0, Millis(9_000));
+    let at_once = holder.record_send(&place, 0, Millis(9_000));
     holder.tick(Millis(9_900));
     let later = (0..4)
-        .filter_map(|_| holder.send(&place, 0, Millis(9_900)))
+        .filter_map(|_| holder.record_send(&place, 0, Millis(9_900)))
         .count();
 
     assert_eq!(None, at_once);
@@ -366,12 +366,12 @@
     holder.tick(Millis(19_000));
     take_grant(&mut holder, 3, Millis(19_000));
     let next = (0..4)
-        .filter_map(|_| holder.send(&place, 0, Millis(19_000)))
+        .filter_map(|_| holder.record_send(&place, 0, Millis(19_000)))
         .count();
     assert_eq!(0, next, "four still run under expired grants");
     tokens.iter().for_each(|t| holder.finish(t));
     let next = (0..4)
-        .filter_map(|_| holder.send(&place, 0, Millis(19_000)))
+        .filter_map(|_| holder.record_send(&place, 0, Millis(19_000)))
         .count();
     assert_eq!(3, next);
 }
@@ -382,14 +382,14 @@
     let place = PlaceName::from("s1");
     take_grant(&mut holder, 1, Millis(0));
     for _ in 0..3 {
-        let token = holder.send(&place, 0, Millis(8_900)).expect("room");
+        let token = holder.record_send(&place, 0, Millis(8_900)).expect("room");
         holder.finish(&token);
     }
 
     holder.tick(Millis(9_000));
     take_grant(&mut holder, 2, Millis(9_000));
-    let at_once = holder.send(&place, 0, Millis(9_000));
-    let later = holder.send(&place, 0, Millis(9_900));
+    let at_once = holder.record_send(&place, 0, Millis(9_000));
+    let later = holder.record_send(&place, 0, Millis(9_900));
 
     assert_eq!(None, at_once);
     assert!(later.is_some());
--- a/crates/steering/tests/steering.rs
+++ b/crates/steering/tests/steering.rs
@@ -77,7 +77,7 @@
         fleet
             .vm("n1")
             .holder()
-            .live(&"n2".into(), now)
+            .live_grant(&"n2".into(), now)
             .map(|h| h.rate)
     );
     let n2 = fleet.last_second("n2");
@@ -255,7 +255,7 @@
     let rate = fleet
         .vm("n1")
         .holder()
-        .live(&"n2".into(), held)
+        .live_grant(&"n2".into(), held)
         .map_or(0, |h| h.rate);
     assert!(rate <= 40, "{rate}");
 }
@@ -309,7 +309,7 @@
             .expect("a service");
         for choice in &answer.choices {
             if choice.domain.as_str() != "n1" {
-                let held = vm.holder().live(&choice.place, now).expect("a grant");
+                let held = vm.holder().live_grant(&choice.place, now).expect("a grant");
                 assert!(now + answer.ttl <= held.until);
             }
         }
@@ -319,7 +319,7 @@
     let held = fleet
         .vm("n1")
         .holder()
-        .live(&"n2".into(), now)
+        .live_grant(&"n2".into(), now)
         .expect("a grant")
         .rate;
     assert!(away > 0);
