--- a/crates/steering/benches/decisions.rs
+++ b/crates/steering/benches/decisions.rs
@@ -1,5 +1,5 @@
-//! The cost of single decisions at the size of two years: 16 failure domains, 110 places, 300
-//! services of 100 accounts, 36 VMs in each failure domain.
+//! Benchmarks of single decisions at the size expected in two years: 16 failure domains, 110
+//! places, 300 services of 100 accounts, and 36 VMs in each failure domain.
 //!
 //! `cargo bench -p heatherknot-steering --bench decisions`
 
@@ -21,8 +21,8 @@
 const SERVICES: usize = 300;
 const ACCOUNTS: usize = 100;
 const VMS: usize = 36;
-/// Places that each service is in.
-const SPREAD: usize = 6;
+/// Number of places of each service.
+const PLACES_PER_SERVICE: usize = 6;
 
 fn cap(per_second: u32) -> Cap {
     Cap {
@@ -90,7 +90,7 @@
         latency_weight_permille: 500,
         growth_permille: 1_000,
         at_most_once: Vec::new(),
-        upstreams: (0..SPREAD * 2).map(upstream).collect(),
+        upstreams: (0..PLACES_PER_SERVICE * 2).map(upstream).collect(),
     }
 }
 
@@ -116,7 +116,7 @@
     vm
 }
 
-/// Gives the services that have a place in the VM's failure domain.
+/// Returns the services with a place in the VM's failure domain.
 fn local_services(plan: &Plan) -> Vec<ServiceName> {
     let here = |s: &ServicePlan| {
         let mut places = s.upstreams.iter().map(|u| &plan.places[&u.place]);
@@ -140,7 +140,7 @@
     let (mut n, mut run) = (0_u64, 0_u64);
     group.bench_function("admit and finish", |b| {
         b.iter(|| {
-            // 2,000 requests a second of virtual time, with a tick every 100 ms.
+            // 2,000 requests per second of simulated time, with a tick every 100 ms.
             n += 1;
             if n.is_multiple_of(2) {
                 now = now + Millis(1);
--- a/crates/steering/examples/stranding.rs
+++ b/crates/steering/examples/stranding.rs
@@ -1,8 +1,9 @@
-//! What the safe choices strand: coarse windows, terms of grants, headroom asked for.
+//! Measures the capacity left unused by coarse windows, by the lifetime of grants and by the
+//! headroom that holders ask for.
 //!
 //! `cargo run --release -p heatherknot-steering --example stranding`
 //!
-//! Prints the same bytes on every run: the clock and the seed are given.
+//! The output is deterministic: clock and seed are fixed.
 
 use std::sync::Arc;
 
@@ -14,21 +15,22 @@
 };
 use heatherknot_types::prelude::*;
 
-/// The place's cap in both trials, in requests a second.
+/// The cap of each place, in requests per second.
 const CAP: u32 = 200;
 
 fn main() {
-    windows();
-    grants();
+    compare_windows();
+    compare_grants();
 }
 
-/// Offers 95% of the cap for 600 s, with exponential gaps, to windows of several grains. What
-/// doesn't fit is refused in the first trial, and waits for the next free moment in the second.
-fn windows() {
+/// Offers 95% of the cap for 600 s, with exponential gaps, to windows of several grains. Requests
+/// that do not fit are refused in the first trial, and wait for the next free moment in the
+/// second.
+fn compare_windows() {
     println!("window grain   refused without a queue   mean wait with one   entries");
     for grain in [1, 10, 25, 50, 100, 250] {
-        let refused = offer(grain, false).0;
-        let wait = offer(grain, true).1;
+        let refused = run_window(grain, false).0;
+        let wait = run_window(grain, true).1;
         println!(
             "{grain:>9} ms   {refused:>20.2} %   {wait:>15.1} ms   {:>7}",
             1_000 / grain + 1
@@ -36,8 +38,8 @@
     }
 }
 
-/// Gives the percentage refused and the mean wait in milliseconds.
-fn offer(grain: u64, queue: bool) -> (f64, f64) {
+/// Returns the percentage refused and the mean wait in milliseconds.
+fn run_window(grain: u64, queue: bool) -> (f64, f64) {
     let mut window = Window::new(Millis(1_000), Millis(grain));
     let mut rng = fastrand::Rng::with_seed(1);
     let mut waiting = std::collections::VecDeque::new();
@@ -69,9 +71,10 @@
     tuning: Tuning,
 }
 
-/// Two failure domains of one region with a cap of 200/s each. The callers of one ask for 280/s,
-/// swinging by 40/s every 10 s; the other has 40/s of its own.
-fn grants() {
+/// Simulates two failure domains of one region with a cap of 200 requests per second each. The
+/// callers of one send 240 and 280 per second in turns of 10 s; the other has 40 per second of its
+/// own.
+fn compare_grants() {
     println!();
     println!("grants                  goodput   refused   lent, unused   messages   bytes/s a VM");
     let base = Tuning::default();
@@ -96,7 +99,7 @@
     }
 }
 
-struct Figures {
+struct Measurements {
     offered: u64,
     good: u64,
     refused: u64,
@@ -111,7 +114,7 @@
     let mut vms = [vm("a", &plan, trial.tuning), vm("b", &plan, trial.tuning)];
     let mut rng = fastrand::Rng::with_seed(1);
     let mut running: Vec<(Millis, usize, Ticket)> = Vec::new();
-    let mut fig = Figures {
+    let mut totals = Measurements {
         offered: 0,
         good: 0,
         refused: 0,
@@ -133,7 +136,7 @@
         });
         if ms % 100 == 0 {
             vms.iter_mut().for_each(|vm| vm.tick(now));
-            exchange(&mut vms, now, measured, &mut fig);
+            exchange_grants(&mut vms, now, measured, &mut totals);
         }
         if ms < 30_000 {
             continue;
@@ -149,23 +152,23 @@
                     measured,
                     &mut rng,
                     &mut running,
-                    &mut fig,
+                    &mut totals,
                 );
             }
         }
     }
-    report(trial, &fig, f64::from((end - start) as u32) / 1_000.0);
+    report(trial, &totals, f64::from((end - start) as u32) / 1_000.0);
 }
 
-fn report(trial: &Trial, fig: &Figures, secs: f64) {
+fn report(trial: &Trial, totals: &Measurements, secs: f64) {
     println!(
         "{:<22} {:>7.1} % {:>7.1} % {:>12.1} % {:>10.2} {:>14.0}",
         trial.name,
-        fig.good as f64 / fig.offered as f64 * 100.0,
-        fig.refused as f64 / fig.offered as f64 * 100.0,
-        (fig.lent.saturating_sub(fig.used)) as f64 / (f64::from(CAP) * secs) * 100.0,
-        fig.messages as f64 / secs,
-        fig.bytes as f64 / secs / 2.0,
+        totals.good as f64 / totals.offered as f64 * 100.0,
+        totals.refused as f64 / totals.offered as f64 * 100.0,
+        (totals.lent.saturating_sub(totals.used)) as f64 / (f64::from(CAP) * secs) * 100.0,
+        totals.messages as f64 / secs,
+        totals.bytes as f64 / secs / 2.0,
     );
 }
 
@@ -179,20 +182,25 @@
     n
 }
 
-fn exchange(vms: &mut [Steering; 2], now: Millis, measured: bool, fig: &mut Figures) {
+fn exchange_grants(
+    vms: &mut [Steering; 2],
+    now: Millis,
+    measured: bool,
+    totals: &mut Measurements,
+) {
     for from in 0..2 {
         for (_, req) in vms[from].request_grants(now) {
             let reply = vms[1 - from].on_grant_request(&req, now);
             if measured {
-                fig.messages += 2;
-                fig.bytes += size(&req) + size(&reply);
+                totals.messages += 2;
+                totals.bytes += size(&req) + size(&reply);
             }
             vms[from].on_grant_reply(&reply, now);
         }
         if measured && now.0.is_multiple_of(1_000) {
             for (_, held) in vms[from].holder().grants() {
-                fig.lent += u64::from(held.rate);
-                fig.used += u64::from(held.sent(now).min(held.rate));
+                totals.lent += u64::from(held.rate);
+                totals.used += u64::from(held.sent(now).min(held.rate));
             }
         }
     }
@@ -209,7 +217,7 @@
     measured: bool,
     rng: &mut fastrand::Rng,
     running: &mut Vec<(Millis, usize, Ticket)>,
-    fig: &mut Figures,
+    totals: &mut Measurements,
 ) {
     let mut req = Arrival {
         service: "x:s".into(),
@@ -220,7 +228,7 @@
         grant: None,
     };
     let until = now + Millis(50);
-    fig.offered += u64::from(measured);
+    totals.offered += u64::from(measured);
     let good = match vms[vm].admit(&req, rng, now) {
         Verdict::Run { ticket, .. } => {
             running.push((until, vm, ticket));
@@ -239,8 +247,8 @@
         }
         Verdict::Wait { .. } | Verdict::Refuse { .. } => false,
     };
-    fig.good += u64::from(measured && good);
-    fig.refused += u64::from(measured && !good);
+    totals.good += u64::from(measured && good);
+    totals.refused += u64::from(measured && !good);
 }
 
 fn vm(domain: &str, plan: &Arc<Plan>, tuning: Tuning) -> Steering {
--- a/crates/steering/tests/admission.rs
+++ b/crates/steering/tests/admission.rs
@@ -1,4 +1,4 @@
-//! Tests of what becomes of single requests.
+//! Tests of the admission of single requests.
 
 mod common;
 
@@ -6,10 +6,11 @@
 use heatherknot_steering::{RefusalReason, Tuning, Verdict};
 use heatherknot_types::prelude::*;
 
+/// Guards against admission above the cap of a place.
 #[test]
 fn admits_no_more_than_the_cap_in_any_window() {
     let mut plan = plan();
-    plan.services.remove(LOOKUPS);
+    plan.services.remove(CATALOG);
     let mut vm = vm("n1", &plan, Tuning::default());
     let mut rng = fastrand::Rng::with_seed(1);
     let mut tally = Tally::default();
@@ -31,8 +32,9 @@
     assert_eq!(0, tally.relay);
 }
 
+/// Guards against a request for an unknown service that is admitted or refused for another reason.
 #[test]
-fn refuses_a_service_that_the_settings_do_not_name() {
+fn refuses_an_unknown_service() {
     let mut vm = vm("n1", &plan(), Tuning::default());
     let mut rng = fastrand::Rng::with_seed(1);
 
--- a/crates/steering/tests/common/fleet.rs
+++ b/crates/steering/tests/common/fleet.rs
@@ -1,4 +1,4 @@
-//! A few VMs whose callers come evenly and whose messages arrive within the same step.
+//! A simulation of several VMs with constant demand, whose messages arrive within the same step.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -10,12 +10,12 @@
 
 use super::{arrival, vm};
 
-/// The time between two steps.
+/// Simulated time between two steps.
 pub const STEP: Millis = Millis(100);
 
-/// What happened at one place in one step.
+/// Arrivals at one place in one step.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Step {
+pub struct StepCounts {
     pub local: u32,
     pub granted: u32,
 }
@@ -24,15 +24,15 @@
     pub now: Millis,
     pub plan: Plan,
     pub vms: BTreeMap<DomainName, Steering>,
-    /// Callers' requests a second by failure domain and service.
+    /// Demand in requests per second by failure domain and service.
     pub demand: BTreeMap<(DomainName, ServiceName), u32>,
-    pub cut: BTreeSet<DomainName>,
+    pub partitioned: BTreeSet<DomainName>,
     /// Places whose backend servers answer with errors.
     pub failing: BTreeSet<PlaceName>,
     pub refused: u32,
-    pub steps: Vec<BTreeMap<PlaceName, Step>>,
+    pub steps: Vec<BTreeMap<PlaceName, StepCounts>>,
     running: Vec<(DomainName, Ticket, RequestOutcome)>,
-    owed: BTreeMap<(DomainName, ServiceName), u32>,
+    due: BTreeMap<(DomainName, ServiceName), u32>,
     rng: fastrand::Rng,
 }
 
@@ -47,15 +47,15 @@
             plan: plan.clone(),
             vms: vms.collect(),
             demand: BTreeMap::new(),
-            cut: BTreeSet::new(),
+            partitioned: BTreeSet::new(),
             failing: BTreeSet::new(),
             refused: 0,
             steps: Vec::new(),
             running: Vec::new(),
-            owed: BTreeMap::new(),
+            due: BTreeMap::new(),
             rng: fastrand::Rng::with_seed(7),
         };
-        // Past the time in which a new VM lends nothing.
+        // A new VM lends nothing at first.
         fleet.run(Millis(15_000));
         fleet.steps.clear();
         fleet
@@ -88,25 +88,25 @@
             self.finish_running();
             let now = self.now;
             self.vms.values_mut().for_each(|vm| vm.tick(now));
-            self.exchange();
-            self.callers();
+            self.exchange_grants();
+            self.send_requests();
         }
     }
 
-    /// Gives the arrivals at `place` in the last second.
-    pub fn last_second(&self, place: &str) -> Step {
+    /// Returns the arrivals at `place` in the last second.
+    pub fn last_second(&self, place: &str) -> StepCounts {
         let recent = self.steps.iter().rev().take(10);
         let here = recent.filter_map(|s| s.get(place));
-        here.fold(Step::default(), |sum, s| Step {
+        here.fold(StepCounts::default(), |sum, s| StepCounts {
             local: sum.local + s.local,
             granted: sum.granted + s.granted,
         })
     }
 
-    /// Gives the most arrivals at `place` in any second since the fleet started.
+    /// Returns the most arrivals at `place` in any second since the fleet started.
     pub fn most_in_a_second(&self, place: &str) -> u32 {
         let arrivals =
-            |s: &BTreeMap<PlaceName, Step>| s.get(place).map_or(0, |s| s.local + s.granted);
+            |s: &BTreeMap<PlaceName, StepCounts>| s.get(place).map_or(0, |s| s.local + s.granted);
         let sums = self.steps.windows(10).map(|w| w.iter().map(arrivals).sum());
         sums.max().unwrap_or(0)
     }
@@ -118,7 +118,7 @@
         }
     }
 
-    fn exchange(&mut self) {
+    fn exchange_grants(&mut self) {
         let domains: Vec<DomainName> = self.vms.keys().cloned().collect();
         for from in &domains {
             let asks = self
@@ -128,7 +128,7 @@
                 .request_grants(self.now);
             for (to, req) in asks {
                 let to_domain = DomainName::from(&to.as_str()[2..]);
-                if self.cut.contains(from) || self.cut.contains(&to_domain) {
+                if self.partitioned.contains(from) || self.partitioned.contains(&to_domain) {
                     self.vms
                         .get_mut(from)
                         .expect("known")
@@ -145,15 +145,15 @@
         }
     }
 
-    fn callers(&mut self) {
+    fn send_requests(&mut self) {
         for ((domain, service), rate) in self.demand.clone() {
-            let owed = self
-                .owed
+            let due = self
+                .due
                 .entry((domain.clone(), service.clone()))
                 .or_insert(0);
-            *owed += rate;
-            let n = *owed / 10;
-            *owed %= 10;
+            *due += rate;
+            let n = *due / 10;
+            *due %= 10;
             for _ in 0..n {
                 self.request(&domain, &service);
             }
@@ -165,7 +165,7 @@
         let vm = self.vms.get_mut(domain).expect("known");
         match vm.admit(&req, &mut self.rng, self.now) {
             Verdict::Run { ticket, place, .. } => {
-                let end = self.end_at(&place);
+                let end = self.outcome_at(&place);
                 self.count(&place, true);
                 self.running.push((domain.clone(), ticket, end));
             }
@@ -182,7 +182,7 @@
         token: heatherknot_steering::GrantToken,
     ) {
         let to = DomainName::from(&token.issuer.as_str()[2..]);
-        if self.cut.contains(domain) || self.cut.contains(&to) {
+        if self.partitioned.contains(domain) || self.partitioned.contains(&to) {
             self.running
                 .push((domain.clone(), ticket, RequestOutcome::Failed));
             self.refused += 1;
@@ -197,7 +197,7 @@
                 place,
                 ..
             } => {
-                let end = self.end_at(&place);
+                let end = self.outcome_at(&place);
                 self.count(&place, false);
                 self.running.push((to, there, end));
                 self.running.push((domain.clone(), ticket, end));
@@ -215,7 +215,7 @@
         }
     }
 
-    fn end_at(&self, place: &PlaceName) -> RequestOutcome {
+    fn outcome_at(&self, place: &PlaceName) -> RequestOutcome {
         if self.failing.contains(place) {
             RequestOutcome::Failed
         } else {
--- a/crates/steering/tests/common/mod.rs
+++ b/crates/steering/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Fixtures for the tests of the decisions.
+//! Fixtures for the tests of the steering decisions.
 #![allow(dead_code)]
 
 pub mod fleet;
@@ -15,7 +15,7 @@
 /// The service of the main account.
 pub const GALLERY: &str = "pl:gallery";
 /// The service of the other account.
-pub const LOOKUPS: &str = "et:catalogo";
+pub const CATALOG: &str = "et:catalogo";
 
 pub fn cap(per_second: u32, in_flight: u32) -> Cap {
     Cap {
@@ -24,7 +24,7 @@
     }
 }
 
-/// Two regions, `north` with the failure domains `n1` and `n2`, `south` with `s1`; one place
+/// Returns a plan with two regions, `north` with the failure domains `n1` and `n2`, `south` with `s1`; one place
 /// in each, named after it, with a cap of 100/s and 50 in flight; two services with two
 /// upstreams of 40 slots in each place; no growth limit.
 pub fn plan() -> Plan {
@@ -55,7 +55,7 @@
     plan.services
         .insert(GALLERY.into(), service("pl", &["n1", "n2", "s1"]));
     plan.services
-        .insert(LOOKUPS.into(), service("et", &["n1", "n2", "s1"]));
+        .insert(CATALOG.into(), service("et", &["n1", "n2", "s1"]));
     plan
 }
 
@@ -101,7 +101,8 @@
     }
 }
 
-/// A VM `v-<domain>` of `domain` with all of its capacity, past its first window.
+/// Returns a VM `v-<domain>` that holds all capacity of `domain`. It admits nothing before
+/// its first window has passed.
 pub fn vm(domain: &str, plan: &Plan, tuning: Tuning) -> Steering {
     named_vm(
         &format!("v-{domain}"),
@@ -135,7 +136,7 @@
     vm
 }
 
-/// One VM `v-<domain>` for each failure domain.
+/// Returns one VM `v-<domain>` for each failure domain.
 pub fn peers(plan: &Plan) -> Vec<Peer> {
     let peer = |domain: &DomainName| Peer {
         vm: VmName::new(format!("v-{domain}")),
@@ -185,15 +186,15 @@
     }
 }
 
-/// Shares by account, each 500.
-pub fn halves() -> BTreeMap<AccountName, AccountPlan> {
+/// Returns two accounts with a guaranteed share of 500 thousandths each.
+pub fn equal_shares() -> BTreeMap<AccountName, AccountPlan> {
     ["pl", "et"]
-        .map(|name| (name.into(), share(500, 1_000)))
+        .map(|name| (name.into(), account_shares(500, 1_000)))
         .into()
 }
 
-/// The shares of one account, in thousandths.
-pub fn share(guaranteed_permille: u16, share_permille: u16) -> AccountPlan {
+/// Returns the shares of one account, in thousandths.
+pub fn account_shares(guaranteed_permille: u16, share_permille: u16) -> AccountPlan {
     AccountPlan {
         share_permille,
         guaranteed_permille,
--- a/crates/steering/tests/fairness.rs
+++ b/crates/steering/tests/fairness.rs
@@ -9,7 +9,7 @@
 use heatherknot_types::plan::Cap;
 use heatherknot_types::prelude::*;
 
-/// One account's even demand and the other's surge, as requests in 100 ms.
+/// The constant demand of one account and the surge of another, in requests per 100 ms.
 #[derive(Clone, Copy, Debug, TypeGenerator)]
 struct Surge {
     quiet_per_step: u8,
@@ -24,11 +24,11 @@
     in_flight: 1_000,
 };
 
-/// Runs both accounts for ten seconds and gives what was refused to the quiet one, and the most
-/// that both had in one window.
+/// Runs both accounts for ten seconds. Returns how many requests of the quiet account were
+/// refused, and the most requests of both admitted in one window.
 fn run(surge: Surge) -> (u32, u32) {
     let mut fair = FairShare::new(Tuning::default());
-    fair.set_shares(&halves());
+    fair.set_shares(&equal_shares());
     let (quiet, loud): (AccountName, AccountName) = ("et".into(), "pl".into());
     let quiet_rate = u32::from(surge.quiet_per_step % 6);
     let loud_rate = u32::from(surge.surge_per_step);
@@ -69,11 +69,10 @@
     (refused, most as u32)
 }
 
-/// Trainee teachers get refusals on Monday morning though their operator uses half of what it is
-/// guaranteed. Another operator's callers all come at once; its requests took what was unused,
-/// and went on taking it while the first operator's own came.
+/// Guards against refusals of an account that uses half of its guaranteed share, when another
+/// account's surge borrows the unused capacity and keeps it.
 #[test]
-fn a_surge_takes_nothing_of_another_accounts_share() {
+fn a_surge_does_not_take_another_accounts_share() {
     heatherknot_test_support::property::check()
         .with_iterations(100)
         .with_type::<Surge>()
@@ -84,10 +83,11 @@
         });
 }
 
+/// Guards against capacity left unused while an account is refused.
 #[test]
-fn an_account_borrows_what_nobody_else_needs() {
+fn an_account_borrows_capacity_that_no_other_needs() {
     let mut fair = FairShare::new(Tuning::default());
-    fair.set_shares(&halves());
+    fair.set_shares(&equal_shares());
     let loud: AccountName = "pl".into();
     let mut borrowed = 0;
 
@@ -101,12 +101,12 @@
     assert_eq!(100, borrowed);
 }
 
-/// An operator that was idle comes back while another has borrowed everything. Its callers
-/// should have their share within one window, not when the other's surge ends.
+/// Guards against an account that, after being idle while another borrowed everything, gets its
+/// share back only when the surge of the other ends.
 #[test]
-fn a_returning_account_has_its_share_within_a_window() {
+fn a_returning_account_gets_its_share_within_a_window() {
     let mut fair = FairShare::new(Tuning::default());
-    fair.set_shares(&halves());
+    fair.set_shares(&equal_shares());
     let (back, loud): (AccountName, AccountName) = ("et".into(), "pl".into());
     let mut served = Vec::new();
 
@@ -145,12 +145,12 @@
     );
 }
 
-/// Previews are refused while an export runs: bulk requests filled the account's share, and the
-/// interactive ones that came as always found no room.
+/// Guards against bulk requests that fill their account's share, so that its usual interactive
+/// requests are refused.
 #[test]
 fn bulk_leaves_room_for_the_interactive_requests_of_its_account() {
     let mut fair = FairShare::new(Tuning::default());
-    fair.set_shares(&halves());
+    fair.set_shares(&equal_shares());
     let (me, other): (AccountName, AccountName) = ("pl".into(), "et".into());
     let (mut refused, mut bulk) = (0, 0);
     let mut admitted: Vec<u64> = Vec::new();
@@ -186,11 +186,12 @@
     assert!(bulk > 150, "{bulk} bulk requests in 8 s");
 }
 
+/// Guards against an account that borrows beyond its maximum share.
 #[test]
-fn an_account_never_takes_more_than_its_most() {
+fn an_account_never_exceeds_its_maximum_share() {
     let mut fair = FairShare::new(Tuning::default());
     let me: AccountName = "pl".into();
-    fair.set_shares(&[(me.clone(), share(100, 400))].into());
+    fair.set_shares(&[(me.clone(), account_shares(100, 400))].into());
 
     let admitted = (0..200).filter(|_| {
         let may = fair.check(&me, Class::Interactive, LIMIT, Millis(0)) != Share::Exceeded;
--- a/crates/steering/tests/grants_property.rs
+++ b/crates/steering/tests/grants_property.rs
@@ -1,4 +1,5 @@
-//! Random interleavings of everything that can happen to grants never pass a cap.
+//! Property test: no random interleaving of grant messages, requests, failures and restarts
+//! exceeds a cap.
 
 mod common;
 
@@ -16,7 +17,7 @@
 const ISSUERS: usize = 2;
 const HOLDERS: usize = 3;
 const PLACES: [&str; 2] = ["n1-a", "n1-b"];
-/// What each issuer has of each place, of its region and of the link from the south.
+/// Allowances of each issuer for each place, for its region and for the link from the south.
 const PLACE_CAP: u32 = 12;
 const REGION_CAP: u32 = 18;
 const LINK_CAP: u32 = 7;
@@ -24,19 +25,19 @@
 #[derive(Clone, Copy, Debug)]
 enum Op {
     Advance(u8),
-    Wait(u8),
+    AdvanceLong(u8),
     Ask {
         holder: u8,
         issuer: u8,
         rate: u8,
         in_flight: u8,
     },
-    /// Delivers one of the messages under way; it stays under way if it is to come twice.
+    /// Delivers one of the messages in transit; a duplicate also stays in transit.
     Deliver {
         at: u8,
-        twice: bool,
+        duplicate: bool,
     },
-    Lose(u8),
+    DropMessage(u8),
     Send {
         holder: u8,
         place: u8,
@@ -46,48 +47,48 @@
         place: u8,
     },
     Finish(u8),
-    /// A whole round: ask, deliver the request, deliver the answer.
+    /// A complete exchange: sends a request, delivers it and delivers the reply.
     Round {
         holder: u8,
         issuer: u8,
         rate: u8,
     },
-    /// Local arrivals or requests of one holder until nothing more fits.
-    Flood {
+    /// Local arrivals, or requests of one holder, until no more fits.
+    SendUntilFull {
         from: u8,
         place: u8,
     },
     RestartIssuer(u8),
     RestartHolder(u8),
-    LowerCaps {
+    SetCaps {
         issuer: u8,
         to: u8,
     },
 }
 
-/// A drawn operation, before its kind is decided by weight.
+/// A random operation whose kind is still to be chosen by weight.
 #[derive(Clone, Copy, Debug, TypeGenerator)]
-struct Draw {
+struct RandomOp {
     kind: u8,
     a: u8,
     b: u8,
     c: u8,
 }
 
-impl Draw {
-    /// Gives the operation: rounds and floods are likely, restarts and cuts of caps are rare,
-    /// so that grants live long enough for anything to go wrong with them.
+impl RandomOp {
+    /// Returns the operation. Complete exchanges and bursts are likely, restarts and changes of
+    /// caps rare, so that grants live long enough to be misused.
     fn op(self) -> Op {
-        let Draw { kind, a, b, c } = self;
+        let RandomOp { kind, a, b, c } = self;
         match kind {
             0..=39 => Op::Round {
                 holder: a,
                 issuer: b,
                 rate: c,
             },
-            40..=79 => Op::Flood { from: a, place: b },
+            40..=79 => Op::SendUntilFull { from: a, place: b },
             80..=109 => Op::Advance(a),
-            110..=134 => Op::Wait(a),
+            110..=134 => Op::AdvanceLong(a),
             135..=159 => Op::Ask {
                 holder: a,
                 issuer: b,
@@ -96,9 +97,9 @@
             },
             160..=189 => Op::Deliver {
                 at: a,
-                twice: b < 64,
+                duplicate: b < 64,
             },
-            190..=199 => Op::Lose(a),
+            190..=199 => Op::DropMessage(a),
             200..=214 => Op::Send {
                 holder: a,
                 place: b,
@@ -110,7 +111,7 @@
             225..=239 => Op::Finish(a),
             240..=244 => Op::RestartIssuer(a),
             245..=249 => Op::RestartHolder(a),
-            250..=255 => Op::LowerCaps { issuer: a, to: b },
+            250..=255 => Op::SetCaps { issuer: a, to: b },
         }
     }
 }
@@ -126,8 +127,9 @@
     Granted(usize, u64, HolderKey, GrantToken),
 }
 
-/// An event that loads a place, its region and perhaps the link, with the issuer it belongs to.
-struct Load {
+/// An event that counts against a place, its region and possibly the link, with the issuer
+/// concerned.
+struct LoadEvent {
     at: Millis,
     issuer: usize,
     place: PlaceName,
@@ -135,17 +137,18 @@
     local: bool,
 }
 
-struct World {
+struct Simulation {
     now: Millis,
     tuning: Tuning,
     issuers: Vec<Issuer>,
     holders: Vec<Holder>,
-    runs: u64,
+    incarnations: u64,
     network: Vec<Message>,
     running: Vec<Running>,
-    arrivals: Vec<Load>,
-    departures: Vec<Load>,
-    /// The percentage of the caps in force at each issuer and since when, oldest first.
+    arrivals: Vec<LoadEvent>,
+    departures: Vec<LoadEvent>,
+    /// The percentage of the caps in force at each issuer with the time of each change, oldest
+    /// first.
     percent: Vec<Vec<(Millis, u32)>>,
 }
 
@@ -157,7 +160,7 @@
     VmName::new(format!("h{at}"))
 }
 
-/// The first holder lies in the issuers' region, the others beyond the capped link.
+/// The first holder is in the issuers' region, the others beyond the capped link.
 fn region_of_holder(at: usize) -> &'static str {
     if at == 0 { "north" } else { "south" }
 }
@@ -174,15 +177,15 @@
     }
 }
 
-impl World {
+impl Simulation {
     fn new() -> Self {
         let tuning = Tuning::default();
-        let mut world = Self {
+        let mut sim = Self {
             now: Millis(100_000),
             tuning,
             issuers: Vec::new(),
             holders: Vec::new(),
-            runs: 0,
+            incarnations: 0,
             network: Vec::new(),
             running: Vec::new(),
             arrivals: Vec::new(),
@@ -190,27 +193,27 @@
             percent: vec![vec![(Millis(0), 100)]; ISSUERS],
         };
         for at in 0..ISSUERS {
-            let issuer = world.start_issuer(at);
-            world.issuers.push(issuer);
+            let issuer = sim.start_issuer(at);
+            sim.issuers.push(issuer);
         }
         for at in 0..HOLDERS {
-            let holder = world.start_holder(at);
-            world.holders.push(holder);
+            let holder = sim.start_holder(at);
+            sim.holders.push(holder);
         }
-        // Past the wait of an issuer that has just started.
-        world.now = world.now + Millis(20_000);
-        world
+        // An issuer that has just started lends nothing at first.
+        sim.now = sim.now + Millis(20_000);
+        sim
     }
 
-    /// Holders' clocks start elsewhere and run 1% fast or slow.
+    /// Returns a holder's clock. The clocks have different offsets and run up to 1% fast or slow.
     fn clock_of(&self, holder: usize) -> Millis {
         let rate = [100, 99, 101][holder];
         Millis(self.now.0 * rate / 100 + 7_777 * holder as u64)
     }
 
     fn start_issuer(&mut self, at: usize) -> Issuer {
-        self.runs += 1;
-        let run = Incarnation(self.runs);
+        self.incarnations += 1;
+        let run = Incarnation(self.incarnations);
         let mut issuer = Issuer::new(issuer_name(at), run, self.tuning, self.now);
         let percent = self.percent[at].last().expect("never empty").1;
         let allowed = allowances(percent);
@@ -219,22 +222,22 @@
     }
 
     fn start_holder(&mut self, at: usize) -> Holder {
-        self.runs += 1;
-        Holder::new(holder_name(at), Incarnation(self.runs), self.tuning)
+        self.incarnations += 1;
+        Holder::new(holder_name(at), Incarnation(self.incarnations), self.tuning)
     }
 
     fn step(&mut self, op: Op) {
         match op {
             Op::Advance(ms) => self.advance(u64::from(ms)),
-            Op::Wait(ms) => self.advance(u64::from(ms) * 40),
+            Op::AdvanceLong(ms) => self.advance(u64::from(ms) * 40),
             Op::Ask {
                 holder,
                 issuer,
                 rate,
                 in_flight,
             } => self.ask(holder.into(), issuer.into(), rate % 20, in_flight % 30),
-            Op::Deliver { at, twice } => self.deliver(at.into(), twice),
-            Op::Lose(at) => self.lose(at.into()),
+            Op::Deliver { at, duplicate } => self.deliver(at.into(), duplicate),
+            Op::DropMessage(at) => self.drop_message(at.into()),
             Op::Send { holder, place } => self.send(holder.into(), place.into()),
             Op::Local { issuer, place } => self.local(issuer.into(), place.into()),
             Op::Finish(at) => self.finish(at.into()),
@@ -247,7 +250,7 @@
                 self.deliver(self.network.len() - 1, false);
                 self.deliver(self.network.len() - 1, false);
             }
-            Op::Flood { from, place } => self.flood(from.into(), place.into()),
+            Op::SendUntilFull { from, place } => self.send_until_full(from.into(), place.into()),
             Op::RestartIssuer(at) => {
                 let at = usize::from(at) % ISSUERS;
                 self.issuers[at] = self.start_issuer(at);
@@ -256,7 +259,7 @@
                 let at = usize::from(at) % HOLDERS;
                 self.holders[at] = self.start_holder(at);
             }
-            Op::LowerCaps { issuer, to } => self.lower(usize::from(issuer) % ISSUERS, to),
+            Op::SetCaps { issuer, to } => self.set_caps(usize::from(issuer) % ISSUERS, to),
         }
     }
 
@@ -295,7 +298,7 @@
         self.network.push(Message::Ask(issuer, req));
     }
 
-    fn deliver(&mut self, at: usize, twice: bool) {
+    fn deliver(&mut self, at: usize, duplicate: bool) {
         if self.network.is_empty() {
             return;
         }
@@ -335,24 +338,24 @@
                 None
             }
         };
-        // A request that bears a grant is one connection's and comes once.
-        if !twice || matches!(self.network[at], Message::Request(_)) {
+        // A request with a grant token is sent on one connection and arrives at most once.
+        if !duplicate || matches!(self.network[at], Message::Request(_)) {
             self.network.swap_remove(at);
         }
         self.network.extend(next);
     }
 
-    fn lose(&mut self, at: usize) {
+    fn drop_message(&mut self, at: usize) {
         if self.network.is_empty() {
             return;
         }
         let at = at % self.network.len();
         if let Message::Request(token) = self.network.swap_remove(at) {
-            self.end_at_holder(&token);
+            self.finish_at_holder(&token);
         }
     }
 
-    fn end_at_holder(&mut self, token: &GrantToken) {
+    fn finish_at_holder(&mut self, token: &GrantToken) {
         let holder = &mut self.holders[holder_at(&token.holder)];
         if holder.incarnation() == token.holder_incarnation {
             holder.finish(token);
@@ -363,7 +366,7 @@
         let at = issuer_at(&token.issuer);
         if let Ok(key) = self.issuers[at].check_granted(token, self.now) {
             self.issuers[at].start_granted(&key, self.now);
-            self.arrivals.push(Load {
+            self.arrivals.push(LoadEvent {
                 at: self.now,
                 issuer: at,
                 place: token.place.clone(),
@@ -374,7 +377,7 @@
             self.running
                 .push(Running::Granted(at, run, key, token.clone()));
         } else {
-            self.end_at_holder(token);
+            self.finish_at_holder(token);
         }
     }
 
@@ -383,7 +386,7 @@
         let place = PlaceName::from(PLACES[place % PLACES.len()]);
         let clock = self.clock_of(holder);
         if let Some(token) = self.holders[holder].record_send(&place, 0, clock) {
-            self.departures.push(Load {
+            self.departures.push(LoadEvent {
                 at: self.now,
                 issuer: issuer_at(&token.issuer),
                 place,
@@ -401,7 +404,7 @@
             self.issuers[at].start_local(&place, self.now);
             let run = self.issuers[at].incarnation().0;
             self.running.push(Running::Local(at, run, place.clone()));
-            self.arrivals.push(Load {
+            self.arrivals.push(LoadEvent {
                 at: self.now,
                 issuer: at,
                 place,
@@ -411,7 +414,7 @@
         }
     }
 
-    fn flood(&mut self, from: usize, place: usize) {
+    fn send_until_full(&mut self, from: usize, place: usize) {
         for _ in 0..PLACE_CAP {
             match from % (HOLDERS + ISSUERS) {
                 holder if holder < HOLDERS => self.send(holder, place),
@@ -440,19 +443,19 @@
                 if self.issuers[issuer].incarnation().0 == run {
                     self.issuers[issuer].finish_granted(&key);
                 }
-                self.end_at_holder(&token);
+                self.finish_at_holder(&token);
             }
         }
     }
 
-    fn lower(&mut self, issuer: usize, to: u8) {
+    fn set_caps(&mut self, issuer: usize, to: u8) {
         let percent = 30 + u32::from(to) % 71;
         self.percent[issuer].push((self.now, percent));
         let allowed = allowances(percent);
         self.issuers[issuer].set_allowances(&"north".into(), &allowed, &allowed);
     }
 
-    /// Gives the highest percentage of the caps in force at an issuer in the last `span`.
+    /// Returns the highest percentage of the caps in force at an issuer during the last `span`.
     fn percent_within(&self, issuer: usize, span: Millis) -> u32 {
         let changes = &self.percent[issuer];
         let since = self.now - span;
@@ -469,12 +472,12 @@
         for issuer in 0..ISSUERS {
             self.check_arrivals(issuer);
             self.check_running(issuer);
-            self.check_promises(issuer);
+            self.check_outstanding_grants(issuer);
             self.check_link(issuer);
         }
     }
 
-    /// What was admitted in the last window is within the caps of that window.
+    /// Checks that the arrivals of the last window are within the highest caps of that window.
     fn check_arrivals(&self, issuer: usize) {
         let window = self.tuning.window;
         let limit = allowances(self.percent_within(issuer, window));
@@ -499,7 +502,8 @@
         assert!(n <= limit.links[&RegionName::from("south")].per_second as usize);
     }
 
-    /// What runs is within the caps; what was admitted before a cap was lowered may run on.
+    /// Checks that the requests in flight are within the caps; those admitted before a cap was
+    /// lowered may finish.
     fn check_running(&self, issuer: usize) {
         let run = self.issuers[issuer].incarnation().0;
         let limit = allowances(100);
@@ -515,33 +519,33 @@
         );
     }
 
-    /// What all holders may still send and what came from callers here in the last window are
-    /// together within the caps that were in force while those grants were given.
-    fn check_promises(&self, issuer: usize) {
+    /// Checks that the usable grants of all holders plus the local arrivals of the last window are
+    /// within the highest caps in force while those grants were issued.
+    fn check_outstanding_grants(&self, issuer: usize) {
         let term = self.tuning.term + self.tuning.margin;
         let limit = allowances(self.percent_within(issuer, term));
         let mut region = cap(0, 0);
         for (place, cap) in &limit.places {
-            let sum = self.promised(issuer, place, None);
+            let sum = self.usable_grants(issuer, place, None);
             assert_within(sum, *cap, place.as_str());
             region.per_second += sum.per_second;
             region.in_flight += sum.in_flight;
         }
         assert_within(region, limit.region, "region");
         let places = limit.places.keys();
-        let link = places.map(|p| self.promised(issuer, p, Some("south")));
+        let link = places.map(|p| self.usable_grants(issuer, p, Some("south")));
         let link = link.fold(cap(0, 0), |a, b| {
             cap(a.per_second + b.per_second, a.in_flight + b.in_flight)
         });
         assert_within(link, limit.links[&RegionName::from("south")], "link");
     }
 
-    /// Gives what holders may still send to `place`, from one region or with the local arrivals
-    /// of the last window from all.
+    /// Returns the usable grants for `place` of holders in the region `from`, or, without `from`,
+    /// of all holders plus the local arrivals of the last window.
     ///
-    /// A grant of an earlier run of the issuer loads the link, as its holder doesn't know yet,
-    /// but not the place, where it is refused.
-    fn promised(&self, issuer: usize, place: &PlaceName, from: Option<&str>) -> Cap {
+    /// A grant of an earlier incarnation of the issuer still loads the link, since its holder does
+    /// not know of the restart, but not the place, which refuses it.
+    fn usable_grants(&self, issuer: usize, place: &PlaceName, from: Option<&str>) -> Cap {
         let vm = issuer_name(issuer);
         let run = self.issuers[issuer].incarnation();
         let mut sum = cap(0, 0);
@@ -565,7 +569,8 @@
         sum
     }
 
-    /// What left for the link in the last window is within each issuer's part of its cap.
+    /// Checks that the departures to the link in the last window are within each issuer's part of
+    /// its cap.
     fn check_link(&self, issuer: usize) {
         let window = self.tuning.window;
         let term = self.tuning.term + self.tuning.margin + window;
@@ -583,7 +588,7 @@
 fn assert_within(sum: Cap, limit: Cap, what: &str) {
     assert!(
         sum.per_second <= limit.per_second && sum.in_flight <= limit.in_flight,
-        "{what}: promised {sum:?}, cap {limit:?}"
+        "{what}: usable grants {sum:?}, cap {limit:?}"
     );
 }
 
@@ -599,13 +604,13 @@
         .expect("a holder")
 }
 
-/// An operator sees more requests on a link or at a place than its cap allows. Grants were
-/// given, messages about them got lost, came twice or out of order, daemons restarted, clocks
-/// ran at different speeds, caps were lowered: some mix of these let two holders count on the
-/// same room, or a holder go on after its issuer had lent the room to another.
+/// Guards against more requests on a link or at a place than its cap allows. Lost, duplicated or
+/// reordered grant messages, daemon restarts, clocks of different speeds and lowered caps could
+/// let two holders use the same capacity, or a holder continue after its issuer has lent the
+/// capacity to another.
 #[test]
-fn no_interleaving_passes_a_cap() {
-    let ops = bolero::generator::produce::<Vec<Draw>>()
+fn no_interleaving_exceeds_a_cap() {
+    let ops = bolero::generator::produce::<Vec<RandomOp>>()
         .with()
         .len(20usize..400);
     heatherknot_test_support::property::check()
@@ -613,10 +618,10 @@
         .with_max_len(8_192)
         .with_generator(ops)
         .for_each(|ops| {
-            let mut world = World::new();
+            let mut sim = Simulation::new();
             for op in ops {
-                world.step(op.op());
-                world.check();
+                sim.step(op.op());
+                sim.check();
             }
         });
 }
--- a/crates/steering/tests/rules.rs
+++ b/crates/steering/tests/rules.rs
@@ -1,5 +1,5 @@
-//! Tests of single rules: windows, parts of caps, pairing, retries, upstreams, reports, answers,
-//! recordings.
+//! Tests of single components: windows, allowances, issuer selection, retries, upstreams, reports,
+//! look-up answers and recordings.
 
 mod common;
 
@@ -18,6 +18,8 @@
 use heatherknot_steering::{Grant, GrantReply, Identity, Steering, Tuning, VmReport};
 use heatherknot_types::prelude::*;
 
+/// Guards against an event that counts for less or more than one window, which would let a rate
+/// exceed its cap or waste part of it.
 #[test]
 fn an_event_counts_for_exactly_one_window() {
     let mut window = Window::new(Millis(1_000), Millis(1));
@@ -32,6 +34,7 @@
     assert_eq!(1, window.count(Millis(1_500)));
 }
 
+/// Guards against a coarse window that undercounts and so admits more than the cap.
 #[test]
 fn a_coarse_window_never_counts_too_little() {
     let mut exact = Window::new(Millis(1_000), Millis(1));
@@ -48,8 +51,8 @@
     }
 }
 
-/// Two VMs of each failure domain round their parts of a region's cap; were they rounded up,
-/// the region would get more than its cap.
+/// Guards against the parts of a region's or link's cap summing to more than the cap, as they
+/// would if each VM's part were rounded up.
 #[test]
 fn parts_of_a_cap_never_sum_above_it() {
     let mut plan = plan();
@@ -73,12 +76,14 @@
             .map(|c| c.per_second)
             .sum();
         assert!(rate <= 101 && in_flight <= 51 && link <= 7, "part {part}");
-        assert!(rate >= 97, "at most one lost to each VM: {rate}");
+        assert!(rate >= 97, "rounding loses at most one per VM: {rate}");
     }
 }
 
+/// Guards against a VM that leaves and changes the issuer of VMs that did not request from it, and
+/// against an uneven distribution over the issuers.
 #[test]
-fn a_vm_that_goes_moves_only_its_own_pairs() {
+fn a_removed_vm_moves_only_its_own_requesters() {
     let vms: Vec<VmName> = (0..36).map(|n| VmName::new(format!("d3-{n}"))).collect();
     let sources: Vec<String> = (0..540)
         .map(|n| format!("d{}-{}", n % 15, n / 15))
@@ -100,14 +105,14 @@
         .max();
     assert!(
         most <= Some(30),
-        "15 sources a VM on average, at most {most:?}"
+        "15 requesters per VM on average, at most {most:?}"
     );
 }
 
-/// Every first try fails and every caller's VM tries again: without a budget the load doubles
-/// just when there is no room.
+/// Guards against retries that double the load exactly when there is no capacity: every first try
+/// fails and each is tried again.
 #[test]
-fn retries_are_bound_to_a_part_of_first_tries() {
+fn retries_are_limited_to_a_fraction_of_first_tries() {
     let mut budget = RetryBudget::default();
     let mut taken = 0;
 
@@ -156,8 +161,10 @@
     }
 }
 
+/// Guards against requests sent to the fuller upstream, and bulk requests that take the last slot
+/// from interactive ones.
 #[test]
-fn the_upstream_with_most_room_is_picked_and_bulk_leaves_the_last_slot() {
+fn picks_the_least_loaded_upstream_and_keeps_the_last_slot_from_bulk() {
     let mut u = upstreams();
     let service = ServiceName::from(GALLERY);
     u.report(&service, &"n1-0".into(), load(3), Millis(0));
@@ -174,10 +181,9 @@
     assert_eq!(None, pick(&u, Class::Interactive, Millis(0)));
 }
 
-/// A backend server answers each probe that it is idle while its slots are full; requests sent
-/// there queue behind the others.
+/// Guards against queueing at a backend server that reports itself idle while its slots are full.
 #[test]
-fn an_upstream_that_says_idle_while_full_is_not_believed() {
+fn a_report_below_the_own_requests_in_flight_is_ignored() {
     let mut u = upstreams();
     let service = ServiceName::from(GALLERY);
     for _ in 0..4 {
@@ -192,8 +198,9 @@
     );
 }
 
+/// Guards against new requests to an upstream that is shutting down, which would fail with it.
 #[test]
-fn a_leaving_upstream_gets_nothing_new() {
+fn an_upstream_that_shuts_down_gets_no_new_requests() {
     let mut u = upstreams();
     let service = ServiceName::from(GALLERY);
     u.set_leaving(&service, &"n1-0".into(), true);
@@ -208,8 +215,9 @@
     );
 }
 
+/// Guards against full load on an upstream that has just started with cold caches.
 #[test]
-fn a_cold_upstream_gets_its_slots_step_by_step() {
+fn a_cold_upstream_gets_its_slots_gradually() {
     let mut u = upstreams();
     let service = ServiceName::from(GALLERY);
     u.mark_cold(&service, &"n1-0".into(), Millis(0));
@@ -221,10 +229,10 @@
     assert_eq!([1, 1, 2, 4, 4], slots);
 }
 
-/// A backend server refuses for want of room below the slots in its settings. Sent the same
-/// number again at once it would refuse for ever.
+/// Guards against endless refusals by a backend server whose real capacity is below its configured
+/// slots: the same number of requests sent again at once would be shed again.
 #[test]
-fn an_upstream_that_sheds_is_spared_and_then_given_less() {
+fn an_upstream_that_sheds_is_paused_and_then_gets_fewer_slots() {
     let mut u = upstreams();
     let tuning = Tuning::default();
     let (service, name) = (ServiceName::from(GALLERY), UpstreamName::from("n1-0"));
@@ -243,8 +251,9 @@
     assert_eq!(4, u.of(&service)[0].slots(&tuning, Millis(4_300)));
 }
 
+/// Guards against an upstream that keeps getting requests while all of them fail.
 #[test]
-fn three_failures_in_a_row_eject_an_upstream_for_longer_each_time() {
+fn consecutive_failures_eject_an_upstream_for_doubling_periods() {
     let mut u = upstreams();
     let tuning = Tuning::default();
     let (service, name) = (ServiceName::from(GALLERY), UpstreamName::from("n1-0"));
@@ -266,7 +275,7 @@
     assert!(u.of(&service)[0].usable(Millis(6_000)));
 }
 
-/// Half a second old: 80/s of 100/s used, 20/s to lend.
+/// Returns a report half a second old: 80 of 100 requests per second used, 20 lendable.
 fn report(seq: u64, health: u16) -> VmReport {
     let line = format!(
         r#"{{"v":"v-s1","d":"s1","i":1,"n":{seq},"l":[
@@ -275,8 +284,10 @@
     serde_json::from_str(&line).expect("a report as it goes over the wire")
 }
 
+/// Guards against decisions based on stale reports, and on a report that arrives after a newer
+/// one.
 #[test]
-fn a_report_counts_for_less_as_it_ages_and_then_for_nothing() {
+fn a_report_loses_weight_with_age() {
     let mut reports = Reports::new(Tuning::default());
     let place = PlaceName::from("s1");
     reports.record(&report(2, 900), Millis(0));
@@ -298,8 +309,9 @@
     );
 }
 
+/// Guards against traffic that returns to a flapping place as soon as it reports itself healthy.
 #[test]
-fn a_place_is_left_alone_twice_as_long_after_each_failure() {
+fn the_hold_down_of_a_place_doubles_with_each_failure() {
     let mut reports = Reports::new(Tuning::default());
     let place = PlaceName::from("s1");
     let mut alone = Vec::new();
@@ -340,10 +352,11 @@
     assert!(holder.accept_reply(&"s1".into(), &reply, now));
 }
 
-/// A link is over its cap for a moment, again and again: a source forgets an expired grant with
-/// what it sent in its last second and what still runs, and sends as much under the next.
+/// Guards against brief overloads of a link: a holder that forgot, with an expired grant, the
+/// requests it sent in the last second and those in flight would send as many again under the next
+/// grant.
 #[test]
-fn what_was_sent_under_an_expired_grant_counts_against_the_next() {
+fn requests_under_an_expired_grant_count_against_the_next() {
     let mut holder = Holder::new("v-n1".into(), Incarnation(1), Tuning::default());
     let place = PlaceName::from("s1");
     take_grant(&mut holder, 1, Millis(0));
@@ -376,8 +389,10 @@
     assert_eq!(3, next);
 }
 
+/// Guards against a rate above the grant when finished requests are forgotten together with an
+/// expired grant.
 #[test]
-fn what_was_sent_and_answered_counts_against_the_next_grant_for_one_window() {
+fn finished_requests_count_against_the_next_grant_for_one_window() {
     let mut holder = Holder::new("v-n1".into(), Incarnation(1), Tuning::default());
     let place = PlaceName::from("s1");
     take_grant(&mut holder, 1, Millis(0));
@@ -395,6 +410,7 @@
     assert!(later.is_some());
 }
 
+/// Guards against cached look-up answers that stop counting as load while callers still use them.
 #[test]
 fn answers_count_until_they_expire() {
     let mut live = LiveAnswers::default();
@@ -407,10 +423,10 @@
     assert_eq!([4, 3, 3, 1, 0], counts);
 }
 
-/// An operator replays an incident and gets other decisions than the daemon made: then the
-/// recording misses something that the decisions depend on.
+/// Guards against a recording that lacks an input of the decisions, so that a replay of an
+/// incident would differ from the daemon's behaviour.
 #[test]
-fn a_recording_read_back_gives_the_same_decisions() {
+fn a_replayed_recording_gives_the_same_decisions() {
     let me = Identity {
         vm: "v-n1".into(),
         domain: "n1".into(),
--- a/crates/steering/tests/steering.rs
+++ b/crates/steering/tests/steering.rs
@@ -1,4 +1,4 @@
-//! Tests of the decisions of a few VMs together.
+//! Tests of the decisions of several VMs together.
 
 mod common;
 
@@ -8,16 +8,16 @@
 use heatherknot_steering::explain::Limit;
 use heatherknot_types::prelude::*;
 
-/// One service that weighs headroom, so that a plan of two places in the north and one in the
-/// south shows every move.
+/// Returns a plan with one service, which gives latency and headroom the same weight.
 fn one_service() -> heatherknot_types::plan::Plan {
     let mut plan = plan();
-    plan.services.remove(LOOKUPS);
+    plan.services.remove(CATALOG);
     plan
 }
 
+/// Guards against refusals while a failure domain of the same region has free capacity.
 #[test]
-fn what_has_no_room_here_goes_to_the_near_failure_domain() {
+fn overflow_goes_to_the_nearest_failure_domain() {
     let mut fleet = Fleet::new(&one_service());
     fleet.demand("n1", GALLERY, 140);
 
@@ -36,10 +36,10 @@
     }
 }
 
-/// A peak hits two failure domains at once and both send to the third. Each of them thinks it
-/// idle; together they would pass its cap.
+/// Guards against an overload by two failure domains that peak at once and both regard the same
+/// third one as idle.
 #[test]
-fn two_sources_together_stay_under_the_cap() {
+fn two_holders_together_stay_within_the_cap() {
     let mut fleet = Fleet::new(&one_service());
     fleet.demand("n1", GALLERY, 180);
     fleet.demand("s1", GALLERY, 180);
@@ -55,16 +55,16 @@
     assert!(n2.local + n2.granted >= 85, "its room is used: {n2:?}");
 }
 
-/// The links of a failure domain go down. Its callers still get its own backend servers; it
-/// sends nothing elsewhere once its grants have run out, and what it had lent comes back.
+/// Guards against a failure domain that loses its links and then stops serving its own callers,
+/// keeps using expired grants, or whose issuers never reclaim the capacity lent to it.
 #[test]
-fn a_cut_off_failure_domain_serves_its_own_callers() {
+fn a_partitioned_failure_domain_serves_its_own_callers() {
     let mut fleet = Fleet::new(&one_service());
     fleet.demand("n1", GALLERY, 140);
     fleet.demand("n2", GALLERY, 40);
     fleet.run(Millis(20_000));
 
-    fleet.cut.insert("n1".into());
+    fleet.partitioned.insert("n1".into());
     fleet.run(Millis(15_000));
     let now = fleet.now;
     fleet.demand("n2", GALLERY, 95);
@@ -84,8 +84,10 @@
     assert!(n2.local >= 90 && n2.granted == 0, "{n2:?}");
 }
 
+/// Guards against a drain that leaves traffic at the place, refuses callers, or does not report
+/// its completion.
 #[test]
-fn a_drained_place_gives_its_traffic_away_and_says_when_it_is_done() {
+fn a_drained_place_moves_its_traffic_and_reports_completion() {
     let mut fleet = Fleet::new(&one_service());
     fleet.demand("n1", GALLERY, 50);
     fleet.run(Millis(10_000));
@@ -106,7 +108,7 @@
         }
     }
 
-    assert_eq!(Step::default(), fleet.last_second("n1"));
+    assert_eq!(StepCounts::default(), fleet.last_second("n1"));
     assert!(
         done_after.is_some_and(|s| s <= 25),
         "done after {done_after:?} s"
@@ -118,10 +120,10 @@
     );
 }
 
-/// A place was drained, and for hours single requests still reach it: whenever the others are
-/// full for a moment, a request falls back to it, and the operator can't switch it off.
+/// Guards against single requests that reach a drained place for hours, so that it cannot be
+/// switched off: they would fall back to it whenever the other places are briefly full.
 #[test]
-fn a_burst_does_not_fall_back_to_a_place_that_is_drained() {
+fn a_burst_does_not_fall_back_to_a_drained_place() {
     let mut fleet = Fleet::new(&one_service());
     fleet.demand("n1", GALLERY, 50);
     fleet.run(Millis(10_000));
@@ -143,10 +145,10 @@
     );
 }
 
-/// An operator drains a place while no other has room. Its callers must not be refused for it;
-/// the operator sees what the drain waits for.
+/// Guards against a drain that causes refusals because no other place has capacity, or that does
+/// not show the operator what it waits for.
 #[test]
-fn a_drain_without_room_elsewhere_keeps_serving_and_says_why() {
+fn a_drain_without_capacity_elsewhere_keeps_serving_and_reports_why() {
     let mut fleet = Fleet::new(&one_service());
     for domain in ["n1", "n2", "s1"] {
         fleet.demand(domain, GALLERY, 95);
@@ -166,10 +168,10 @@
     );
 }
 
-/// A place says that it is well while every request to it fails. Callers see errors until the
-/// sources believe their own eyes.
+/// Guards against errors to callers when a place reports itself healthy while every request to it
+/// fails.
 #[test]
-fn a_place_that_fails_but_says_it_is_well_is_left_alone() {
+fn a_failing_place_that_reports_healthy_is_not_used() {
     let mut fleet = Fleet::new(&one_service());
     fleet.demand("n1", GALLERY, 140);
     fleet.run(Millis(15_000));
@@ -192,10 +194,10 @@
     assert_eq!(Some(Limit::Health), n2.map(|p| p.limited_by), "{explained}");
 }
 
-/// A place fails and recovers every few seconds. Traffic that followed each turn would keep both
-/// ends cold; it is left alone for longer each time.
+/// Guards against traffic that follows each change of a place that fails and recovers every few
+/// seconds, which keeps the caches at both ends cold.
 #[test]
-fn flapping_health_does_not_swing_the_traffic() {
+fn flapping_health_does_not_make_traffic_oscillate() {
     let mut fleet = Fleet::new(&one_service());
     fleet.demand("n1", GALLERY, 140);
     fleet.run(Millis(15_000));
@@ -214,10 +216,10 @@
     assert!(changes <= 24, "{changes} changes of direction in 40 turns");
 }
 
-/// A shift sends a place with empty caches all its traffic at once and every request is slow.
-/// It grows by a tenth of the cap a second.
+/// Guards against a shift that sends a place with empty caches all its traffic at once and makes
+/// every request slow. The growth limit here is a tenth of the cap per second.
 #[test]
-fn a_cold_place_gets_its_traffic_step_by_step() {
+fn traffic_to_a_cold_place_grows_gradually() {
     let mut plan = one_service();
     let service = plan.services.get_mut(GALLERY).expect("a service");
     service.growth_permille = 100;
@@ -236,8 +238,8 @@
     assert!(last >= 50, "{last}/s after 20 s");
 }
 
-/// An operator halves a cap while all of it is lent out. New grants stop at once, and within one
-/// term nothing above the new cap is left.
+/// Guards against a cap that an operator halves while all of it is lent, and that is still
+/// exceeded after one grant term.
 #[test]
 fn a_lowered_cap_holds_within_one_term() {
     let mut fleet = Fleet::new(&one_service());
@@ -260,10 +262,10 @@
     assert!(rate <= 40, "{rate}");
 }
 
-/// A VM gives part of its capacity to a new one. Were the entry in the ledger changed while the
-/// grants on it are out, both would count on the same room.
+/// Guards against two VMs that use the same capacity: the ledger entry would be changed while
+/// grants on the old part are outstanding.
 #[test]
-fn a_part_is_given_up_only_when_its_grants_have_run_out() {
+fn a_part_is_given_up_only_after_its_grants_expire() {
     let mut fleet = Fleet::new(&one_service());
     fleet.demand("n1", GALLERY, 180);
     fleet.run(Millis(20_000));
@@ -278,8 +280,10 @@
     assert!(fleet.vm("n2").fits_capacity_part(400, now));
 }
 
+/// Guards against traffic between regions above the cap of the link, and against a link left
+/// unused.
 #[test]
-fn a_capped_link_bounds_what_crosses_it() {
+fn a_link_cap_limits_the_traffic_across_it() {
     let mut plan = one_service();
     plan.links.push(link("south", "north", cap(20, 20)));
     let mut fleet = Fleet::new(&plan);
@@ -294,8 +298,10 @@
     assert!((10..=20).contains(&crossing), "{crossing}");
 }
 
+/// Guards against look-up answers that outlive the grant they rely on, or that together send more
+/// than it allows.
 #[test]
-fn a_look_up_answer_never_outlives_its_grant_nor_passes_it() {
+fn look_up_answers_stay_within_their_grant() {
     let mut fleet = Fleet::new(&one_service());
     fleet.demand("n1", GALLERY, 180);
     fleet.run(Millis(10_000));
@@ -329,8 +335,10 @@
     );
 }
 
+/// Guards against an explanation for operators that lacks the service, the places or what limits
+/// them.
 #[test]
-fn an_explanation_reads_well() {
+fn an_explanation_names_service_place_and_limits() {
     let mut fleet = Fleet::new(&one_service());
     fleet.demand("n1", GALLERY, 140);
     fleet.run(Millis(20_000));
