--- a/crates/steering/src/admission.rs
+++ b/crates/steering/src/admission.rs
@@ -174,8 +174,8 @@
         place_order: &[PlaceName],
         now: Millis,
     ) {
-        let ours = place_order.iter().find(|p| self.places.contains_key(*p));
-        if let Some(state) = ours.and_then(|p| self.places.get_mut(p)) {
+        let local = place_order.iter().find(|p| self.places.contains_key(*p));
+        if let Some(state) = local.and_then(|p| self.places.get_mut(p)) {
             state.fair_share.demand(&service.account, req.class, now);
         }
     }
@@ -200,7 +200,7 @@
         let upstream = self.pick_upstream(req, service, place, rng, now)?;
         self.issuer
             .check_local(place, now)
-            .map_err(|full| blocked_by(&full, now))?;
+            .map_err(|reached| blocked_by(&reached, now))?;
         self.charge_retry(req, service, place, now)?;
         self.issuer.start_local(place, now);
         Ok(self.start(
@@ -233,7 +233,7 @@
         let key = self
             .issuer
             .check_granted(token, now)
-            .map_err(|full| blocked_by(&full, now))?;
+            .map_err(|reached| blocked_by(&reached, now))?;
         let upstream = self.pick_upstream(req, service, place, rng, now)?;
         let limit = self.issuer.usable_in(&ScopeName::Place(place.clone()));
         self.check_share(req, service, place, limit, now)?;
@@ -448,31 +448,31 @@
     }
 
     /// Records the end of a request. A ticket that was already finished is ignored.
-    pub fn finish(&mut self, ticket: Ticket, end: RequestOutcome, now: Millis) {
+    pub fn finish(&mut self, ticket: Ticket, outcome: RequestOutcome, now: Millis) {
         let Some(done) = self.tickets.remove(ticket) else {
             return;
         };
         match &done.reservation {
             Reservation::Local { upstream } => {
                 self.issuer.finish_local(&done.place);
-                self.finish_local_run(&done, upstream, end, now);
+                self.finish_local_run(&done, upstream, outcome, now);
             }
             Reservation::Granted { key, upstream } => {
                 self.issuer.finish_granted(key);
-                self.finish_local_run(&done, upstream, end, now);
+                self.finish_local_run(&done, upstream, outcome, now);
             }
             Reservation::Relayed { token } => {
                 self.holder.finish(token);
                 self.remote_shares(&done.place).finish(&done.account);
             }
         }
-        self.reports.record_outcome(&done.place, end, now);
-        if end == RequestOutcome::Shed {
+        self.reports.record_outcome(&done.place, outcome, now);
+        if outcome == RequestOutcome::Shed {
             let until = now + self.tuning.shed_pause;
             let key = (done.service.clone(), done.place.clone());
             self.retries.entry(key).or_default().set_overloaded(until);
         }
-        if end == RequestOutcome::Good
+        if outcome == RequestOutcome::Good
             && let Some(state) = self.services.get_mut(&done.service)
         {
             let took = now.since(done.started).0 as f64;
@@ -488,11 +488,11 @@
         &mut self,
         done: &InFlight,
         upstream: &UpstreamName,
-        end: RequestOutcome,
+        outcome: RequestOutcome,
         now: Millis,
     ) {
         self.upstreams
-            .finish(&done.service, upstream, end, &self.tuning, now);
+            .finish(&done.service, upstream, outcome, &self.tuning, now);
         if let Some(state) = self.places.get_mut(&done.place) {
             state.fair_share.finish(&done.account);
         }
@@ -547,8 +547,8 @@
     }
 }
 
-fn blocked_by(full: &LimitReached, now: Millis) -> Blocked {
-    match full {
+fn blocked_by(reached: &LimitReached, now: Millis) -> Blocked {
+    match reached {
         LimitReached::Rate(_, until) => Blocked {
             reason: RefusalReason::Cap,
             until: *until,
@@ -561,7 +561,8 @@
     }
 }
 
-/// Returns the block that ends first. A block for exceeding the account's share takes precedence.
+/// Returns the block that ends first. A block for exceeding the account's share takes precedence,
+/// and a block for a missing upstream gives way to any later one.
 fn preferred_block(a: Blocked, b: Blocked) -> Blocked {
     let over = |x: &Blocked| x.reason == RefusalReason::AccountShare;
     match (over(&a), over(&b)) {
--- a/crates/steering/src/explain.rs
+++ b/crates/steering/src/explain.rs
@@ -128,7 +128,7 @@
             return (0, Limit::Health);
         }
         let (limit, by) = if self.is_local(place) {
-            self.own_limit(service, place, now)
+            self.local_limit(service, place, now)
         } else {
             match self.holder.live_grant(place, now) {
                 Some(held) => (held.rate, Limit::Grant),
@@ -143,7 +143,7 @@
         (limit, by)
     }
 
-    fn own_limit(&self, service: &ServiceName, place: &PlaceName, now: Millis) -> (u32, Limit) {
+    fn local_limit(&self, service: &ServiceName, place: &PlaceName, now: Millis) -> (u32, Limit) {
         if !self.upstreams.any_usable(service, place, now) {
             return (0, Limit::NoUpstream);
         }
--- a/crates/steering/src/fair_share.rs
+++ b/crates/steering/src/fair_share.rs
@@ -150,13 +150,13 @@
         let own_rate = part(limit.per_second, account.guaranteed_permille);
         let own_in_flight = part(limit.in_flight, account.guaranteed_permille);
         let arrivals = self.arrivals.count(now) + expected;
-        let room = expected == 0 || arrivals < limit.per_second;
-        if used + expected < own_rate && account.in_flight < own_in_flight && room {
+        let fits_limit = expected == 0 || arrivals < limit.per_second;
+        if used + expected < own_rate && account.in_flight < own_in_flight && fits_limit {
             return Share::Guaranteed;
         }
-        let kept = self.kept_for_others(name, limit, now);
-        let rate = arrivals + kept.per_second;
-        let in_flight = self.in_flight + kept.in_flight;
+        let reserved = self.reserved_for_others(name, limit, now);
+        let rate = arrivals + reserved.per_second;
+        let in_flight = self.in_flight + reserved.in_flight;
         if rate < limit.per_second && in_flight < limit.in_flight {
             Share::Borrowed
         } else {
@@ -165,9 +165,9 @@
     }
 
     /// Returns the capacity that the accounts other than `name` may still claim of their shares.
-    fn kept_for_others(&self, name: &AccountName, limit: Cap, now: Millis) -> Cap {
+    fn reserved_for_others(&self, name: &AccountName, limit: Cap, now: Millis) -> Cap {
         let factor = self.tuning.account_reserve_permille;
-        let mut kept = Cap {
+        let mut reserved = Cap {
             per_second: 0,
             in_flight: 0,
         };
@@ -180,12 +180,12 @@
                 continue;
             }
             let rate = rate.min(part(limit.per_second, account.guaranteed_permille));
-            kept.per_second += rate.saturating_sub(account.used.peek(now));
+            reserved.per_second += rate.saturating_sub(account.used.peek(now));
             let in_flight = scale(account.in_flight_peak, factor) + 1;
             let in_flight = in_flight.min(part(limit.in_flight, account.guaranteed_permille));
-            kept.in_flight += in_flight.saturating_sub(account.in_flight);
+            reserved.in_flight += in_flight.saturating_sub(account.in_flight);
         }
-        kept
+        reserved
     }
 
     /// Counts an admitted request.
--- a/crates/steering/src/grant_requests.rs
+++ b/crates/steering/src/grant_requests.rs
@@ -83,17 +83,17 @@
         now: Millis,
     ) -> Option<(VmName, GrantRequest)> {
         let issuer = self.select_issuer(domain)?;
-        let demand = self.demand_in(domain, desired, now);
-        if !demand.iter().any(|w| self.should_request(w, &issuer, now)) {
+        let demands = self.demand_in(domain, desired, now);
+        if !demands.iter().any(|d| self.should_request(d, &issuer, now)) {
             return None;
         }
         let ask = self.holder.start_request(domain, &issuer, now);
-        let mut wants: Vec<PlaceRequest> = Vec::with_capacity(demand.len());
-        for w in &demand {
-            if w.rate > 0 || self.holder.live_grant(&w.place, now).is_some() {
+        let mut wants: Vec<PlaceRequest> = Vec::with_capacity(demands.len());
+        for d in &demands {
+            if d.rate > 0 || self.holder.live_grant(&d.place, now).is_some() {
                 wants.push(
                     self.holder
-                        .place_request(&w.place, &issuer, w.rate, w.in_flight),
+                        .place_request(&d.place, &issuer, d.rate, d.in_flight),
                 );
             }
         }
@@ -128,14 +128,14 @@
         now: Millis,
     ) -> Vec<PlaceDemand> {
         let plan = Arc::clone(&self.plan);
-        let mut demand = Vec::new();
+        let mut demands = Vec::new();
         for (place, _) in plan.places.iter().filter(|(_, p)| p.domain == *domain) {
             let desired = desired.get(place).copied().unwrap_or_default();
             // Callers with cached answers arrive regardless of this VM's current preference.
             let rate = desired.rate.max(self.committed_rate(place, now));
-            demand.push(self.demand_at(place, rate, desired.in_flight));
+            demands.push(self.demand_at(place, rate, desired.in_flight));
         }
-        demand
+        demands
     }
 
     fn demand_at(&self, place: &PlaceName, rate: f64, in_flight: f64) -> PlaceDemand {
@@ -160,14 +160,14 @@
         };
         let renew = held.until.since(now) < Millis(self.tuning.term.0 / 2);
         let more = demand.rate > held.rate || demand.in_flight > held.in_flight;
-        let idle = demand.rate == 0 || u64::from(demand.rate) * 3 < u64::from(held.rate) * 2;
+        let excess = demand.rate == 0 || u64::from(demand.rate) * 3 < u64::from(held.rate) * 2;
         let moved = held.issuer != *issuer;
-        (renew && demand.rate > 0) || more || idle || moved
+        (renew && demand.rate > 0) || more || excess || moved
     }
 
     /// Answers a grant request. The caller must have authenticated the VM that the request names.
     pub fn on_grant_request(&mut self, req: &GrantRequest, now: Millis) -> GrantReply {
-        let nowhere = RegionName::new("");
+        let unknown_region = RegionName::new("");
         let from = self.region_of(&req.domain).cloned();
         let reserves: Vec<(PlaceName, Option<Reserve>)> = self
             .places
@@ -179,13 +179,13 @@
             // A VM of an unknown failure domain gets no grant.
             found.and_then(|(_, r)| *r).filter(|_| from.is_some())
         };
-        let region = from.as_ref().unwrap_or(&nowhere);
+        let region = from.as_ref().unwrap_or(&unknown_region);
         let grants = self.issuer.lend(req, region, &reserve, now);
         let asked = req
             .wants
             .iter()
-            .filter(|w| self.places.contains_key(&w.place));
-        let places = asked.map(|w| self.place_report(&w.place, now)).collect();
+            .filter(|d| self.places.contains_key(&d.place));
+        let places = asked.map(|d| self.place_report(&d.place, now)).collect();
         self.report_seq += 1;
         GrantReply {
             ask: req.ask,
--- a/crates/steering/src/holder_grants.rs
+++ b/crates/steering/src/holder_grants.rs
@@ -63,24 +63,24 @@
     /// The holder stopped using older grants before it sent the request, but may have used them
     /// until then, so they count for one more window. A request that arrives late or twice is
     /// harmless, since what was given up stays given up.
-    pub(crate) fn release(&mut self, want: &PlaceRequest, window: Millis, now: Millis) {
-        let kept = Cap {
-            per_second: want.keep_rate,
-            in_flight: want.keep_in_flight,
+    pub(crate) fn release(&mut self, request: &PlaceRequest, window: Millis, now: Millis) {
+        let remaining = Cap {
+            per_second: request.keep_rate,
+            in_flight: request.keep_in_flight,
         };
         let mut lowered = Vec::new();
-        for layer in &mut self.grants {
-            let given_up = layer.seq < want.holds;
-            let shrunk = layer.seq == want.holds && min_cap(layer.cap, kept) != layer.cap;
-            if shrunk {
+        for grant in &mut self.grants {
+            let given_up = grant.seq < request.holds;
+            let reduced = grant.seq == request.holds && min_cap(grant.cap, remaining) != grant.cap;
+            if reduced {
                 lowered.push(IssuedGrant {
-                    seq: layer.seq,
-                    cap: min_cap(layer.cap, kept),
-                    until: layer.until,
+                    seq: grant.seq,
+                    cap: min_cap(grant.cap, remaining),
+                    until: grant.until,
                 });
             }
-            if given_up || shrunk {
-                layer.until = layer.until.min(now + window);
+            if given_up || reduced {
+                grant.until = grant.until.min(now + window);
             }
         }
         self.grants.extend(lowered);
--- a/crates/steering/src/issuer.rs
+++ b/crates/steering/src/issuer.rs
@@ -49,10 +49,13 @@
 struct Scope {
     usable: Cap,
     lendable: Cap,
+    /// Arrivals of local callers and under grants.
     arrivals: Window,
+    /// Arrivals of local callers.
     local: Window,
     in_flight: u32,
     local_in_flight: u32,
+    /// Cached result of [`Issuer::lent_in`].
     lent: Cap,
 }
 
@@ -68,6 +71,7 @@
     next_seq: u64,
     scopes: BTreeMap<ScopeName, Scope>,
     lent: BTreeMap<HolderKey, HolderGrants>,
+    /// The capacity last requested by each holder, its region, and when it asked.
     requested: BTreeMap<HolderKey, (Cap, RegionName, Millis)>,
     /// The time until which the cached `lent` of each scope stays valid if nothing changes.
     lent_valid_until: Millis,
@@ -171,8 +175,8 @@
             if scope.local.count(now) >= left {
                 return Err(LimitReached::Rate(name, scope.local.free_at(left, now)));
             }
-            let busy = scope.local_in_flight.saturating_add(scope.lent.in_flight);
-            if busy >= scope.usable.in_flight {
+            let in_flight = scope.local_in_flight.saturating_add(scope.lent.in_flight);
+            if in_flight >= scope.usable.in_flight {
                 return Err(LimitReached::InFlight(name));
             }
         }
@@ -282,21 +286,21 @@
         now: Millis,
     ) -> Vec<Grant> {
         let mut grants = Vec::with_capacity(req.wants.len());
-        for want in &req.wants {
+        for request in &req.wants {
             let key = HolderKey {
-                place: want.place.clone(),
+                place: request.place.clone(),
                 holder: req.holder.clone(),
                 incarnation: req.holder_incarnation,
             };
             if req.issuer_incarnation == Some(self.incarnation)
                 && let Some(lent) = self.lent.get_mut(&key)
             {
-                lent.release(want, self.tuning.window, now);
+                lent.release(request, self.tuning.window, now);
             }
-            self.record_request(&key, want, from, now);
-            let kept = reserve(&want.place).filter(|_| now >= self.lends_from);
-            let cap = kept.map_or(ZERO_CAP, |r| {
-                self.grantable(&key, want, from, r, reserve, now)
+            self.record_request(&key, request, from, now);
+            let withheld = reserve(&request.place).filter(|_| now >= self.lends_from);
+            let cap = withheld.map_or(ZERO_CAP, |r| {
+                self.grantable(&key, request, from, r, reserve, now)
             });
             grants.push(self.issue(key, from, cap, now));
         }
@@ -306,13 +310,13 @@
     fn record_request(
         &mut self,
         key: &HolderKey,
-        want: &PlaceRequest,
+        request: &PlaceRequest,
         from: &RegionName,
         now: Millis,
     ) {
         let cap = Cap {
-            per_second: want.rate,
-            in_flight: want.in_flight,
+            per_second: request.rate,
+            in_flight: request.in_flight,
         };
         if cap == ZERO_CAP {
             self.requested.remove(key);
@@ -326,20 +330,20 @@
     fn grantable(
         &mut self,
         key: &HolderKey,
-        want: &PlaceRequest,
+        request: &PlaceRequest,
         from: &RegionName,
         place_reserve: Reserve,
         reserve: &dyn Fn(&PlaceName) -> Option<Reserve>,
         now: Millis,
     ) -> Cap {
         let mut cap = Cap {
-            per_second: want.rate,
-            in_flight: want.in_flight,
+            per_second: request.rate,
+            in_flight: request.in_flight,
         };
         for name in self.scope_names(&key.place, from) {
             let others = self.lent_in(&name, Some(key), now);
             let wanted = self.requested_in(&name);
-            let kept = match &name {
+            let withheld = match &name {
                 ScopeName::Place(_) => place_reserve.local,
                 ScopeName::Region => self.region_reserve(reserve),
                 ScopeName::Link(_) => ZERO_CAP,
@@ -352,11 +356,11 @@
                 lendable.per_second = lendable.per_second.min(place_reserve.warm_rate);
             }
             let local = Cap {
-                per_second: kept.per_second.max(scope.local.count(now)),
-                in_flight: kept.in_flight.max(scope.local_in_flight),
+                per_second: withheld.per_second.max(scope.local.count(now)),
+                in_flight: withheld.in_flight.max(scope.local_in_flight),
             };
             let pool = sub_caps(lendable, local);
-            cap = min_cap(cap, proportional_share(pool, want, wanted));
+            cap = min_cap(cap, proportional_share(pool, request, wanted));
             cap = min_cap(cap, sub_caps(pool, others));
         }
         if cap.per_second == 0 || cap.in_flight == 0 {
@@ -553,16 +557,16 @@
     Ok(())
 }
 
-fn proportional_share(pool: Cap, want: &PlaceRequest, wanted: Cap) -> Cap {
-    let share = |pool: u32, want: u32, all: u32| {
+fn proportional_share(pool: Cap, request: &PlaceRequest, wanted: Cap) -> Cap {
+    let share = |pool: u32, request: u32, all: u32| {
         if all <= pool {
-            return want;
+            return request;
         }
-        (u64::from(pool) * u64::from(want)).div_ceil(u64::from(all)) as u32
+        (u64::from(pool) * u64::from(request)).div_ceil(u64::from(all)) as u32
     };
     Cap {
-        per_second: share(pool.per_second, want.rate, wanted.per_second),
-        in_flight: share(pool.in_flight, want.in_flight, wanted.in_flight),
+        per_second: share(pool.per_second, request.rate, wanted.per_second),
+        in_flight: share(pool.in_flight, request.in_flight, wanted.in_flight),
     }
 }
 
--- a/crates/steering/src/placement.rs
+++ b/crates/steering/src/placement.rs
@@ -180,9 +180,9 @@
         } else {
             (step / distance).min(1.0)
         };
-        for (share, target) in self.shares.iter_mut().zip(targets) {
-            share.share =
-                (share.share + (target.share - share.share) * fraction).min(share.max_share);
+        for (current, target) in self.shares.iter_mut().zip(targets) {
+            current.share =
+                (current.share + (target.share - current.share) * fraction).min(current.max_share);
         }
         self.redistribute(targets);
         self.count_direction_changes(&before, dead_band);
@@ -209,33 +209,33 @@
         let wanted: f64 = targets.iter().map(|t| t.share).sum();
         let mut missing = wanted - self.shares.iter().map(|p| p.share).sum::<f64>();
         for bound in [true, false] {
-            for (share, target) in self.shares.iter_mut().zip(targets) {
+            for (current, target) in self.shares.iter_mut().zip(targets) {
                 if missing <= 0.0 {
                     return;
                 }
                 let max = if bound {
-                    target.share.min(share.max_share)
+                    target.share.min(current.max_share)
                 } else {
-                    share.max_share
+                    current.max_share
                 };
-                let more = (max - share.share).clamp(0.0, missing);
-                share.share += more;
+                let more = (max - current.share).clamp(0.0, missing);
+                current.share += more;
                 missing -= more;
             }
         }
     }
 
     fn count_direction_changes(&mut self, before: &[f64], dead_band: f64) {
-        for (share, before) in self.shares.iter_mut().zip(before) {
-            let moved = share.share - before;
+        for (current, before) in self.shares.iter_mut().zip(before) {
+            let moved = current.share - before;
             if moved.abs() < dead_band {
                 continue;
             }
             let direction = if moved > 0.0 { 1 } else { -1 };
-            if share.direction == -direction {
+            if current.direction == -direction {
                 self.direction_changes += 1;
             }
-            share.direction = direction;
+            current.direction = direction;
         }
     }
 }
--- a/crates/steering/src/report.rs
+++ b/crates/steering/src/report.rs
@@ -36,8 +36,10 @@
 #[derive(Clone, Debug)]
 struct PlaceView {
     reports: BTreeMap<VmName, Received>,
-    good: f64,
-    bad: f64,
+    /// Decaying count of own requests that succeeded.
+    good_outcomes: f64,
+    /// Decaying count of own requests that failed.
+    bad_outcomes: f64,
     last_outcome: Millis,
     held_down: bool,
     hold_until: Millis,
@@ -49,8 +51,8 @@
     fn new(now: Millis) -> Self {
         Self {
             reports: BTreeMap::new(),
-            good: 0.0,
-            bad: 0.0,
+            good_outcomes: 0.0,
+            bad_outcomes: 0.0,
             last_outcome: now,
             held_down: false,
             hold_until: now,
@@ -63,13 +65,13 @@
         let span = now.since(self.last_outcome).as_secs_f64();
         self.last_outcome = now;
         let keep = 0.5_f64.powf(span / OUTCOME_HALF_LIFE_SECS);
-        self.good *= keep;
-        self.bad *= keep;
+        self.good_outcomes *= keep;
+        self.bad_outcomes *= keep;
     }
 
     fn own_health(&self) -> Option<u16> {
-        let seen = self.good + self.bad;
-        (seen >= MIN_SAMPLES).then(|| (self.good * 1_000.0 / seen) as u16)
+        let seen = self.good_outcomes + self.bad_outcomes;
+        (seen >= MIN_SAMPLES).then(|| (self.good_outcomes * 1_000.0 / seen) as u16)
     }
 }
 
@@ -179,12 +181,12 @@
     }
 
     /// Records the outcome of one of this VM's own requests to `place`.
-    pub fn record_outcome(&mut self, place: &PlaceName, end: RequestOutcome, now: Millis) {
+    pub fn record_outcome(&mut self, place: &PlaceName, outcome: RequestOutcome, now: Millis) {
         let view = self.view(place, now);
         view.decay(now);
-        match end {
-            RequestOutcome::Good => view.good += 1.0,
-            RequestOutcome::Failed => view.bad += 1.0,
+        match outcome {
+            RequestOutcome::Good => view.good_outcomes += 1.0,
+            RequestOutcome::Failed => view.bad_outcomes += 1.0,
             RequestOutcome::Shed | RequestOutcome::Cancelled => {}
         }
     }
--- a/crates/steering/src/steering.rs
+++ b/crates/steering/src/steering.rs
@@ -87,11 +87,15 @@
     pub(crate) allowances: AllowanceHistory,
     pub(crate) issuer: Issuer,
     pub(crate) holder: Holder,
+    /// Use of the grant for each place of other failure domains by client account.
     pub(crate) remote_shares: BTreeMap<PlaceName, FairShare>,
     pub(crate) peers: BTreeMap<DomainName, Vec<Peer>>,
     pub(crate) delays: BTreeMap<DomainName, Millis>,
+    /// VMs that did not answer a grant request, with the time until which they are avoided.
     pub(crate) avoided_until: BTreeMap<VmName, Millis>,
+    /// When each failure domain was last asked for grants.
     pub(crate) last_request: BTreeMap<DomainName, Millis>,
+    /// The rate, the requests in flight and the time of the last grant for each place.
     pub(crate) last_granted: BTreeMap<PlaceName, (u32, u32, Millis)>,
     pub(crate) reports: Reports,
     pub(crate) report_seq: u64,
@@ -102,6 +106,7 @@
     pub(crate) answers: CachedAnswers,
     pub(crate) tickets: SlotMap<TicketKey, InFlight>,
     pub(crate) last_split_update: Millis,
+    /// Draining places and since when no traffic is planned for them.
     pub(crate) drained_since: BTreeMap<PlaceName, Millis>,
 }
 
@@ -254,9 +259,9 @@
         &mut self,
         service: &ServiceName,
         upstream: &UpstreamName,
-        vm_draining: bool,
+        leaving: bool,
     ) {
-        self.upstreams.set_leaving(service, upstream, vm_draining);
+        self.upstreams.set_leaving(service, upstream, leaving);
     }
 
     /// Records that an upstream of this failure domain has just started with cold caches.
--- a/crates/steering/src/traffic.rs
+++ b/crates/steering/src/traffic.rs
@@ -295,8 +295,8 @@
             let mut places: Vec<&PlaceName> = service.upstreams.iter().map(|u| &u.place).collect();
             places.sort();
             places.dedup();
-            let ours = places.into_iter().filter(|p| self.places.contains_key(*p));
-            let live: u32 = ours.map(|p| self.answers.live(name, p, now)).sum();
+            let local = places.into_iter().filter(|p| self.places.contains_key(*p));
+            let live: u32 = local.map(|p| self.answers.live(name, p, now)).sum();
             let Some(state) = self.services.get_mut(name) else {
                 continue;
             };
--- a/crates/steering/src/upstream.rs
+++ b/crates/steering/src/upstream.rs
@@ -54,6 +54,7 @@
     leaving: bool,
     warm_from: Option<Millis>,
     shed_until: Millis,
+    /// Slots that may be used, as learned from shed requests.
     learned_slots: u32,
     learned_at: Millis,
     failures: u32,
@@ -124,12 +125,12 @@
 
     /// Returns whether it may get new requests.
     pub fn usable(&self, now: Millis) -> bool {
-        let reported_ill = self
+        let reported_unusable = self
             .reported
             .is_some_and(|(_, load)| !load.healthy || load.leaving);
         !self.plan.draining
             && !self.leaving
-            && !reported_ill
+            && !reported_unusable
             && now >= self.shed_until
             && now >= self.ejected_until
     }
@@ -139,10 +140,10 @@
         self.started_since += 1;
     }
 
-    fn finish(&mut self, end: RequestOutcome, tuning: &Tuning, now: Millis) {
+    fn finish(&mut self, outcome: RequestOutcome, tuning: &Tuning, now: Millis) {
         self.in_flight = self.in_flight.saturating_sub(1);
         self.finished_since += 1;
-        match end {
+        match outcome {
             RequestOutcome::Good => {
                 self.failures = 0;
                 self.ejections = 0;
@@ -170,9 +171,9 @@
     }
 
     fn tick(&mut self, tuning: &Tuning, now: Millis) {
-        let full = u32::from(self.plan.slots);
+        let configured = u32::from(self.plan.slots);
         let pause = tuning.hold_down;
-        if self.learned_slots < full && now.since(self.learned_at) >= pause {
+        if self.learned_slots < configured && now.since(self.learned_at) >= pause {
             self.learned_slots += 1;
             self.learned_at = now;
         }
@@ -186,17 +187,17 @@
 }
 
 impl Upstreams {
-    /// Applies the upstreams in the plan that lie in a place for which `ours` returns true. The
+    /// Applies the upstreams in the plan that lie in a place for which `local` returns true. The
     /// state of upstreams that remain is kept; one whose address changed counts as a new server.
     pub fn set_plan(
         &mut self,
         services: &BTreeMap<ServiceName, ServicePlan>,
-        ours: &dyn Fn(&PlaceName) -> bool,
+        local: &dyn Fn(&PlaceName) -> bool,
     ) {
         let mut before = std::mem::take(&mut self.services);
         for (name, service) in services {
             let mut known = before.remove(name).unwrap_or_default();
-            let wanted = service.upstreams.iter().filter(|u| ours(&u.place));
+            let wanted = service.upstreams.iter().filter(|u| local(&u.place));
             let merged: Vec<Upstream> = wanted.map(|u| merge(&mut known, u)).collect();
             if !merged.is_empty() {
                 self.services.insert(name.clone(), merged);
@@ -306,12 +307,12 @@
         &mut self,
         service: &ServiceName,
         upstream: &UpstreamName,
-        end: RequestOutcome,
+        outcome: RequestOutcome,
         tuning: &Tuning,
         now: Millis,
     ) {
         if let Some(u) = self.find(service, upstream) {
-            u.finish(end, tuning, now);
+            u.finish(outcome, tuning, now);
         }
     }
 
