--- a/crates/steering/benches/decisions.rs
+++ b/crates/steering/benches/decisions.rs
@@ -1,5 +1,5 @@
-//! The cost of single decisions at the size of two years: 16 failure domains, 110 places, 300
-//! services of 100 accounts, 36 VMs in each failure domain.
+//! Benchmarks of single decisions at the size expected in two years: 16 failure domains, 110
+//! places, 300 services of 100 accounts, and 36 VMs in each failure domain.
 //!
 //! `cargo bench -p heatherknot-steering --bench decisions`
 
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use criterion::Criterion;
-use heatherknot_steering::upstream::End;
+use heatherknot_steering::upstream::RequestOutcome;
 use heatherknot_steering::{Arrival, Identity, Peer, Steering, Tuning, Verdict};
 use heatherknot_types::plan::{
     Cap, DomainPlan, PlacePlan, Plan, RegionPlan, ServicePlan, UpstreamPlan,
@@ -21,8 +21,8 @@
 const SERVICES: usize = 300;
 const ACCOUNTS: usize = 100;
 const VMS: usize = 36;
-/// Places that each service is in.
-const SPREAD: usize = 6;
+/// Number of places of each service.
+const PLACES_PER_SERVICE: usize = 6;
 
 fn cap(per_second: u32) -> Cap {
     Cap {
@@ -90,7 +90,7 @@
         latency_weight_permille: 500,
         growth_permille: 1_000,
         at_most_once: Vec::new(),
-        upstreams: (0..SPREAD * 2).map(upstream).collect(),
+        upstreams: (0..PLACES_PER_SERVICE * 2).map(upstream).collect(),
     }
 }
 
@@ -102,7 +102,7 @@
     };
     let mut vm = Steering::new(me, Tuning::default(), Millis(0));
     vm.on_plan(Arc::clone(plan), Millis(0));
-    vm.on_part(1_000, Millis(0));
+    vm.on_capacity_part(1_000, Millis(0));
     let peers = (0..DOMAINS).flat_map(|d| (0..VMS).map(move |v| (d, v)));
     let peer = |(d, v)| Peer {
         vm: VmName::new(format!("d{d}-{v}")),
@@ -116,7 +116,7 @@
     vm
 }
 
-/// Gives the services that have a place in the VM's failure domain.
+/// Returns the services with a place in the VM's failure domain.
 fn local_services(plan: &Plan) -> Vec<ServiceName> {
     let here = |s: &ServicePlan| {
         let mut places = s.upstreams.iter().map(|u| &plan.places[&u.place]);
@@ -140,7 +140,7 @@
     let (mut n, mut run) = (0_u64, 0_u64);
     group.bench_function("admit and finish", |b| {
         b.iter(|| {
-            // 2,000 requests a second of virtual time, with a tick every 100 ms.
+            // 2,000 requests per second of simulated time, with a tick every 100 ms.
             n += 1;
             if n.is_multiple_of(2) {
                 now = now + Millis(1);
@@ -159,7 +159,7 @@
             };
             if let Verdict::Run { ticket, .. } = black_box(state.admit(&req, &mut rng, now)) {
                 run += 1;
-                state.finish(ticket, End::Good, now);
+                state.finish(ticket, RequestOutcome::Good, now);
             }
         });
     });
@@ -195,7 +195,7 @@
     group.bench_function("ask of 15 failure domains", |b| {
         b.iter(|| {
             now = now + Millis(1_000);
-            black_box(state.ask_grants(now))
+            black_box(state.request_grants(now))
         });
     });
     group.bench_function("explain", |b| {
--- a/crates/steering/src/explain.rs
+++ b/crates/steering/src/explain.rs
@@ -1,4 +1,4 @@
-//! Why a service's traffic goes where it goes.
+//! Explains the distribution of a service's traffic.
 
 use std::fmt;
 
@@ -8,47 +8,47 @@
 use crate::issuer::ScopeName;
 use crate::steering::Steering;
 
-/// Why one service's traffic at one VM goes where it goes.
+/// Explains how one VM distributes one service's traffic.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Explanation {
     /// The service.
     pub service: ServiceName,
-    /// The VM that decides.
+    /// The VM.
     pub vm: VmName,
-    /// The settings that it decides under.
+    /// The revision of the settings in force.
     pub revision: Revision,
-    /// Requests a second of callers at this VM.
+    /// Demand of callers of this VM, in requests per second.
     pub demand: f64,
     /// Weight of latency against headroom, in thousandths.
     pub latency_weight_permille: u16,
-    /// Part of the traffic that has no room anywhere, in thousandths.
+    /// Share of the traffic that no place can take, in thousandths.
     pub unplaced_permille: u16,
-    /// The places that could take the service.
+    /// The places that have upstreams of the service.
     pub places: Vec<PlaceExplanation>,
 }
 
-/// Why one place gets what it gets.
+/// Explains the share of one place.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct PlaceExplanation {
     /// The place.
     pub place: PlaceName,
-    /// Its part of the traffic, in thousandths.
+    /// Its share of the traffic, in thousandths.
     pub permille: u16,
     /// One-way delay to it.
     pub delay: Millis,
-    /// Requests a second that this VM may send there, by all services together.
+    /// Rate that this VM may send there for all services together, in requests per second.
     pub limit: u32,
-    /// What sets that limit.
+    /// What determines that limit.
     pub limited_by: Limit,
-    /// How full it is, in thousandths, as reported or seen.
+    /// Its utilization, in thousandths, as reported or measured.
     pub full_permille: u16,
-    /// Health as believed, in thousandths.
+    /// Its assumed health, in thousandths.
     pub health: u16,
-    /// Age of the newest report, or none where there is none that counts.
+    /// Age of the newest report, or `None` without a valid report.
     pub report_age: Option<Millis>,
 }
 
-/// What sets the limit of a place.
+/// What determines the limit of a place.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Limit {
@@ -60,18 +60,18 @@
     Grant,
     /// No grant is held.
     NoGrant,
-    /// It has not warmed up further.
+    /// The place has not warmed up further.
     Growth,
-    /// It is ill, or was so too lately.
+    /// The place is unhealthy, or in the hold-down after it was.
     Health,
-    /// An operator drains it.
+    /// An operator is draining the place.
     Drain,
-    /// No backend server of the service may be used there.
+    /// No backend server of the service is usable there.
     NoUpstream,
 }
 
 impl Steering {
-    /// Explains where `service`'s traffic goes, or gives none for an unknown service.
+    /// Explains the distribution of `service`'s traffic, or returns `None` for an unknown service.
     pub fn explain(&self, service: &ServiceName, now: Millis) -> Option<Explanation> {
         let plan = self.plan.services.get(service)?;
         let state = self.services.get(service)?;
@@ -83,10 +83,10 @@
             .map(|place| self.explain_place(service, place, now))
             .collect();
         places.sort_by_key(|p| (std::cmp::Reverse(p.permille), p.place.clone()));
-        let placed: f64 = state.spread.parts.iter().map(|p| p.part).sum();
+        let placed: f64 = state.split.shares.iter().map(|p| p.share).sum();
         Some(Explanation {
             service: service.clone(),
-            vm: self.me.vm.clone(),
+            vm: self.identity.vm.clone(),
             revision: self.plan.revision,
             demand: state.demand.rate(),
             latency_weight_permille: plan.latency_weight_permille,
@@ -104,7 +104,7 @@
         let domain = self.plan.places.get(place).map(|p| p.domain.clone());
         let summary = self.reports.summary(place, now);
         let (limit, limited_by) = self.limit_of(service, place, now);
-        let full = if self.is_ours(place) {
+        let utilization = if self.is_local(place) {
             let name = ScopeName::Place(place.clone());
             let used = f64::from(self.issuer.used_in(&name, now).per_second);
             used / f64::from(self.issuer.usable_in(&name).per_second.max(1))
@@ -113,11 +113,11 @@
         };
         PlaceExplanation {
             place: place.clone(),
-            permille: permille(self.weights(service).part(place)),
+            permille: permille(self.weights(service).share(place)),
             delay: domain.map_or(Millis(0), |d| self.delay_to(&d)),
             limit,
             limited_by,
-            full_permille: permille(full),
+            full_permille: permille(utilization),
             health: self.reports.health(place, now),
             report_age: summary.map(|s| s.age),
         }
@@ -127,10 +127,10 @@
         if !self.reports.usable(place) {
             return (0, Limit::Health);
         }
-        let (limit, by) = if self.is_ours(place) {
-            self.own_limit(service, place, now)
+        let (limit, by) = if self.is_local(place) {
+            self.local_limit(service, place, now)
         } else {
-            match self.holder.live(place, now) {
+            match self.holder.live_grant(place, now) {
                 Some(held) => (held.rate, Limit::Grant),
                 None => (0, Limit::NoGrant),
             }
@@ -143,7 +143,7 @@
         (limit, by)
     }
 
-    fn own_limit(&self, service: &ServiceName, place: &PlaceName, now: Millis) -> (u32, Limit) {
+    fn local_limit(&self, service: &ServiceName, place: &PlaceName, now: Millis) -> (u32, Limit) {
         if !self.upstreams.any_usable(service, place, now) {
             return (0, Limit::NoUpstream);
         }
@@ -152,8 +152,8 @@
             self.issuer.usable_in(name).per_second.saturating_sub(lent)
         };
         let warm = self.plan.services.get(service).and_then(|plan| {
-            let warmth = self.places.get(place)?.warmth.get(service)?;
-            Some(warmth.limit(self.growth_step(plan, place)))
+            let warm_up = self.places.get(place)?.warm_up.get(service)?;
+            Some(warm_up.limit(self.growth_step(plan, place)))
         });
         let limits = [
             (left(&ScopeName::Place(place.clone())), Limit::PlaceCap),
--- a/crates/steering/src/holder.rs
+++ b/crates/steering/src/holder.rs
@@ -4,32 +4,32 @@
 
 use heatherknot_types::prelude::*;
 
-use crate::messages::{GrantReply, GrantToken, Want};
+use crate::messages::{GrantReply, GrantToken, PlaceRequest};
 use crate::tuning::Tuning;
 use crate::window::Window;
 
 /// The grant held for one place.
 #[derive(Clone, Debug)]
-pub struct Held {
+pub struct HeldGrant {
     /// The VM that issued it.
     pub issuer: VmName,
-    /// The run of that VM.
+    /// The incarnation of that VM.
     pub issuer_incarnation: Incarnation,
-    /// Its number.
+    /// The sequence number of the grant.
     pub seq: u64,
-    /// Requests that may be started in a window.
+    /// Requests that may start in one window.
     pub rate: u32,
     /// Requests that may be in flight at once.
     pub in_flight: u32,
-    /// When this VM stops using it.
+    /// When this VM stops using the grant.
     pub until: Millis,
     sent: Window,
     used: u32,
 }
 
-/// A request for grants that has not been answered.
+/// A grant request that awaits its reply.
 #[derive(Clone, Debug)]
-struct Ask {
+struct PendingRequest {
     number: u64,
     issuer: VmName,
     at: Millis,
@@ -41,49 +41,56 @@
     tuning: Tuning,
     vm: VmName,
     incarnation: Incarnation,
-    held: BTreeMap<PlaceName, Held>,
-    asks: BTreeMap<DomainName, Ask>,
-    next_ask: u64,
+    held: BTreeMap<PlaceName, HeldGrant>,
+    pending: BTreeMap<DomainName, PendingRequest>,
+    next_request: u64,
 }
 
 impl Holder {
-    /// Makes a holder that holds nothing.
+    /// Creates a holder without grants.
     pub fn new(vm: VmName, incarnation: Incarnation, tuning: Tuning) -> Self {
         Self {
             tuning,
             vm,
             incarnation,
             held: BTreeMap::new(),
-            asks: BTreeMap::new(),
-            next_ask: 1,
+            pending: BTreeMap::new(),
+            next_request: 1,
         }
     }
 
-    /// Notes that `issuer` in `domain` is about to be asked, and gives the request's number.
-    /// An answer to an earlier request to that failure domain is no longer taken.
-    pub fn note_ask(&mut self, domain: &DomainName, issuer: &VmName, now: Millis) -> u64 {
-        let number = self.next_ask;
-        self.next_ask += 1;
-        let ask = Ask {
+    /// Records that `issuer` in `domain` is about to be asked, and returns the number of the
+    /// request. A reply to an earlier request to that failure domain is no longer accepted.
+    pub fn start_request(&mut self, domain: &DomainName, issuer: &VmName, now: Millis) -> u64 {
+        let number = self.next_request;
+        self.next_request += 1;
+        let ask = PendingRequest {
             number,
             issuer: issuer.clone(),
             at: now,
         };
-        self.asks.insert(domain.clone(), ask);
+        self.pending.insert(domain.clone(), ask);
         number
     }
 
-    /// Gives when `domain` was last asked, if the answer is still awaited.
-    pub fn asked_at(&self, domain: &DomainName) -> Option<Millis> {
-        self.asks.get(domain).map(|ask| ask.at)
+    /// Returns when `domain` was last asked, if the reply is still outstanding.
+    pub fn requested_at(&self, domain: &DomainName) -> Option<Millis> {
+        self.pending.get(domain).map(|ask| ask.at)
     }
 
-    /// Fills in what this VM holds of `issuer` for a want, and lowers it to what it still wants.
+    /// Builds the request for one place, including the grant of `issuer` that this VM holds, and
+    /// lowers that grant to what is still wanted.
     ///
-    /// The lowering comes first and is for good, so that the issuer can lend the rest to
-    /// somebody else as soon as it reads the request.
-    pub fn want(&mut self, place: &PlaceName, issuer: &VmName, rate: u32, in_flight: u32) -> Want {
-        let mut want = Want {
+    /// The grant is lowered permanently and before the request is sent, so that the issuer can
+    /// lend the rest to another holder as soon as it reads the request.
+    pub fn place_request(
+        &mut self,
+        place: &PlaceName,
+        issuer: &VmName,
+        rate: u32,
+        in_flight: u32,
+    ) -> PlaceRequest {
+        let mut want = PlaceRequest {
             place: place.clone(),
             rate,
             in_flight,
@@ -91,12 +98,13 @@
             keep_rate: 0,
             keep_in_flight: 0,
         };
-        let run = self.incarnation_of(issuer);
+        let issuer_run = self.incarnation_of(issuer);
         if let Some(held) = self.held.get_mut(place).filter(|h| h.issuer == *issuer) {
             held.rate = held.rate.min(rate);
             held.in_flight = held.in_flight.min(in_flight);
-            // The request names one run of the issuer, and numbers of another mean nothing.
-            if Some(held.issuer_incarnation) == run {
+            // The request names one incarnation of the issuer; sequence numbers of another one
+            // have no meaning.
+            if Some(held.issuer_incarnation) == issuer_run {
                 want.holds = held.seq;
                 want.keep_rate = held.rate;
                 want.keep_in_flight = held.in_flight;
@@ -105,33 +113,34 @@
         want
     }
 
-    /// Gives the run of the VM that holds the grants.
+    /// Returns the incarnation of this VM.
     pub fn incarnation(&self) -> Incarnation {
         self.incarnation
     }
 
-    /// Gives the run of `issuer` whose grants this VM holds.
+    /// Returns the incarnation of `issuer` whose grants this VM holds.
     pub fn incarnation_of(&self, issuer: &VmName) -> Option<Incarnation> {
         let mut of_issuer = self.held.values().filter(|h| h.issuer == *issuer);
         of_issuer.next().map(|h| h.issuer_incarnation)
     }
 
-    /// Takes in the answer to a request, and says whether it was taken.
+    /// Applies the reply to a grant request and returns whether it was accepted.
     ///
-    /// Guards against an answer that comes late, twice or out of order: only the newest request
-    /// to a failure domain has an answer that counts, the term is counted from before that
-    /// request was sent, and a grant never replaces a newer one of the same run. An answer to
-    /// this VM's earlier run may bear the same number, and is told by the run.
-    pub fn take(&mut self, domain: &DomainName, reply: &GrantReply, now: Millis) -> bool {
-        let asked = self.asks.get(domain);
-        let Some(ask) = asked.filter(|a| a.number == reply.ask && a.issuer == reply.issuer) else {
+    /// Guards against replies that come late, twice or out of order: only the newest request to a
+    /// failure domain is answered, the term counts from before that request was sent, and a grant
+    /// never replaces a newer one of the same incarnation. A reply to an earlier incarnation of
+    /// this VM may carry the same number; the incarnation in the reply tells them apart.
+    pub fn accept_reply(&mut self, domain: &DomainName, reply: &GrantReply, now: Millis) -> bool {
+        let pending = self.pending.get(domain);
+        let Some(ask) = pending.filter(|a| a.number == reply.ask && a.issuer == reply.issuer)
+        else {
             return false;
         };
         if reply.holder_incarnation != self.incarnation {
             return false;
         }
         let until = ask.at + reply.term.min(self.tuning.term) - self.tuning.margin;
-        self.asks.remove(domain);
+        self.pending.remove(domain);
         if until <= now {
             return false;
         }
@@ -146,11 +155,11 @@
                 self.held.insert(grant.place.clone(), old);
                 continue;
             }
-            // Guards against a burst: grants that follow each other, also from one issuer to
-            // another and back, would each allow their whole rate within one second. What was
-            // sent and is in flight counts against the next grant too.
+            // Guards against a burst: consecutive grants, also from one issuer to another and
+            // back, would each allow their full rate within the same second. So requests already
+            // sent or in flight count against the next grant too.
             let (sent, used) = old.map_or_else(|| (self.new_window(), 0), |h| (h.sent, h.used));
-            let held = Held {
+            let held = HeldGrant {
                 issuer: reply.issuer.clone(),
                 issuer_incarnation: reply.issuer_incarnation,
                 seq: grant.seq,
@@ -165,30 +174,35 @@
         true
     }
 
-    /// Forgets the request to `domain`, whose answer is no longer awaited.
-    pub fn forget_ask(&mut self, domain: &DomainName) {
-        self.asks.remove(domain);
+    /// Drops the request to `domain`, whose reply is no longer expected.
+    pub fn abandon_request(&mut self, domain: &DomainName) {
+        self.pending.remove(domain);
     }
 
-    /// Gives the grant for `place` where it can still be used at `now`.
-    pub fn live(&self, place: &PlaceName, now: Millis) -> Option<&Held> {
+    /// Returns the grant for `place` if it is usable at `now`.
+    pub fn live_grant(&self, place: &PlaceName, now: Millis) -> Option<&HeldGrant> {
         self.held.get(place).filter(|h| h.until > now && h.rate > 0)
     }
 
-    /// Gives how many requests to `place` may still be started in this window at `now`, where
-    /// `committed` a second are left to callers with cached answers.
-    pub fn room(&self, place: &PlaceName, committed: u32, now: Millis) -> u32 {
-        self.live(place, now).map_or(0, |h| {
+    /// Returns how many requests to `place` may still start in the window at `now`, after setting
+    /// aside `committed` requests per second for callers with cached answers.
+    pub fn available(&self, place: &PlaceName, committed: u32, now: Millis) -> u32 {
+        self.live_grant(place, now).map_or(0, |h| {
             let rate = h.rate.saturating_sub(committed);
             let left = rate.saturating_sub(h.sent.peek(now));
             left.min(h.in_flight.saturating_sub(h.used))
         })
     }
 
-    /// Counts a request to `place` and gives what it must bear, or none where the grant has
-    /// no room for it.
-    pub fn send(&mut self, place: &PlaceName, committed: u32, now: Millis) -> Option<GrantToken> {
-        if self.room(place, committed, now) == 0 {
+    /// Counts a request to `place` and returns the token to send with it, or `None` if the grant
+    /// has no room.
+    pub fn record_send(
+        &mut self,
+        place: &PlaceName,
+        committed: u32,
+        now: Millis,
+    ) -> Option<GrantToken> {
+        if self.available(place, committed, now) == 0 {
             return None;
         }
         let held = self.held.get_mut(place)?;
@@ -198,7 +212,7 @@
         Some(self.token(place)?.clone())
     }
 
-    /// Gives what a request under the grant for `place` must bear.
+    /// Returns the token to send with requests under the grant for `place`.
     pub fn token(&self, place: &PlaceName) -> Option<GrantToken> {
         let held = self.held.get(place)?;
         Some(GrantToken {
@@ -218,18 +232,18 @@
         }
     }
 
-    /// Gives when the next request to `place` would fit, or none where no grant is held.
+    /// Returns when the next request to `place` may start, or `None` without a usable grant.
     pub fn free_at(&self, place: &PlaceName, now: Millis) -> Option<Millis> {
-        let held = self.live(place, now)?;
+        let held = self.live_grant(place, now)?;
         Some(held.sent.free_at(held.rate, now))
     }
 
-    /// Gives every grant held, with its place.
-    pub fn all(&self) -> impl Iterator<Item = (&PlaceName, &Held)> {
+    /// Returns all grants held, with their places.
+    pub fn grants(&self) -> impl Iterator<Item = (&PlaceName, &HeldGrant)> {
         self.held.iter()
     }
 
-    /// Drops grants that expired, have nothing in flight and sent nothing in this window.
+    /// Removes expired grants that have nothing in flight and sent nothing in this window.
     pub fn tick(&mut self, now: Millis) {
         self.held
             .retain(|_, h| h.until > now || h.used > 0 || h.sent.count(now) > 0);
@@ -240,13 +254,13 @@
     }
 }
 
-impl Held {
-    /// Gives the requests in flight under this grant.
+impl HeldGrant {
+    /// Returns the requests in flight under this grant.
     pub fn used(&self) -> u32 {
         self.used
     }
 
-    /// Gives the requests sent in the last window.
+    /// Returns the requests sent in the last window.
     pub fn sent(&self, now: Millis) -> u32 {
         self.sent.peek(now)
     }
--- a/crates/steering/src/issuer.rs
+++ b/crates/steering/src/issuer.rs
@@ -1,12 +1,12 @@
-//! The issuer's side of grants: what this VM has lent out and what arrives.
+//! The issuer's side of grants: capacity lent to other VMs, and the requests that arrive.
 //!
-//! Three kinds of scope bind an arrival: the place, the region and, from another region, the
-//! link. Each scope counts arrivals of callers of its own and of grants, in the last window and
-//! in flight. For each scope and at every moment:
+//! An arrival counts against up to three scopes: its place, the region and, if it comes from
+//! another region, the link. Each scope counts the arrivals of local callers and under grants,
+//! both within the last window and in flight. At any moment, for each scope:
 //!
 //! * arrivals in the last window are at most the allowance;
-//! * local arrivals in the last window and the rates of all grants that may still be used are
-//!   together at most the allowance, and so for requests in flight.
+//! * local arrivals in the last window plus the rates of all usable grants are at most the
+//!   allowance, and likewise for requests in flight.
 
 use std::collections::BTreeMap;
 
@@ -14,13 +14,13 @@
 use heatherknot_types::prelude::*;
 
 use crate::allowance::{Allowances, NO_CAP, ZERO_CAP, min_cap};
-pub use crate::lent::LentKey;
-use crate::lent::{Layer, Lent};
-use crate::messages::{Grant, GrantRequest, GrantToken, Want};
+pub use crate::holder_grants::HolderKey;
+use crate::holder_grants::{HolderGrants, IssuedGrant};
+use crate::messages::{Grant, GrantRequest, GrantToken, PlaceRequest};
 use crate::tuning::Tuning;
 use crate::window::Window;
 
-/// What a cap binds.
+/// The scope of a cap.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ScopeName {
     /// A place of the VM's failure domain.
@@ -31,81 +31,85 @@
     Link(RegionName),
 }
 
-/// Why an arrival doesn't fit now.
+/// The limit that rejects an arrival.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Full {
-    /// The count in the window has reached a limit; it falls below at the time given.
+pub enum LimitReached {
+    /// The rate limit of a scope is reached; the count falls below it at the given time.
     Rate(ScopeName, Millis),
-    /// The requests in flight have reached a limit.
+    /// The limit on requests in flight of a scope is reached.
     InFlight(ScopeName),
-    /// The grant is unknown, of another run, or has expired.
+    /// The grant is unknown, belongs to another incarnation, or has expired.
     NoGrant,
-    /// The grant's own rate or requests in flight are used up.
-    GrantUsed,
+    /// The rate or the requests in flight of the grant itself are used up.
+    GrantExhausted,
 }
 
-/// The counts of one scope.
+/// Limits and counts of one scope.
 #[derive(Clone, Debug)]
 struct Scope {
     usable: Cap,
     lendable: Cap,
+    /// Arrivals of local callers and under grants.
     arrivals: Window,
+    /// Arrivals of local callers.
     local: Window,
     in_flight: u32,
     local_in_flight: u32,
+    /// Cached result of [`Issuer::lent_in`].
     lent: Cap,
 }
 
-/// What one VM lends and what has arrived.
+/// Capacity that one VM has lent, and its arrivals.
 #[derive(Clone, Debug)]
 pub struct Issuer {
     tuning: Tuning,
     vm: VmName,
     incarnation: Incarnation,
     region: RegionName,
-    opens_at: Millis,
+    admits_from: Millis,
     lends_from: Millis,
     next_seq: u64,
     scopes: BTreeMap<ScopeName, Scope>,
-    lent: BTreeMap<LentKey, Lent>,
-    wants: BTreeMap<LentKey, (Cap, RegionName, Millis)>,
-    /// The time up to which each scope's `lent` is right if nothing changes.
+    lent: BTreeMap<HolderKey, HolderGrants>,
+    /// The capacity last requested by each holder, its region, and when it asked.
+    requested: BTreeMap<HolderKey, (Cap, RegionName, Millis)>,
+    /// The time until which the cached `lent` of each scope stays valid if nothing changes.
     lent_valid_until: Millis,
 }
 
-/// What the issuer keeps back from lending for one place.
+/// Capacity that the issuer withholds from lending at one place.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Reserve {
-    /// Kept for callers of its own.
+    /// Capacity reserved for local callers.
     pub local: Cap,
-    /// The rate up to which the place is warm enough.
+    /// Highest rate for which the place is warm.
     pub warm_rate: u32,
 }
 
 impl Issuer {
-    /// Makes an issuer that started at `now`.
+    /// Creates an issuer that started at `now`.
     ///
-    /// Guards against a run before this one, at the same VM, whose grants the sources still
-    /// hold and whose last arrivals still count in the window: it lends nothing until those
-    /// grants have expired, and admits nothing for one window.
+    /// Guards against an earlier incarnation of this VM whose grants may still be held and whose
+    /// last arrivals still count in the window: the issuer lends nothing until those grants have
+    /// expired, and admits nothing for one window.
     pub fn new(vm: VmName, incarnation: Incarnation, tuning: Tuning, now: Millis) -> Self {
         Self {
             tuning,
             vm,
             incarnation,
             region: RegionName::new(""),
-            opens_at: now + tuning.window,
+            admits_from: now + tuning.window,
             lends_from: now + tuning.term + tuning.margin + tuning.margin,
             next_seq: 1,
             scopes: BTreeMap::new(),
             lent: BTreeMap::new(),
-            wants: BTreeMap::new(),
+            requested: BTreeMap::new(),
             lent_valid_until: Millis(0),
         }
     }
 
-    /// Takes in what the VM may use and what it may lend. What is already lent stays so until
-    /// it expires or is given back.
+    /// Sets the capacity that the VM may use and lend. Capacity already lent stays lent until its
+    /// grant expires or is given back.
     pub fn set_allowances(
         &mut self,
         region: &RegionName,
@@ -126,8 +130,8 @@
             let lend = lendable.links.get(from).copied().unwrap_or(ZERO_CAP);
             self.set_scope(ScopeName::Link(from.clone()), *cap, lend);
         }
-        // A link without a cap in the settings any more has no scope; a place without one
-        // stays at zero until nothing is in flight there.
+        // Drop the scopes of links that no longer have a cap. A place without an allowance stays
+        // at zero until nothing is in flight there.
         self.scopes.retain(|name, scope| match name {
             ScopeName::Link(from) => usable.links.contains_key(from),
             ScopeName::Place(place) => usable.places.contains_key(place) || scope.in_flight > 0,
@@ -151,17 +155,17 @@
         scope.lendable = min_cap(lendable, usable);
     }
 
-    /// Says whether a local arrival at `place` fits now.
+    /// Checks whether a local arrival at `place` is within all limits.
     ///
     /// # Errors
     ///
-    /// Gives the limit that it would pass.
-    pub fn check_local(&mut self, place: &PlaceName, now: Millis) -> Result<(), Full> {
-        self.check_open(place, now)?;
-        self.refresh(now);
+    /// Returns the limit that it would exceed.
+    pub fn check_local(&mut self, place: &PlaceName, now: Millis) -> Result<(), LimitReached> {
+        self.check_admitting(place, now)?;
+        self.refresh_lent(now);
         for name in [ScopeName::Place(place.clone()), ScopeName::Region] {
             let Some(scope) = self.scopes.get_mut(&name) else {
-                return Err(Full::Rate(name, now + self.tuning.window));
+                return Err(LimitReached::Rate(name, now + self.tuning.window));
             };
             check_scope(scope, &name, now)?;
             let left = scope
@@ -169,17 +173,17 @@
                 .per_second
                 .saturating_sub(scope.lent.per_second);
             if scope.local.count(now) >= left {
-                return Err(Full::Rate(name, scope.local.free_at(left, now)));
+                return Err(LimitReached::Rate(name, scope.local.free_at(left, now)));
             }
-            let busy = scope.local_in_flight.saturating_add(scope.lent.in_flight);
-            if busy >= scope.usable.in_flight {
-                return Err(Full::InFlight(name));
+            let in_flight = scope.local_in_flight.saturating_add(scope.lent.in_flight);
+            if in_flight >= scope.usable.in_flight {
+                return Err(LimitReached::InFlight(name));
             }
         }
         Ok(())
     }
 
-    /// Counts a local arrival at `place`, which must have been checked at `now`.
+    /// Counts a local arrival at `place` after a successful `check_local` at the same `now`.
     pub fn start_local(&mut self, place: &PlaceName, now: Millis) {
         for name in [ScopeName::Place(place.clone()), ScopeName::Region] {
             if let Some(scope) = self.scopes.get_mut(&name) {
@@ -201,28 +205,33 @@
         }
     }
 
-    /// Says whether an arrival that bears `token` fits now, and under which grant.
+    /// Checks whether an arrival with `token` is within all limits, and returns the key of its
+    /// grant.
     ///
     /// # Errors
     ///
-    /// Gives the limit that it would pass, or says that the grant doesn't stand.
-    pub fn check_granted(&mut self, token: &GrantToken, now: Millis) -> Result<LentKey, Full> {
+    /// Returns the limit that it would exceed, or that the grant is not valid.
+    pub fn check_granted(
+        &mut self,
+        token: &GrantToken,
+        now: Millis,
+    ) -> Result<HolderKey, LimitReached> {
         if token.issuer != self.vm || token.issuer_incarnation != self.incarnation {
-            return Err(Full::NoGrant);
+            return Err(LimitReached::NoGrant);
         }
-        self.check_open(&token.place, now)?;
-        let key = LentKey {
+        self.check_admitting(&token.place, now)?;
+        let key = HolderKey {
             place: token.place.clone(),
             holder: token.holder.clone(),
             incarnation: token.holder_incarnation,
         };
-        let lent = self.lent.get_mut(&key).ok_or(Full::NoGrant)?;
+        let lent = self.lent.get_mut(&key).ok_or(LimitReached::NoGrant)?;
         let cap = lent.cap(now);
         if cap == ZERO_CAP {
-            return Err(Full::NoGrant);
+            return Err(LimitReached::NoGrant);
         }
         if lent.arrivals.count(now) >= cap.per_second || lent.in_flight >= cap.in_flight {
-            return Err(Full::GrantUsed);
+            return Err(LimitReached::GrantExhausted);
         }
         let from = lent.from.clone();
         for name in self.scope_names(&key.place, &from) {
@@ -233,8 +242,9 @@
         Ok(key)
     }
 
-    /// Counts an arrival under the grant `key`, which must have been checked at `now`.
-    pub fn start_granted(&mut self, key: &LentKey, now: Millis) {
+    /// Counts an arrival under the grant `key` after a successful `check_granted` at the same
+    /// `now`.
+    pub fn start_granted(&mut self, key: &HolderKey, now: Millis) {
         let Some(lent) = self.lent.get_mut(key) else {
             return;
         };
@@ -250,7 +260,7 @@
     }
 
     /// Counts the end of an arrival under the grant `key`.
-    pub fn finish_granted(&mut self, key: &LentKey) {
+    pub fn finish_granted(&mut self, key: &HolderKey) {
         let Some(lent) = self.lent.get_mut(key) else {
             return;
         };
@@ -264,9 +274,9 @@
         self.lent_valid_until = Millis(0);
     }
 
-    /// Answers a request for grants from a VM in region `from`.
+    /// Issues grants for a request from a VM in region `from`.
     ///
-    /// `reserve` gives what to keep back at each place, and none for a place that lends
+    /// `reserve` returns the capacity to withhold at a place, or `None` for a place that lends
     /// nothing, such as one that drains.
     pub fn lend(
         &mut self,
@@ -276,58 +286,64 @@
         now: Millis,
     ) -> Vec<Grant> {
         let mut grants = Vec::with_capacity(req.wants.len());
-        for want in &req.wants {
-            let key = LentKey {
-                place: want.place.clone(),
+        for request in &req.wants {
+            let key = HolderKey {
+                place: request.place.clone(),
                 holder: req.holder.clone(),
                 incarnation: req.holder_incarnation,
             };
             if req.issuer_incarnation == Some(self.incarnation)
                 && let Some(lent) = self.lent.get_mut(&key)
             {
-                lent.give_up(want, self.tuning.window, now);
+                lent.release(request, self.tuning.window, now);
             }
-            self.remember_want(&key, want, from, now);
-            let kept = reserve(&want.place).filter(|_| now >= self.lends_from);
-            let cap = kept.map_or(ZERO_CAP, |r| {
-                self.grantable(&key, want, from, r, reserve, now)
+            self.record_request(&key, request, from, now);
+            let withheld = reserve(&request.place).filter(|_| now >= self.lends_from);
+            let cap = withheld.map_or(ZERO_CAP, |r| {
+                self.grantable(&key, request, from, r, reserve, now)
             });
             grants.push(self.issue(key, from, cap, now));
         }
         grants
     }
 
-    fn remember_want(&mut self, key: &LentKey, want: &Want, from: &RegionName, now: Millis) {
+    fn record_request(
+        &mut self,
+        key: &HolderKey,
+        request: &PlaceRequest,
+        from: &RegionName,
+        now: Millis,
+    ) {
         let cap = Cap {
-            per_second: want.rate,
-            in_flight: want.in_flight,
+            per_second: request.rate,
+            in_flight: request.in_flight,
         };
         if cap == ZERO_CAP {
-            self.wants.remove(key);
+            self.requested.remove(key);
         } else {
-            self.wants.insert(key.clone(), (cap, from.clone(), now));
+            self.requested.insert(key.clone(), (cap, from.clone(), now));
         }
     }
 
-    /// Works out how much the holder can have: no more than its share of what is lendable,
-    /// in proportion to what all holders want, and no more than what is free.
+    /// Computes the capacity to grant: at most the holder's share of the lendable capacity, in
+    /// proportion to the requests of all holders, and at most what is free.
     fn grantable(
         &mut self,
-        key: &LentKey,
-        want: &Want,
+        key: &HolderKey,
+        request: &PlaceRequest,
         from: &RegionName,
         place_reserve: Reserve,
         reserve: &dyn Fn(&PlaceName) -> Option<Reserve>,
         now: Millis,
     ) -> Cap {
         let mut cap = Cap {
-            per_second: want.rate,
-            in_flight: want.in_flight,
+            per_second: request.rate,
+            in_flight: request.in_flight,
         };
         for name in self.scope_names(&key.place, from) {
             let others = self.lent_in(&name, Some(key), now);
-            let wanted = self.wanted_in(&name);
-            let kept = match &name {
+            let wanted = self.requested_in(&name);
+            let withheld = match &name {
                 ScopeName::Place(_) => place_reserve.local,
                 ScopeName::Region => self.region_reserve(reserve),
                 ScopeName::Link(_) => ZERO_CAP,
@@ -340,12 +356,12 @@
                 lendable.per_second = lendable.per_second.min(place_reserve.warm_rate);
             }
             let local = Cap {
-                per_second: kept.per_second.max(scope.local.count(now)),
-                in_flight: kept.in_flight.max(scope.local_in_flight),
+                per_second: withheld.per_second.max(scope.local.count(now)),
+                in_flight: withheld.in_flight.max(scope.local_in_flight),
             };
-            let pool = minus(lendable, local);
-            cap = min_cap(cap, proportion(pool, want, wanted));
-            cap = min_cap(cap, minus(pool, others));
+            let pool = sub_caps(lendable, local);
+            cap = min_cap(cap, proportional_share(pool, request, wanted));
+            cap = min_cap(cap, sub_caps(pool, others));
         }
         if cap.per_second == 0 || cap.in_flight == 0 {
             return ZERO_CAP;
@@ -353,7 +369,7 @@
         cap
     }
 
-    fn issue(&mut self, key: LentKey, from: &RegionName, cap: Cap, now: Millis) -> Grant {
+    fn issue(&mut self, key: HolderKey, from: &RegionName, cap: Cap, now: Millis) -> Grant {
         let seq = self.next_seq;
         self.next_seq += 1;
         let grant = Grant {
@@ -364,13 +380,13 @@
         };
         let (span, grain) = (self.tuning.window, self.tuning.window_grain);
         if cap != ZERO_CAP {
-            let lent = self.lent.entry(key).or_insert_with(|| Lent {
+            let lent = self.lent.entry(key).or_insert_with(|| HolderGrants {
                 from: from.clone(),
-                layers: Vec::new(),
+                grants: Vec::new(),
                 arrivals: Window::new(span, grain),
                 in_flight: 0,
             });
-            lent.layers.push(Layer {
+            lent.grants.push(IssuedGrant {
                 seq,
                 cap,
                 until: now + self.tuning.term + self.tuning.margin,
@@ -380,22 +396,22 @@
         grant
     }
 
-    /// Forgets grants that have expired and holders that no longer ask.
+    /// Removes expired grants and the requests of holders that no longer ask.
     pub fn tick(&mut self, now: Millis) {
         for lent in self.lent.values_mut() {
-            lent.layers.retain(|l| l.until > now);
+            lent.grants.retain(|l| l.until > now);
         }
         self.lent
-            .retain(|_, l| !l.layers.is_empty() || l.in_flight > 0 || l.arrivals.count(now) > 0);
+            .retain(|_, l| !l.grants.is_empty() || l.in_flight > 0 || l.arrivals.count(now) > 0);
         let term = self.tuning.term;
-        self.wants.retain(|_, (_, _, at)| *at + term > now);
+        self.requested.retain(|_, (_, _, at)| *at + term > now);
         self.lent_valid_until = Millis(0);
     }
 
-    /// Gives the rate and requests in flight that are lent out or used under grants in `name`,
-    /// leaving out one holder's.
-    pub fn lent_in(&self, name: &ScopeName, except: Option<&LentKey>, now: Millis) -> Cap {
-        let in_scope = |key: &LentKey, lent: &Lent| match name {
+    /// Returns the capacity lent out or in use under grants in `name`, without that of the holder
+    /// `except`.
+    pub fn lent_in(&self, name: &ScopeName, except: Option<&HolderKey>, now: Millis) -> Cap {
+        let in_scope = |key: &HolderKey, lent: &HolderGrants| match name {
             ScopeName::Place(place) => key.place == *place,
             ScopeName::Region => true,
             ScopeName::Link(from) => lent.from == *from && lent.from != self.region,
@@ -403,13 +419,13 @@
         let mut sum = ZERO_CAP;
         for (key, lent) in &self.lent {
             if Some(key) != except && in_scope(key, lent) {
-                sum = plus(sum, lent.reserved(now));
+                sum = add_caps(sum, lent.reserved(now));
             }
         }
         sum
     }
 
-    /// Gives the arrivals in the last window and the requests in flight in `name`.
+    /// Returns the arrivals in the last window and the requests in flight in `name`.
     pub fn used_in(&self, name: &ScopeName, now: Millis) -> Cap {
         self.scopes.get(name).map_or(ZERO_CAP, |scope| Cap {
             per_second: scope.arrivals.peek(now),
@@ -417,7 +433,7 @@
         })
     }
 
-    /// Gives the local part of [`Issuer::used_in`].
+    /// Returns the local arrivals counted in [`Issuer::used_in`].
     pub fn local_in(&self, name: &ScopeName, now: Millis) -> Cap {
         self.scopes.get(name).map_or(ZERO_CAP, |scope| Cap {
             per_second: scope.local.peek(now),
@@ -425,20 +441,21 @@
         })
     }
 
-    /// Gives the limit that local arrivals at `place` share with the arrivals under grants
-    /// counted so far: what is lent and not used is not theirs, nor what the region lacks.
+    /// Returns the limit for local arrivals at `place` together with the arrivals under grants
+    /// counted so far. It excludes capacity that is lent but unused, and capacity missing in the
+    /// region.
     pub fn local_limit(&mut self, place: &PlaceName, now: Millis) -> Cap {
-        self.refresh(now);
+        self.refresh_lent(now);
         let name = ScopeName::Place(place.clone());
         let used = self.used_in(&name, now);
         let left = min_cap(
-            self.left_in(&name, now),
-            self.left_in(&ScopeName::Region, now),
+            self.remaining_in(&name, now),
+            self.remaining_in(&ScopeName::Region, now),
         );
-        plus(used, left)
+        add_caps(used, left)
     }
 
-    fn left_in(&self, name: &ScopeName, now: Millis) -> Cap {
+    fn remaining_in(&self, name: &ScopeName, now: Millis) -> Cap {
         let Some(scope) = self.scopes.get(name) else {
             return ZERO_CAP;
         };
@@ -446,33 +463,36 @@
             per_second: scope.local.peek(now),
             in_flight: scope.local_in_flight,
         };
-        minus(minus(scope.usable, scope.lent), local)
+        sub_caps(sub_caps(scope.usable, scope.lent), local)
     }
 
-    /// Gives what may be used in `name`; a scope without a cap is unbounded.
+    /// Returns the usable capacity of `name`; a scope without a cap is unlimited.
     pub fn usable_in(&self, name: &ScopeName) -> Cap {
         self.scopes.get(name).map_or(NO_CAP, |scope| scope.usable)
     }
 
-    /// Gives the time at which the last grant for `place` expires, or none.
+    /// Returns when the last grant for `place` expires, if there is one.
     pub fn last_expiry(&self, place: &PlaceName) -> Option<Millis> {
         let of_place = self.lent.iter().filter(|(key, _)| key.place == *place);
-        of_place.flat_map(|(_, l)| &l.layers).map(|l| l.until).max()
+        of_place.flat_map(|(_, l)| &l.grants).map(|l| l.until).max()
     }
 
-    /// Gives the run of this VM.
+    /// Returns the incarnation of this VM.
     pub fn incarnation(&self) -> Incarnation {
         self.incarnation
     }
 
-    /// Gives the time from which this run lends.
+    /// Returns when this incarnation starts to lend.
     pub fn lends_from(&self) -> Millis {
         self.lends_from
     }
 
-    fn check_open(&self, place: &PlaceName, now: Millis) -> Result<(), Full> {
-        if now < self.opens_at {
-            return Err(Full::Rate(ScopeName::Place(place.clone()), self.opens_at));
+    fn check_admitting(&self, place: &PlaceName, now: Millis) -> Result<(), LimitReached> {
+        if now < self.admits_from {
+            return Err(LimitReached::Rate(
+                ScopeName::Place(place.clone()),
+                self.admits_from,
+            ));
         }
         Ok(())
     }
@@ -485,17 +505,17 @@
         names
     }
 
-    fn wanted_in(&self, name: &ScopeName) -> Cap {
-        let in_scope = |key: &LentKey, from: &RegionName| match name {
+    fn requested_in(&self, name: &ScopeName) -> Cap {
+        let in_scope = |key: &HolderKey, from: &RegionName| match name {
             ScopeName::Place(place) => key.place == *place,
             ScopeName::Region => true,
             ScopeName::Link(link) => from == link,
         };
-        let wants = self
-            .wants
+        let requested = self
+            .requested
             .iter()
             .filter(|(key, (_, from, _))| in_scope(key, from));
-        wants.fold(ZERO_CAP, |sum, (_, (cap, _, _))| plus(sum, *cap))
+        requested.fold(ZERO_CAP, |sum, (_, (cap, _, _))| add_caps(sum, *cap))
     }
 
     fn region_reserve(&self, reserve: &dyn Fn(&PlaceName) -> Option<Reserve>) -> Cap {
@@ -503,10 +523,10 @@
             ScopeName::Place(place) => reserve(place),
             _ => None,
         });
-        places.fold(ZERO_CAP, |sum, r| plus(sum, r.local))
+        places.fold(ZERO_CAP, |sum, r| add_caps(sum, r.local))
     }
 
-    fn refresh(&mut self, now: Millis) {
+    fn refresh_lent(&mut self, now: Millis) {
         if now < self.lent_valid_until {
             return;
         }
@@ -517,47 +537,47 @@
                 scope.lent = lent;
             }
         }
-        let layers = self.lent.values().flat_map(|l| &l.layers);
-        let next = layers.map(|l| l.until).filter(|u| *u > now).min();
+        let grants = self.lent.values().flat_map(|l| &l.grants);
+        let next = grants.map(|l| l.until).filter(|u| *u > now).min();
         self.lent_valid_until = next.unwrap_or(Millis(u64::MAX));
     }
 }
 
-fn check_scope(scope: &mut Scope, name: &ScopeName, now: Millis) -> Result<(), Full> {
+fn check_scope(scope: &mut Scope, name: &ScopeName, now: Millis) -> Result<(), LimitReached> {
     let cap = scope.usable;
     if scope.arrivals.count(now) >= cap.per_second {
-        return Err(Full::Rate(
+        return Err(LimitReached::Rate(
             name.clone(),
             scope.arrivals.free_at(cap.per_second, now),
         ));
     }
     if scope.in_flight >= cap.in_flight {
-        return Err(Full::InFlight(name.clone()));
+        return Err(LimitReached::InFlight(name.clone()));
     }
     Ok(())
 }
 
-fn proportion(pool: Cap, want: &Want, wanted: Cap) -> Cap {
-    let share = |pool: u32, want: u32, all: u32| {
+fn proportional_share(pool: Cap, request: &PlaceRequest, wanted: Cap) -> Cap {
+    let share = |pool: u32, request: u32, all: u32| {
         if all <= pool {
-            return want;
+            return request;
         }
-        (u64::from(pool) * u64::from(want)).div_ceil(u64::from(all)) as u32
+        (u64::from(pool) * u64::from(request)).div_ceil(u64::from(all)) as u32
     };
     Cap {
-        per_second: share(pool.per_second, want.rate, wanted.per_second),
-        in_flight: share(pool.in_flight, want.in_flight, wanted.in_flight),
+        per_second: share(pool.per_second, request.rate, wanted.per_second),
+        in_flight: share(pool.in_flight, request.in_flight, wanted.in_flight),
     }
 }
 
-fn plus(a: Cap, b: Cap) -> Cap {
+fn add_caps(a: Cap, b: Cap) -> Cap {
     Cap {
         per_second: a.per_second.saturating_add(b.per_second),
         in_flight: a.in_flight.saturating_add(b.in_flight),
     }
 }
 
-pub(crate) fn minus(a: Cap, b: Cap) -> Cap {
+pub(crate) fn sub_caps(a: Cap, b: Cap) -> Cap {
     Cap {
         per_second: a.per_second.saturating_sub(b.per_second),
         in_flight: a.in_flight.saturating_sub(b.in_flight),
