--- a/crates/edge/examples/choice_bench.rs
+++ b/crates/edge/examples/choice_bench.rs
@@ -40,12 +40,12 @@
 }
 
 /// Gives the microseconds of one call: the least, the median and the most over the rounds.
-fn time(mut act: impl FnMut(u64)) -> [f64; 3] {
+fn time(mut call: impl FnMut(u64)) -> [f64; 3] {
     let mut rounds: Vec<f64> = (0..ROUNDS)
         .map(|_| {
-            let began = Instant::now();
-            (0..CHOICES).for_each(&mut act);
-            began.elapsed().as_secs_f64() * 1e6 / CHOICES as f64
+            let started = Instant::now();
+            (0..CHOICES).for_each(&mut call);
+            started.elapsed().as_secs_f64() * 1e6 / CHOICES as f64
         })
         .collect();
     rounds.sort_by(f64::total_cmp);
@@ -55,8 +55,8 @@
 fn main() {
     let clock = Clock::new(|| Millis(0));
     let (region, domain) = ("north".into(), "north-1".into());
-    let pace = ServiceTimes::default();
-    let wish = |object| SelectionParams {
+    let service_times = ServiceTimes::default();
+    let params = |object| SelectionParams {
         object,
         sticky: true,
         region: &region,
@@ -74,17 +74,27 @@
     for count in [100, 1_000, 10_000] {
         let servers: Vec<_> = (0..count).map(|i| server(i, &clock)).collect();
         let free = time(|object| {
-            black_box(select(&wish(object), &servers, &pace, Locality::Region));
+            black_box(select(
+                &params(object),
+                &servers,
+                &service_times,
+                Locality::Region,
+            ));
         });
         let by_rank = time(|object| {
-            black_box(first_ranked(&wish(object), &servers, Locality::Region));
+            black_box(first_ranked(&params(object), &servers, Locality::Region));
         });
         let busy: Vec<_> = servers
             .iter()
             .flat_map(|s| [s.start_request(), s.start_request(), s.start_request()])
             .collect();
         let full = time(|object| {
-            black_box(select(&wish(object), &servers, &pace, Locality::Region));
+            black_box(select(
+                &params(object),
+                &servers,
+                &service_times,
+                Locality::Region,
+            ));
         });
         drop(busy);
         println!("{count:>6} servers: free {free:.1?}, full {full:.1?}, handed over {by_rank:.1?}");
--- a/crates/edge/src/ewma.rs
+++ b/crates/edge/src/ewma.rs
@@ -12,9 +12,9 @@
 
 impl Ewma {
     /// Takes in a sample that counts for `part`, from 0 to 1.
-    pub fn add(&self, sample: f64, part: f64) {
+    pub fn add(&self, sample: f64, weight: f64) {
         let next = match self.value.get() {
-            Some(value) => value + part * (sample - value),
+            Some(value) => value + weight * (sample - value),
             None => sample,
         };
         self.value.set(Some(next));
@@ -32,6 +32,6 @@
 }
 
 /// Gives what is left of something seen `age` ago, from one to zero.
-pub fn fade(age: Millis, half_life: Millis) -> f64 {
+pub fn decay(age: Millis, half_life: Millis) -> f64 {
     0.5_f64.powf(age.0 as f64 / half_life.0 as f64)
 }
--- a/crates/edge/src/locality.rs
+++ b/crates/edge/src/locality.rs
@@ -20,22 +20,22 @@
 
 /// Bytes of a request's body and its answer together from which they count as large: their
 /// transfer then costs more than the work that a second copy of the object takes.
-const LARGE: f64 = 32_000.0;
+const LARGE_TRANSFER: f64 = 32_000.0;
 /// Requests a second for one object in one domain from which it stays warm there.
-const OFTEN: f64 = 0.25;
+const MIN_OBJECT_RATE: f64 = 0.25;
 /// How much of a route's objects changes its reach in a second at most. Callers' requests may
 /// not be moved from one region to another all at once.
-const MOST_A_SECOND: f64 = 0.04;
+const MAX_STEP_PER_SECOND: f64 = 0.04;
 /// The weight of one request in the usual size.
-const SIZE_PART: f64 = 0.1;
+const SIZE_WEIGHT: f64 = 0.1;
 /// The span over which requests are counted.
 const RATE_SPAN: Millis = Millis(10_000);
 /// Objects that are counted of one route; with more, each is asked for seldom.
-const MAX_OBJECTS: usize = 4_096;
+const MAX_COUNTED_OBJECTS: usize = 4_096;
 
 /// Where an object is served.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Reach {
+pub enum Scope {
     /// In the caller's failure domain.
     Domain,
     /// In the caller's region, or in others where the region's own servers are too few.
@@ -48,8 +48,8 @@
     size: Ewma,
     requests: RefCell<SlidingWindow>,
     objects: RefCell<HashSet<u64>>,
-    in_domain: Cell<f64>,
-    moved: Cell<Millis>,
+    domain_fraction: Cell<f64>,
+    updated_at: Cell<Millis>,
     /// Whether its requests carry much.
     is_large: Cell<bool>,
 }
@@ -60,8 +60,8 @@
             size: Ewma::default(),
             requests: RefCell::new(SlidingWindow::new(RATE_SPAN)),
             objects: RefCell::default(),
-            in_domain: Cell::new(0.0),
-            moved: Cell::new(Millis(0)),
+            domain_fraction: Cell::new(0.0),
+            updated_at: Cell::new(Millis(0)),
             is_large: Cell::new(false),
         }
     }
@@ -69,11 +69,11 @@
 
 /// What the reach of a route follows from, beside its requests and answers.
 #[derive(Clone, Copy, Debug)]
-pub struct Carried {
+pub struct TransferProfile {
     /// Whether the bodies or the answers are known to be large before one was seen.
-    pub large: bool,
+    pub expects_large: bool,
     /// The VMs of this domain, which share its callers.
-    pub vms_here: usize,
+    pub local_vms: usize,
 }
 
 impl RouteLocality {
@@ -81,7 +81,7 @@
     pub fn record_request(&self, object: u64, now: Millis) {
         self.requests.borrow_mut().add(now, 1.0);
         let mut objects = self.objects.borrow_mut();
-        if objects.len() < MAX_OBJECTS {
+        if objects.len() < MAX_COUNTED_OBJECTS {
             objects.insert(object);
         }
     }
@@ -89,15 +89,15 @@
     /// Takes in the bytes of a request's body and its answer together. Both take the same way: a
     /// body of 60 KB whose answer has 1.5 KB costs as much far off as an answer of that size.
     pub fn record_bytes(&self, bytes: u64) {
-        self.size.add(bytes as f64, SIZE_PART);
+        self.size.add(bytes as f64, SIZE_WEIGHT);
     }
 
     /// Gives where an object is served.
-    pub fn of(&self, object: u64) -> Reach {
-        let draw = hash::rendezvous(&[&object.to_le_bytes()], "domain");
-        match hash::unit_interval(draw) < self.in_domain.get() {
-            true => Reach::Domain,
-            false => Reach::Region,
+    pub fn scope_of(&self, object: u64) -> Scope {
+        let digest = hash::rendezvous(&[&object.to_le_bytes()], "domain");
+        match hash::unit_interval(digest) < self.domain_fraction.get() {
+            true => Scope::Domain,
+            false => Scope::Region,
         }
     }
 
@@ -116,38 +116,46 @@
     /// What carries much stays: where a region's servers are too few, others are sent away in its
     /// stead. Bytes between regions, a quarter to a third of the prices of a day with uploads of
     /// 60 KB, fell by 40 to 55 %; worth 0.010 on days with trouble, means of three seeds.
-    pub fn locality_of(&self, object: u64, spill: &Spillover, switches: Switches) -> Locality {
-        match self.of(object) {
-            Reach::Domain => Locality::Domain,
-            Reach::Region if self.may_spill_over(switches) && spill.is_away(object) => {
+    pub fn locality_of(&self, object: u64, spillover: &Spillover, switches: Switches) -> Locality {
+        match self.scope_of(object) {
+            Scope::Domain => Locality::Domain,
+            Scope::Region if self.may_spill_over(switches) && spillover.is_remote(object) => {
                 Locality::OtherRegions
             }
-            Reach::Region => Locality::Region,
+            Scope::Region => Locality::Region,
         }
     }
 
     /// Moves the route's reach for the time since it was moved last.
-    pub fn step(&self, carried: Carried, now: Millis) {
-        let elapsed = now.since(self.moved.replace(now)).as_secs_f64().min(1.0);
-        let most = MOST_A_SECOND * elapsed;
-        let large = match self.size.get() {
-            Some(size) => size >= LARGE,
-            None => carried.large,
+    pub fn update(&self, profile: TransferProfile, now: Millis) {
+        let elapsed = now
+            .since(self.updated_at.replace(now))
+            .as_secs_f64()
+            .min(1.0);
+        let max_step = MAX_STEP_PER_SECOND * elapsed;
+        let is_large = match self.size.get() {
+            Some(size) => size >= LARGE_TRANSFER,
+            None => profile.expects_large,
         };
-        self.is_large.set(large);
-        let stays = large && self.rate_here(carried.vms_here, now) >= OFTEN;
-        let step = if stays { most } else { -most };
-        self.in_domain
-            .set((self.in_domain.get() + step).clamp(0.0, 1.0));
+        self.is_large.set(is_large);
+        let belongs_in_domain =
+            is_large && self.object_rate(profile.local_vms, now) >= MIN_OBJECT_RATE;
+        let step = if belongs_in_domain {
+            max_step
+        } else {
+            -max_step
+        };
+        self.domain_fraction
+            .set((self.domain_fraction.get() + step).clamp(0.0, 1.0));
     }
 
     /// Gives the requests a second for one object in this domain.
-    fn rate_here(&self, vms: usize, now: Millis) -> f64 {
+    fn object_rate(&self, local_vms: usize, now: Millis) -> f64 {
         let objects = self.objects.borrow().len();
-        if objects == 0 || objects >= MAX_OBJECTS {
+        if objects == 0 || objects >= MAX_COUNTED_OBJECTS {
             return 0.0;
         }
         let rate = self.requests.borrow_mut().total(now) / RATE_SPAN.as_secs_f64();
-        rate * vms as f64 / objects as f64
+        rate * local_vms as f64 / objects as f64
     }
 }
--- a/crates/edge/src/placement.rs
+++ b/crates/edge/src/placement.rs
@@ -17,25 +17,25 @@
 
 /// How long an object that nobody asks for keeps its place. Servers keep what was asked for last,
 /// so by then others have pushed it out.
-const KEPT_FOR: Millis = Millis(20_000);
+const IDLE_EXPIRY: Millis = Millis(20_000);
 /// The time between two looks for objects that are not asked for any more.
-const SWEEP: Millis = Millis(2_000);
+const SWEEP_INTERVAL: Millis = Millis(2_000);
 /// Objects that are remembered at most; others go by rank.
-const MAX_OBJECTS: usize = 65_536;
+const MAX_TRACKED_OBJECTS: usize = 65_536;
 
 /// Where the objects of one service are, as far as this VM is the home of their servers.
 #[derive(Debug, Default)]
 pub struct ObjectPlacement {
-    placed: RefCell<HashMap<u64, Placed>>,
+    placements: RefCell<HashMap<u64, PlacedObject>>,
     /// The objects at each server.
     counts: RefCell<HashMap<UpstreamName, u32>>,
-    swept: Cell<Millis>,
+    swept_at: Cell<Millis>,
 }
 
 #[derive(Debug)]
-struct Placed {
+struct PlacedObject {
     server: UpstreamName,
-    asked: Millis,
+    last_requested: Millis,
 }
 
 impl ObjectPlacement {
@@ -45,49 +45,58 @@
     pub fn server_of(
         &self,
         object: u64,
-        first: &Rc<Upstream>,
-        own: &[&Rc<Upstream>],
+        ranked_first: &Rc<Upstream>,
+        own_servers: &[&Rc<Upstream>],
         now: Millis,
     ) -> Rc<Upstream> {
         self.sweep(now);
-        if let Some(server) = self.known(object, own, now) {
+        if let Some(server) = self.existing(object, own_servers, now) {
             return server;
         }
-        let objects = |u: &Upstream| f64::from(self.count(&u.id)) / f64::from(u.slots.get());
-        let by_objects = |a: &&&Rc<Upstream>, b: &&&Rc<Upstream>| {
-            let order = objects(a).total_cmp(&objects(b));
+        let objects_per_slot =
+            |u: &Upstream| f64::from(self.count(&u.id)) / f64::from(u.slots.get());
+        let by_count = |a: &&&Rc<Upstream>, b: &&&Rc<Upstream>| {
+            let order = objects_per_slot(a).total_cmp(&objects_per_slot(b));
             order.then_with(|| a.id.cmp(&b.id))
         };
-        let chosen = match own.iter().min_by(by_objects) {
-            Some(least) if objects(first) > objects(least) + 1.0 / f64::from(least.slots.get()) => {
-                *least
+        let chosen = match own_servers.iter().min_by(by_count) {
+            Some(emptiest)
+                if objects_per_slot(ranked_first)
+                    > objects_per_slot(emptiest) + 1.0 / f64::from(emptiest.slots.get()) =>
+            {
+                *emptiest
             }
-            _ => first,
+            _ => ranked_first,
         };
-        self.put(object, &chosen.id, now);
+        self.place(object, &chosen.id, now);
         Rc::clone(chosen)
     }
 
-    fn known(&self, object: u64, own: &[&Rc<Upstream>], now: Millis) -> Option<Rc<Upstream>> {
-        let mut placed = self.placed.borrow_mut();
-        let known = placed.get_mut(&object)?;
-        let server = own.iter().find(|u| u.id == known.server)?;
-        known.asked = now;
+    fn existing(
+        &self,
+        object: u64,
+        own_servers: &[&Rc<Upstream>],
+        now: Millis,
+    ) -> Option<Rc<Upstream>> {
+        let mut placements = self.placements.borrow_mut();
+        let existing = placements.get_mut(&object)?;
+        let server = own_servers.iter().find(|u| u.id == existing.server)?;
+        existing.last_requested = now;
         Some(Rc::clone(server))
     }
 
-    fn put(&self, object: u64, server: &UpstreamName, now: Millis) {
-        let mut placed = self.placed.borrow_mut();
-        if placed.len() >= MAX_OBJECTS && !placed.contains_key(&object) {
+    fn place(&self, object: u64, server: &UpstreamName, now: Millis) {
+        let mut placements = self.placements.borrow_mut();
+        if placements.len() >= MAX_TRACKED_OBJECTS && !placements.contains_key(&object) {
             return;
         }
-        let new = Placed {
+        let entry = PlacedObject {
             server: server.clone(),
-            asked: now,
+            last_requested: now,
         };
         let mut counts = self.counts.borrow_mut();
-        if let Some(before) = placed.insert(object, new) {
-            take_one(&mut counts, &before.server);
+        if let Some(previous) = placements.insert(object, entry) {
+            decrement(&mut counts, &previous.server);
         }
         *counts.entry(server.clone()).or_default() += 1;
     }
@@ -97,22 +106,22 @@
     }
 
     fn sweep(&self, now: Millis) {
-        if now.since(self.swept.get()) < SWEEP {
+        if now.since(self.swept_at.get()) < SWEEP_INTERVAL {
             return;
         }
-        self.swept.set(now);
+        self.swept_at.set(now);
         let mut counts = self.counts.borrow_mut();
-        self.placed.borrow_mut().retain(|_, placed| {
-            let stays = now.since(placed.asked) < KEPT_FOR;
-            if !stays {
-                take_one(&mut counts, &placed.server);
+        self.placements.borrow_mut().retain(|_, placed| {
+            let is_active = now.since(placed.last_requested) < IDLE_EXPIRY;
+            if !is_active {
+                decrement(&mut counts, &placed.server);
             }
-            stays
+            is_active
         });
     }
 }
 
-fn take_one(counts: &mut HashMap<UpstreamName, u32>, server: &UpstreamName) {
+fn decrement(counts: &mut HashMap<UpstreamName, u32>, server: &UpstreamName) {
     if let Some(count) = counts.get_mut(server) {
         *count -= 1;
         if *count == 0 {
--- a/crates/edge/src/quantile.rs
+++ b/crates/edge/src/quantile.rs
@@ -9,15 +9,15 @@
 /// little, each one above it up, in the ratio that keeps `part` of them below.
 #[derive(Debug)]
 pub struct Quantile {
-    part: f64,
+    level: f64,
     value: Cell<Option<f64>>,
 }
 
 impl Quantile {
     /// Makes the quantile below which `part` of the samples lie, from 0 to 1.
-    pub fn new(part: f64) -> Self {
+    pub fn new(level: f64) -> Self {
         Self {
-            part,
+            level,
             value: Cell::new(None),
         }
     }
@@ -26,8 +26,10 @@
     pub fn add(&self, sample: f64) {
         let next = match self.value.get() {
             None => sample,
-            Some(value) if sample < value => (value * (1.0 - STEP * (1.0 - self.part))).max(sample),
-            Some(value) => (value * (1.0 + STEP * self.part)).min(sample),
+            Some(value) if sample < value => {
+                (value * (1.0 - STEP * (1.0 - self.level))).max(sample)
+            }
+            Some(value) => (value * (1.0 + STEP * self.level)).min(sample),
         };
         self.value.set(Some(next));
     }
--- a/crates/edge/src/region_counts.rs
+++ b/crates/edge/src/region_counts.rs
@@ -14,13 +14,13 @@
 
 /// The time between two lines about a service. It is the span in which callers' requests may not
 /// move between regions all at once.
-const SPAN: Millis = Millis(2_000);
+const SUMMARY_INTERVAL: Millis = Millis(2_000);
 
 /// The requests for one service that this VM sent to each region, those that another VM handed to it
 /// left out.
 #[derive(Debug, Default)]
 pub struct RegionCounts {
-    told: Cell<Millis>,
+    summarized_at: Cell<Millis>,
     regions: RefCell<BTreeMap<RegionName, Rc<Counts>>>,
 }
 
@@ -29,54 +29,54 @@
     /// Requests since the last line.
     sent: Cell<u32>,
     /// Requests without an answer yet.
-    under_way: Cell<u32>,
+    in_flight: Cell<u32>,
 }
 
 /// A request that is under way to a region, or waits there.
 #[derive(Debug)]
-pub struct UnderWay {
+pub struct RequestInFlight {
     counts: Rc<Counts>,
 }
 
-impl Drop for UnderWay {
+impl Drop for RequestInFlight {
     fn drop(&mut self) {
-        let under_way = &self.counts.under_way;
-        under_way.set(under_way.get().saturating_sub(1));
+        let in_flight = &self.counts.in_flight;
+        in_flight.set(in_flight.get().saturating_sub(1));
     }
 }
 
 impl RegionCounts {
     /// Counts a request that is sent to `region`. It is under way for as long as the returned guard
     /// lives.
-    pub fn start_request(&self, region: &RegionName) -> UnderWay {
+    pub fn start_request(&self, region: &RegionName) -> RequestInFlight {
         let mut regions = self.regions.borrow_mut();
         let counts = Rc::clone(regions.entry(region.clone()).or_default());
         counts.sent.set(counts.sent.get() + 1);
-        counts.under_way.set(counts.under_way.get() + 1);
-        UnderWay { counts }
+        counts.in_flight.set(counts.in_flight.get() + 1);
+        RequestInFlight { counts }
     }
 
     /// Gives what was sent to each region since the last summary, where one is due and anything was
     /// sent or is under way.
     pub fn take_summary(&self, now: Millis) -> Option<Summary> {
-        let span = now.since(self.told.get());
-        if span < SPAN {
+        let span = now.since(self.summarized_at.get());
+        if span < SUMMARY_INTERVAL {
             return None;
         }
-        self.told.set(now);
+        self.summarized_at.set(now);
         let mut summary = Summary {
             span,
             ..Summary::default()
         };
-        let mut is_quiet = true;
+        let mut is_idle = true;
         for (region, counts) in self.regions.borrow().iter() {
-            let (sent, under_way) = (counts.sent.replace(0), counts.under_way.get());
-            is_quiet &= sent == 0 && under_way == 0;
+            let (sent, in_flight) = (counts.sent.replace(0), counts.in_flight.get());
+            is_idle &= sent == 0 && in_flight == 0;
             summary.requests += sent;
-            add(&mut summary.sent, region, sent);
-            add(&mut summary.under_way, region, under_way);
+            append_count(&mut summary.sent, region, sent);
+            append_count(&mut summary.in_flight, region, in_flight);
         }
-        (!is_quiet).then_some(summary)
+        (!is_idle).then_some(summary)
     }
 }
 
@@ -90,11 +90,11 @@
     /// Those sent to each region, as `region=number`.
     pub sent: String,
     /// Those under way to each region, as `region=number`.
-    pub under_way: String,
+    pub in_flight: String,
 }
 
-fn add(text: &mut String, region: &RegionName, number: u32) {
+fn append_count(text: &mut String, region: &RegionName, count: u32) {
     let space = if text.is_empty() { "" } else { " " };
     // Writing to a string can't fail.
-    let _ = write!(text, "{space}{region}={number}");
+    let _ = write!(text, "{space}{region}={count}");
 }
--- a/crates/edge/src/round_trip.rs
+++ b/crates/edge/src/round_trip.rs
@@ -15,34 +15,34 @@
 /// The method that answers at once.
 const PING: &str = "e.ping";
 /// The pause between two measurements while there are few, and after.
-const FIRST_PAUSE: Millis = Millis(500);
-const PAUSE: Millis = Millis(10_000);
+const INITIAL_INTERVAL: Millis = Millis(500);
+const INTERVAL: Millis = Millis(10_000);
 /// The measurements of a region after which its way counts as known. While everything starts, one
 /// takes up to a quarter longer than the way; VMs that took that for the way would decide
 /// otherwise than their neighbours where objects are served.
-const ENOUGH: u32 = 4;
+const MIN_SAMPLES: u32 = 4;
 /// The time allowed for an answer.
-const LIMIT: Millis = Millis(1_500);
+const PING_TIMEOUT: Millis = Millis(1_500);
 
 /// The shortest round trips seen to other regions.
 #[derive(Debug, Default)]
 pub struct RegionRoundTrips {
     shortest: RefCell<BTreeMap<RegionName, Millis>>,
-    measured: Cell<u32>,
+    samples: Cell<u32>,
 }
 
 impl RegionRoundTrips {
     /// Gives the longest of the shortest round trips, where one is known.
-    pub fn round_trip(&self) -> Option<Millis> {
+    pub fn longest(&self) -> Option<Millis> {
         self.shortest.borrow().values().max().copied()
     }
 
     /// Takes in a round trip to a region. Only the shortest counts: others waited somewhere.
-    pub fn note(&self, region: &RegionName, took: Millis) {
+    pub fn record(&self, region: &RegionName, took: Millis) {
         let mut shortest = self.shortest.borrow_mut();
-        let known = shortest.entry(region.clone()).or_insert(took);
-        *known = took.min(*known);
-        self.measured.set(self.measured.get().saturating_add(1));
+        let current = shortest.entry(region.clone()).or_insert(took);
+        *current = took.min(*current);
+        self.samples.set(self.samples.get().saturating_add(1));
     }
 }
 
@@ -55,16 +55,20 @@
 pub async fn run(cx: Rc<EdgeContext>) {
     loop {
         let regions = cx.distances.shortest.borrow().len() as u32;
-        let is_known = regions > 0 && cx.distances.measured.get() >= ENOUGH * regions;
-        let pause = if is_known { PAUSE } else { FIRST_PAUSE };
-        cx.timer.wait(pause).await;
-        for (region, vm) in one_of_each(&cx) {
+        let has_enough_samples = regions > 0 && cx.distances.samples.get() >= MIN_SAMPLES * regions;
+        let interval = if has_enough_samples {
+            INTERVAL
+        } else {
+            INITIAL_INTERVAL
+        };
+        cx.timer.wait(interval).await;
+        for (region, vm) in one_vm_per_region(&cx) {
             measure(&cx, &region, &vm).await;
         }
     }
 }
 
-fn one_of_each(cx: &EdgeContext) -> BTreeMap<RegionName, VmName> {
+fn one_vm_per_region(cx: &EdgeContext) -> BTreeMap<RegionName, VmName> {
     let mut vms = presence::live_vms(cx).to_vec();
     cx.rng.borrow_mut().shuffle(&mut vms);
     let elsewhere = vms.into_iter().filter(|vm| vm.region != cx.region);
@@ -75,14 +79,14 @@
     // The first call may open the connection, so the second one is measured.
     for is_measured in [false, true] {
         let began = cx.now();
-        let opts = CallOptions::quick(LIMIT);
+        let opts = CallOptions::quick(PING_TIMEOUT);
         if let Err(error) = cx.net.call_with::<_, ()>(vm, PING, &(), opts).await {
             debug!(vm:% = vm, error:% = error; "the way to a VM could not be measured");
             return;
         }
         if is_measured {
             let took = cx.now().since(began);
-            cx.distances.note(region, took);
+            cx.distances.record(region, took);
             info!(vm:% = vm, region:% = region, round_trip_ms = took.0; "the way to another region was measured");
         }
     }
--- a/crates/edge/src/selection.rs
+++ b/crates/edge/src/selection.rs
@@ -18,21 +18,21 @@
 /// The part of a failing server's usual time that its failures are taken to cost. A failed
 /// request is sent again or lost, so a server that fails all of them counts as four times
 /// as slow.
-const FAILING_COST: f64 = 3.0;
+const FAILURE_COST: f64 = 3.0;
 /// The time for an object that a server keeps, as a part of the latency target, until one was
 /// seen; and for one that it does not keep. They only say that the second takes longer.
-const UNKNOWN_WARM: f64 = 0.4;
-const UNKNOWN_COLD: f64 = 1.2;
+const DEFAULT_WARM_TIME: f64 = 0.4;
+const DEFAULT_COLD_TIME: f64 = 1.2;
 /// How many times the extra work for an object that a server does not keep counts. The work
 /// takes a slot from other requests, beside the time that it takes itself.
-const COLD_COST: f64 = 3.0;
+const MISS_WEIGHT: f64 = 3.0;
 
 /// The part of the slots of a home's servers that may be busy for further copies to be made. At
 /// two thirds a server of three slots has one free in the mean.
-const ROOM: f64 = 0.6;
+const MAX_COPY_UTILIZATION: f64 = 0.6;
 /// The requests of others beyond the slots that are taken for none. What is told of them is an
 /// average, and a hundredth of a request would make a server with a free slot count as full.
-const NEGLIGIBLE: f64 = 0.3;
+const LOAD_TOLERANCE: f64 = 0.3;
 
 /// Where an object is served.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -95,7 +95,7 @@
     /// This VM's own requests at it.
     pub own_in_flight: u32,
     /// What taking it costs, in milliseconds: the time, and what others lose.
-    pub cost: f64,
+    pub cost_ms: f64,
 }
 
 /// Chooses among `candidates`; gives nothing where there are none.
@@ -105,101 +105,114 @@
 /// copy is done sooner there. With more copies, an overload spreads every object over every
 /// server, none of which then keeps any, and the overload stays.
 pub fn select(
-    wish: &SelectionParams<'_>,
+    params: &SelectionParams<'_>,
     candidates: &[Rc<Upstream>],
-    pace: &ServiceTimes,
-    place: Locality,
+    service_times: &ServiceTimes,
+    locality: Locality,
 ) -> Option<Candidate> {
-    let (there, others): (Vec<_>, Vec<_>) =
-        candidates.iter().partition(|u| is_there(wish, u, place));
-    if there.is_empty() {
+    let (matching, others): (Vec<_>, Vec<_>) = candidates
+        .iter()
+        .partition(|u| is_in_locality(params, u, locality));
+    if matching.is_empty() {
         // A region without servers of the service, or without one that the route allows.
-        let order = |u: &Upstream| near_first(wish, u);
-        return choose_ranked(wish, &others, pace, &order);
+        let tier = |u: &Upstream| local_region_first(params, u);
+        return select_ranked(params, &others, service_times, &tier);
     }
-    let here = choose_ranked(wish, &there, pace, &|_| 0);
-    let may_leave = wish.switches.is_on(Mechanism::OtherRegions);
-    if !may_leave
-        || here
+    let best_match = select_ranked(params, &matching, service_times, &|_| 0);
+    let may_use_other_regions = params.switches.is_on(Mechanism::OtherRegions);
+    if !may_use_other_regions
+        || best_match
             .as_ref()
-            .is_some_and(|p| p.has_free_slot || p.response_ms <= wish.latency_target.0 as f64)
+            .is_some_and(|p| p.has_free_slot || p.response_ms <= params.latency_target.0 as f64)
     {
-        return here;
+        return best_match;
     }
     // Only what would otherwise be refused leaves the regions that it is meant for, and only for
     // servers that it was sent to before.
-    let ranked = ranked(wish, &others, &|u| near_first(wish, u));
-    let mut elsewhere = ranked.iter().map(|u| prospect(wish, u, false, pace));
-    elsewhere.find(|p| p.has_free_slot && p.is_warm).or(here)
+    let ranked = rank_servers(params, &others, &|u| local_region_first(params, u));
+    let mut fallback = ranked
+        .iter()
+        .map(|u| estimate(params, u, false, service_times));
+    fallback
+        .find(|p| p.has_free_slot && p.is_warm)
+        .or(best_match)
 }
 
 /// Gives the server of `candidates` that gets an object at its `place` where it has room, as all
 /// VMs work it out alike.
 pub fn first_ranked(
-    wish: &SelectionParams<'_>,
+    params: &SelectionParams<'_>,
     candidates: &[Rc<Upstream>],
-    place: Locality,
+    locality: Locality,
 ) -> Option<Rc<Upstream>> {
-    let there = candidates.iter().filter(|u| is_there(wish, u, place));
-    let best = first_of_rank(wish, there, &|_| 0);
-    let anywhere = || first_of_rank(wish, candidates.iter(), &|u| near_first(wish, u));
-    best.or_else(anywhere).cloned()
+    let matching = candidates
+        .iter()
+        .filter(|u| is_in_locality(params, u, locality));
+    let best = top_ranked(params, matching, &|_| 0);
+    let in_any_region = || {
+        top_ranked(params, candidates.iter(), &|u| {
+            local_region_first(params, u)
+        })
+    };
+    best.or_else(in_any_region).cloned()
 }
 
 /// Which servers come before others, whatever their rank: those with the least number.
-type Order<'a> = &'a dyn Fn(&Upstream) -> u8;
+type Tier<'a> = &'a dyn Fn(&Upstream) -> u8;
 
-fn near_first(wish: &SelectionParams<'_>, upstream: &Upstream) -> u8 {
-    u8::from(upstream.region != *wish.region)
+fn local_region_first(params: &SelectionParams<'_>, upstream: &Upstream) -> u8 {
+    u8::from(upstream.region != *params.region)
 }
 
-fn is_there(wish: &SelectionParams<'_>, upstream: &Upstream, place: Locality) -> bool {
-    match place {
-        Locality::Domain => upstream.domain == *wish.domain,
-        Locality::Region => upstream.region == *wish.region,
-        Locality::OtherRegions => upstream.region != *wish.region,
+fn is_in_locality(params: &SelectionParams<'_>, upstream: &Upstream, locality: Locality) -> bool {
+    match locality {
+        Locality::Domain => upstream.domain == *params.domain,
+        Locality::Region => upstream.region == *params.region,
+        Locality::OtherRegions => upstream.region != *params.region,
         Locality::AnyRegion => true,
     }
 }
 
-fn choose_ranked(
-    wish: &SelectionParams<'_>,
+fn select_ranked(
+    params: &SelectionParams<'_>,
     servers: &[&Rc<Upstream>],
-    pace: &ServiceTimes,
-    order: Order<'_>,
+    service_times: &ServiceTimes,
+    tier: Tier<'_>,
 ) -> Option<Candidate> {
-    let ranked_first = first_of_rank(wish, servers.iter().copied(), order)?;
-    let chosen = &put_evenly(wish, ranked_first, servers);
-    let first = prospect(wish, chosen, true, pace);
+    let ranked_first = top_ranked(params, servers.iter().copied(), tier)?;
+    let chosen = &apply_placement(params, ranked_first, servers);
+    let first = estimate(params, chosen, true, service_times);
     if first.has_free_slot {
         return Some(first);
     }
     let others = servers.iter().filter(|u| u.id != chosen.id);
     let others: Vec<&Rc<Upstream>> = others.copied().collect();
     // The load of servers whose home this VM is is known exactly, so they are asked first.
-    let known_first = |u: &Upstream| 2 * order(u) + u8::from(!(wish.is_home)(u));
-    let ranked = ranked(wish, &others, &known_first);
-    let others = ranked.iter().map(|u| prospect(wish, u, false, pace));
-    let may_copy =
-        first.response_ms > wish.latency_target.0 as f64 && has_room(wish, servers, pace);
+    let home_first = |u: &Upstream| 2 * tier(u) + u8::from(!(params.is_home)(u));
+    let ranked = rank_servers(params, &others, &home_first);
+    let others = ranked
+        .iter()
+        .map(|u| estimate(params, u, false, service_times));
+    let may_copy = first.response_ms > params.latency_target.0 as f64
+        && has_copy_capacity(params, servers, service_times);
     let is_better =
-        |p: &Candidate| p.cost < first.cost || (may_copy && (wish.is_home)(&p.upstream));
-    let mut spares = others.filter(|p| p.has_free_slot);
-    let spare = spares.find(is_better);
-    Some(spare.unwrap_or(first))
+        |p: &Candidate| p.cost_ms < first.cost_ms || (may_copy && (params.is_home)(&p.upstream));
+    let mut free_others = others.filter(|p| p.has_free_slot);
+    let alternative = free_others.find(is_better);
+    Some(alternative.unwrap_or(first))
 }
 
 /// Gives where the home of the first server of an object's rank puts the object.
-fn put_evenly(
-    wish: &SelectionParams<'_>,
+fn apply_placement(
+    params: &SelectionParams<'_>,
     first: &Rc<Upstream>,
     servers: &[&Rc<Upstream>],
 ) -> Rc<Upstream> {
-    match wish.placement.filter(|_| (wish.is_home)(first)) {
-        Some(spread) => {
-            let own = servers.iter().copied().filter(|u| (wish.is_home)(u));
+    match params.placement.filter(|_| (params.is_home)(first)) {
+        Some(placement) => {
+            let own = servers.iter().copied().filter(|u| (params.is_home)(u));
             let own: Vec<&Rc<Upstream>> = own.collect();
-            spread.server_of(wish.object, first, &own, wish.now)
+            placement.server_of(params.object, first, &own, params.now)
         }
         None => Rc::clone(first),
     }
@@ -212,34 +225,38 @@
 /// answer in time is then worth a copy at a server that is idle: the request that makes it comes
 /// late, the ones after it come in time. Where all servers are busy the copies would push
 /// other objects out, and every request would be work afresh.
-fn has_room(wish: &SelectionParams<'_>, servers: &[&Rc<Upstream>], pace: &ServiceTimes) -> bool {
-    let own = servers.iter().filter(|u| (wish.is_home)(u));
-    let usual = pace.usual_others(wish.now);
+fn has_copy_capacity(
+    params: &SelectionParams<'_>,
+    servers: &[&Rc<Upstream>],
+    service_times: &ServiceTimes,
+) -> bool {
+    let own = servers.iter().filter(|u| (params.is_home)(u));
+    let other_load = service_times.typical_other_load(params.now);
     let (load, slots) = own.fold((0.0, 0.0), |(load, slots), u| {
         (
-            load + u.load(usual, wish.now),
+            load + u.load(other_load, params.now),
             slots + f64::from(u.slots.get()),
         )
     });
-    load < slots * ROOM
+    load < slots * MAX_COPY_UTILIZATION
 }
 
 /// Gives the first server of an object's rank: the one that another VM named, where it is among
 /// them.
-fn first_of_rank<'a>(
-    wish: &SelectionParams<'_>,
+fn top_ranked<'a>(
+    params: &SelectionParams<'_>,
     mut servers: impl Iterator<Item = &'a Rc<Upstream>> + Clone,
-    order: Order<'_>,
+    tier: Tier<'_>,
 ) -> Option<&'a Rc<Upstream>> {
-    if let Some(named) = wish.assigned
-        && let Some(upstream) = servers.clone().find(|u| u.id == *named)
+    if let Some(assigned) = params.assigned
+        && let Some(upstream) = servers.clone().find(|u| u.id == *assigned)
     {
         return Some(upstream);
     }
     let first = servers.next()?;
-    let keyed = servers.map(|u| (order(u), place_in_rank(wish, u), u));
+    let keyed = servers.map(|u| (tier(u), rank_key(params, u), u));
     let best = keyed.fold(
-        (order(first), place_in_rank(wish, first), first),
+        (tier(first), rank_key(params, first), first),
         |best, next| {
             let is_before = next.0.cmp(&best.0).then(next.1.total_cmp(&best.1)).is_lt();
             if is_before { next } else { best }
@@ -249,75 +266,73 @@
 }
 
 /// Ranks servers for an object.
-fn ranked<'a>(
-    wish: &SelectionParams<'_>,
+fn rank_servers<'a>(
+    params: &SelectionParams<'_>,
     servers: &[&'a Rc<Upstream>],
-    order: Order<'_>,
+    tier: Tier<'_>,
 ) -> Vec<&'a Rc<Upstream>> {
-    let placed = servers
-        .iter()
-        .map(|u| (order(u), place_in_rank(wish, u), *u));
-    let mut placed: Vec<(u8, f64, &Rc<Upstream>)> = placed.collect();
-    placed.sort_by(|a, b| a.0.cmp(&b.0).then(a.1.total_cmp(&b.1)));
-    placed.into_iter().map(|(_, _, u)| u).collect()
+    let keyed = servers.iter().map(|u| (tier(u), rank_key(params, u), *u));
+    let mut keyed: Vec<(u8, f64, &Rc<Upstream>)> = keyed.collect();
+    keyed.sort_by(|a, b| a.0.cmp(&b.0).then(a.1.total_cmp(&b.1)));
+    keyed.into_iter().map(|(_, _, u)| u).collect()
 }
 
 /// Gives a server's place in the rank of an object, by weighted rendezvous hashing alike on every
 /// VM: the least comes first.
-fn place_in_rank(wish: &SelectionParams<'_>, upstream: &Upstream) -> f64 {
-    let object = wish.object.to_le_bytes();
-    let drawn = hash::rendezvous(&[&object], upstream.id.as_str());
-    let open = match wish.is_region_bound {
+fn rank_key(params: &SelectionParams<'_>, upstream: &Upstream) -> f64 {
+    let object = params.object.to_le_bytes();
+    let digest = hash::rendezvous(&[&object], upstream.id.as_str());
+    let share = match params.is_region_bound {
         true => 1.0,
-        false => upstream.open_part.get(),
+        false => upstream.unbound_share.get(),
     };
-    -hash::unit_interval(drawn).ln() / (f64::from(upstream.slots.get()) * open)
+    -hash::unit_interval(digest).ln() / (f64::from(upstream.slots.get()) * share)
 }
 
-fn prospect(
-    wish: &SelectionParams<'_>,
+fn estimate(
+    params: &SelectionParams<'_>,
     upstream: &Rc<Upstream>,
-    is_first: bool,
-    pace: &ServiceTimes,
+    is_target: bool,
+    service_times: &ServiceTimes,
 ) -> Candidate {
-    let warm = wish.sticky && (is_first || upstream.likely_caches(wish.object, wish.now));
-    let target = wish.latency_target.0 as f64;
-    let often = pace.expected(&upstream.region, true, target * UNKNOWN_WARM);
-    let usual = match warm {
-        true => often,
-        false => pace.expected(&upstream.region, false, target * UNKNOWN_COLD),
+    let is_warm = params.sticky && (is_target || upstream.likely_caches(params.object, params.now));
+    let target = params.latency_target.0 as f64;
+    let warm_ms = service_times.expected_ms(&upstream.region, true, target * DEFAULT_WARM_TIME);
+    let expected_ms = match is_warm {
+        true => warm_ms,
+        false => service_times.expected_ms(&upstream.region, false, target * DEFAULT_COLD_TIME),
     };
     let slots = f64::from(upstream.slots.get());
-    let has = |mechanism| wish.switches.is_on(mechanism);
-    let load = match has(Mechanism::ToldLoad) {
-        true => upstream.load(pace.usual_others(wish.now), wish.now),
+    let is_on = |mechanism| params.switches.is_on(mechanism);
+    let load = match is_on(Mechanism::ToldLoad) {
+        true => upstream.load(service_times.typical_other_load(params.now), params.now),
         false => f64::from(upstream.in_flight()),
     };
-    let slowness = match has(Mechanism::Slowness) {
-        true => upstream.slowness(wish.now),
+    let slowness = match is_on(Mechanism::Slowness) {
+        true => upstream.slowness(params.now),
         false => 1.0,
     };
-    let failing = match has(Mechanism::Failing) {
-        true => upstream.failing(wish.now),
+    let failure_rate = match is_on(Mechanism::Failing) {
+        true => upstream.failure_rate(params.now),
         false => 0.0,
     };
-    let cold_cost = match has(Mechanism::ColdCost) {
-        true => COLD_COST,
+    let miss_weight = match is_on(Mechanism::ColdCost) {
+        true => MISS_WEIGHT,
         false => 1.0,
     };
-    let ahead = load + 1.0 - slots - NEGLIGIBLE;
-    let wait = ahead.max(0.0) / slots * often * slowness;
-    let work = usual * slowness;
-    let extra = (usual - often).max(0.0) * (cold_cost - 1.0);
+    let excess = load + 1.0 - slots - LOAD_TOLERANCE;
+    let wait_ms = excess.max(0.0) / slots * warm_ms * slowness;
+    let service_ms = expected_ms * slowness;
+    let miss_ms = (expected_ms - warm_ms).max(0.0) * (miss_weight - 1.0);
     Candidate {
-        is_warm: warm,
-        has_free_slot: ahead <= 0.0,
-        service_ms: work,
-        response_ms: work + wait,
+        is_warm,
+        has_free_slot: excess <= 0.0,
+        service_ms,
+        response_ms: service_ms + wait_ms,
         load,
-        load_age: upstream.load_age(wish.now),
+        load_age: upstream.load_age(params.now),
         own_in_flight: upstream.in_flight(),
-        cost: work * (1.0 + FAILING_COST * failing) + wait + extra,
+        cost_ms: service_ms * (1.0 + FAILURE_COST * failure_rate) + wait_ms + miss_ms,
         upstream: Rc::clone(upstream),
     }
 }
--- a/crates/edge/src/spillover_update.rs
+++ b/crates/edge/src/spillover_update.rs
@@ -9,11 +9,11 @@
 use crate::accounts::Accounts;
 use crate::catalog::Catalog;
 use crate::context::EdgeContext;
-use crate::locality::Carried;
+use crate::locality::TransferProfile;
 use crate::presence;
-use crate::spillover::Room;
+use crate::spillover::SlotCounts;
 use crate::switches::Mechanism;
-use crate::unbound_share::parts_left;
+use crate::unbound_share::target_shares;
 use crate::upstream::Upstream;
 use crate::world::RoutingState;
 
@@ -25,67 +25,70 @@
         return;
     };
     for spec in catalog.services() {
-        tell_sent(cx, &spec.name, now);
-        step_parts(cx, &catalog, &spec.name, now);
+        log_sent(cx, &spec.name, now);
+        update_unbound_shares(cx, &catalog, &spec.name, now);
     }
-    let has = |mechanism| cx.switches.is_on(mechanism);
-    for spec in catalog.services().filter(|_| has(Mechanism::Spill)) {
+    let is_on = |mechanism| cx.switches.is_on(mechanism);
+    for spec in catalog.services().filter(|_| is_on(Mechanism::Spill)) {
         let state = cx.service(&spec.name);
-        state.spill.step(room(cx, &spec.name, now), now);
+        state.spill.update(slot_counts(cx, &spec.name, now), now);
     }
-    let here = presence::live_vms(cx);
-    let vms_here = here.iter().filter(|vm| vm.domain == cx.cfg.domain).count();
+    let live_vms = presence::live_vms(cx);
+    let local_vms = live_vms
+        .iter()
+        .filter(|vm| vm.domain == cx.cfg.domain)
+        .count();
     for route in catalog.routes() {
-        let carried = Carried {
-            large: route.large_answers || route.large_bodies,
+        let profile = TransferProfile {
+            expects_large: route.large_answers || route.large_bodies,
             // With no VM here no object is asked for often enough to stay in the domain.
-            vms_here: match has(Mechanism::OwnDomain) {
-                true => vms_here,
+            local_vms: match is_on(Mechanism::OwnDomain) {
+                true => local_vms,
                 false => 0,
             },
         };
-        cx.route(&route.name).step(carried, now);
+        cx.route(&route.name).update(profile, now);
     }
     let mut routes = cx.routes.borrow_mut();
     routes.retain(|name, _| catalog.has_route(name));
 }
 
 /// Tells where requests for a service were sent, and where its threshold stands.
-fn tell_sent(cx: &EdgeContext, service: &ServiceName, now: Millis) {
+fn log_sent(cx: &EdgeContext, service: &ServiceName, now: Millis) {
     let state = cx.service(service);
     if let Some(summary) = state.sent_by_region.take_summary(now) {
         info!(service:% = service, requests = summary.requests, sent = summary.sent.as_str(),
-            under_way = summary.under_way.as_str(), part_away = state.spill.part(),
+            under_way = summary.in_flight.as_str(), part_away = state.spill.remote_fraction(),
             span_ms = summary.span.0; "requests sent to regions");
     }
 }
 
 /// Moves the parts of a service's regions that are left to requests which may run anywhere.
-fn step_parts(cx: &EdgeContext, catalog: &Catalog, service: &ServiceName, now: Millis) {
-    let bound = catalog
+fn update_unbound_shares(cx: &EdgeContext, catalog: &Catalog, service: &ServiceName, now: Millis) {
+    let restricted = catalog
         .accounts()
         .map_or(&[][..], Accounts::restricted_shares);
-    let bound = match cx.switches.is_on(Mechanism::GiveWay) {
-        true => bound,
+    let restricted = match cx.switches.is_on(Mechanism::GiveWay) {
+        true => restricted,
         false => &[],
     };
-    let parts = &cx.service(service).region_shares;
-    if bound.is_empty() && parts.are_whole() {
+    let shares = &cx.service(service).region_shares;
+    if restricted.is_empty() && shares.are_all_full() {
         return;
     }
     let world = cx.world.borrow();
     let upstreams = world.upstreams(service);
     let mut slots: BTreeMap<RegionName, f64> = BTreeMap::new();
-    for upstream in usable(&world, &upstreams, now) {
+    for upstream in usable_servers(&world, &upstreams, now) {
         *slots.entry(upstream.region.clone()).or_default() += f64::from(upstream.slots.get());
     }
-    parts.step(&parts_left(&slots, bound), now);
+    shares.update(&target_shares(&slots, restricted), now);
     for upstream in upstreams.iter() {
-        upstream.open_part.set(parts.of(&upstream.region));
+        upstream.unbound_share.set(shares.share(&upstream.region));
     }
 }
 
-fn usable<'a>(
+fn usable_servers<'a>(
     world: &'a RoutingState,
     upstreams: &'a [Rc<Upstream>],
     now: Millis,
@@ -95,20 +98,20 @@
         .filter(move |u| u.accepts_requests() && !world.is_evacuated(&u.domain) && !u.is_cold(now))
 }
 
-fn room(cx: &EdgeContext, service: &ServiceName, now: Millis) -> Room {
+fn slot_counts(cx: &EdgeContext, service: &ServiceName, now: Millis) -> SlotCounts {
     let world = cx.world.borrow();
     let regions: BTreeSet<&RegionName> = cx.cfg.domains.values().collect();
-    let mut room = Room {
-        regions: regions.len(),
-        way: cx.distances.round_trip(),
-        ..Room::default()
+    let mut slot_counts = SlotCounts {
+        region_count: regions.len(),
+        round_trip: cx.distances.longest(),
+        ..SlotCounts::default()
     };
-    for upstream in usable(&world, &world.upstreams(service), now) {
-        let slots = f64::from(upstream.slots.get()) * upstream.open_part.get();
+    for upstream in usable_servers(&world, &world.upstreams(service), now) {
+        let slots = f64::from(upstream.slots.get()) * upstream.unbound_share.get();
         match upstream.region == cx.region {
-            true => room.own += slots,
-            false => room.elsewhere += slots,
+            true => slot_counts.local += slots,
+            false => slot_counts.remote += slots,
         }
     }
-    room
+    slot_counts
 }
--- a/crates/edge/src/split.rs
+++ b/crates/edge/src/split.rs
@@ -7,7 +7,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct TrafficSplit {
     targets: Vec<Target>,
-    credit: Vec<i64>,
+    weight: Vec<i64>,
 }
 
 impl TrafficSplit {
@@ -15,15 +15,15 @@
     pub fn next<'a>(&mut self, targets: &'a [Target]) -> Option<&'a Target> {
         if self.targets != targets {
             self.targets = targets.to_vec();
-            self.credit = vec![0; targets.len()];
+            self.weight = vec![0; targets.len()];
         }
         let total: i64 = targets.iter().map(|t| i64::from(t.weight)).sum();
-        for (credit, target) in self.credit.iter_mut().zip(targets) {
-            *credit += i64::from(target.weight);
+        for (weight, target) in self.weight.iter_mut().zip(targets) {
+            *weight += i64::from(target.weight);
         }
         let eligible = targets.iter().enumerate().filter(|(_, t)| t.weight > 0);
-        let (at, target) = eligible.max_by_key(|(at, _)| self.credit[*at])?;
-        self.credit[at] -= total;
+        let (at, target) = eligible.max_by_key(|(at, _)| self.weight[*at])?;
+        self.weight[at] -= total;
         Some(target)
     }
 }
--- a/crates/edge/tests/decisions.rs
+++ b/crates/edge/tests/decisions.rs
@@ -9,7 +9,7 @@
 use heatherknot_edge::selection::{Locality, SelectionParams, select};
 use heatherknot_edge::service_times::ServiceTimes;
 use heatherknot_edge::settings::Bounds;
-use heatherknot_edge::spillover::{Room, Spillover};
+use heatherknot_edge::spillover::{SlotCounts, Spillover};
 use heatherknot_edge::split::TrafficSplit;
 use heatherknot_edge::switches::Switches;
 use heatherknot_edge::upstream::{ServerLoad, Upstream};
@@ -19,7 +19,7 @@
 
 static DOMAIN: std::sync::OnceLock<DomainName> = std::sync::OnceLock::new();
 
-fn wish(object: u64, region: &RegionName, now: Millis) -> SelectionParams<'_> {
+fn params(object: u64, region: &RegionName, now: Millis) -> SelectionParams<'_> {
     SelectionParams {
         object,
         sticky: true,
@@ -50,10 +50,10 @@
     other.reverse();
     let region = "north".into();
     for object in 0..100 {
-        let wish = wish(object, &region, clock.now());
-        let first = select(&wish, &one, &ServiceTimes::default(), Locality::Region)
+        let params = params(object, &region, clock.now());
+        let first = select(&params, &one, &ServiceTimes::default(), Locality::Region)
             .expect("there are servers");
-        let second = select(&wish, &other, &ServiceTimes::default(), Locality::Region)
+        let second = select(&params, &other, &ServiceTimes::default(), Locality::Region)
             .expect("there are servers");
         assert_eq!(first.upstream.id, second.upstream.id);
         assert_eq!(first.upstream.region, region);
@@ -66,22 +66,22 @@
     let servers = fleet(&clock);
     let region = "north".into();
     let pace = ServiceTimes::default();
-    let wish = wish(1, &region, clock.now());
-    let home = select(&wish, &servers, &pace, Locality::Region)
+    let params = params(1, &region, clock.now());
+    let target = select(&params, &servers, &pace, Locality::Region)
         .expect("there are servers")
         .upstream;
-    let _three: Vec<_> = (0..3).map(|_| home.start_request()).collect();
+    let _three: Vec<_> = (0..3).map(|_| target.start_request()).collect();
     let with_one_waiting =
-        select(&wish, &servers, &pace, Locality::Region).expect("there are servers");
-    assert_eq!(with_one_waiting.upstream.id, home.id);
+        select(&params, &servers, &pace, Locality::Region).expect("there are servers");
+    assert_eq!(with_one_waiting.upstream.id, target.id);
     assert!(!with_one_waiting.has_free_slot);
-    let _many: Vec<_> = (0..12).map(|_| home.start_request()).collect();
-    let bounded = select(&wish, &servers, &pace, Locality::Region);
-    assert_eq!(bounded.expect("there are servers").upstream.id, home.id);
-    let _yet_more: Vec<_> = (0..25).map(|_| home.start_request()).collect();
-    let relieved = select(&wish, &servers, &pace, Locality::Region);
+    let _many: Vec<_> = (0..12).map(|_| target.start_request()).collect();
+    let bounded = select(&params, &servers, &pace, Locality::Region);
+    assert_eq!(bounded.expect("there are servers").upstream.id, target.id);
+    let _yet_more: Vec<_> = (0..25).map(|_| target.start_request()).collect();
+    let relieved = select(&params, &servers, &pace, Locality::Region);
     let relieved = relieved.expect("there are servers").upstream;
-    assert_ne!(relieved.id, home.id);
+    assert_ne!(relieved.id, target.id);
     assert_eq!(relieved.region, region, "others of the region come first");
 }
 
@@ -114,40 +114,42 @@
     assert!(!server.is_reachable(clock.now()));
     test.advance(300);
     assert!(server.is_reachable(clock.now()));
-    let trial = server.start_request();
+    let probe = server.start_request();
     assert!(!server.is_reachable(clock.now()));
-    drop(trial);
+    drop(probe);
     server.record_success(1, None, clock.now());
     assert!(server.is_reachable(clock.now()));
 }
 
-const EVEN: Room = Room {
-    own: 10.0,
-    elsewhere: 20.0,
-    regions: 3,
-    way: Some(Millis(110)),
+const EVEN_SLOTS: SlotCounts = SlotCounts {
+    local: 10.0,
+    remote: 20.0,
+    region_count: 3,
+    round_trip: Some(Millis(110)),
 };
 
 #[test]
 fn a_region_with_its_part_of_the_slots_sends_nothing_away() {
-    let spill = Spillover::default();
-    spill.step(EVEN, Millis(1_000));
-    assert!(spill.part() < 1e-9);
-    assert!((0..1000).all(|object| !spill.is_away(object)));
+    let spillover = Spillover::default();
+    spillover.update(EVEN_SLOTS, Millis(1_000));
+    assert!(spillover.remote_fraction() < 1e-9);
+    assert!((0..1000).all(|object| !spillover.is_remote(object)));
 }
 
 #[test]
 fn a_region_with_few_slots_sends_the_missing_part_away() {
-    let spill = Spillover::default();
-    let few = Room {
-        own: 5.0,
-        elsewhere: 25.0,
-        regions: 3,
-        way: Some(Millis(110)),
+    let spillover = Spillover::default();
+    let few_local = SlotCounts {
+        local: 5.0,
+        remote: 25.0,
+        region_count: 3,
+        round_trip: Some(Millis(110)),
     };
-    spill.step(few, Millis(1_000));
-    assert!((spill.part() - 0.5).abs() < 1e-9);
-    let away = (0..1000).filter(|object| spill.is_away(*object)).count();
+    spillover.update(few_local, Millis(1_000));
+    assert!((spillover.remote_fraction() - 0.5).abs() < 1e-9);
+    let away = (0..1000)
+        .filter(|object| spillover.is_remote(*object))
+        .count();
     assert!((400..600).contains(&away), "{away} of 1000");
 }
 
@@ -155,8 +157,8 @@
 /// of them in two seconds.
 #[test]
 fn the_threshold_moves_slowly_whatever_the_load() {
-    let spill = Spillover::default();
-    spill.step(EVEN, Millis(0));
+    let spillover = Spillover::default();
+    spillover.update(EVEN_SLOTS, Millis(0));
     let load = |running, waiting| ServerLoad {
         running,
         waiting,
@@ -164,22 +166,28 @@
     };
     for at in 1..=80 {
         let now = Millis(at * 250);
-        (0..50).for_each(|_| spill.record(true, load(3, 9), Millis(260), now));
-        spill.record(false, load(1, 0), Millis(370), now);
-        let before = spill.part();
-        spill.step(EVEN, Millis(at * 250));
-        assert!(spill.part() - before <= 0.04 * 0.25 + 1e-9);
+        (0..50).for_each(|_| spillover.record(true, load(3, 9), Millis(260), now));
+        spillover.record(false, load(1, 0), Millis(370), now);
+        let before = spillover.remote_fraction();
+        spillover.update(EVEN_SLOTS, Millis(at * 250));
+        assert!(spillover.remote_fraction() - before <= 0.04 * 0.25 + 1e-9);
     }
-    assert!(spill.part() > 0.3, "a busy region sends objects away");
+    assert!(
+        spillover.remote_fraction() > 0.3,
+        "a busy region sends objects away"
+    );
 }
 
 #[test]
 fn nobody_serves_at_home_where_there_are_no_slots() {
-    let spill = Spillover::default();
-    spill.step(EVEN, Millis(0));
-    let none = Room { own: 0.0, ..EVEN };
-    spill.step(none, Millis(250));
-    assert!((0..100).all(|object| spill.is_away(object)));
+    let spillover = Spillover::default();
+    spillover.update(EVEN_SLOTS, Millis(0));
+    let no_local = SlotCounts {
+        local: 0.0,
+        ..EVEN_SLOTS
+    };
+    spillover.update(no_local, Millis(250));
+    assert!((0..100).all(|object| spillover.is_remote(object)));
 }
 
 #[test]
@@ -254,12 +262,12 @@
         .filter(|u| u.region.as_str() == "south")
         .collect();
     let region = "north".into();
-    let wish = wish(1, &region, clock.now());
+    let params = params(1, &region, clock.now());
     for place in [Locality::Domain, Locality::Region, Locality::OtherRegions] {
         let first =
-            select(&wish, &far, &ServiceTimes::default(), place).expect("there are servers");
+            select(&params, &far, &ServiceTimes::default(), place).expect("there are servers");
         let again =
-            select(&wish, &far, &ServiceTimes::default(), place).expect("there are servers");
+            select(&params, &far, &ServiceTimes::default(), place).expect("there are servers");
         assert_eq!(first.upstream.id, again.upstream.id);
     }
 }
@@ -274,10 +282,10 @@
     let told = ServerLoad::parse("1,0,3").expect("a load");
     server.record_load(told, Millis(9_300));
     let region = RegionName::from("north");
-    let wish = wish(7, &region, Millis(10_000));
+    let params = params(7, &region, Millis(10_000));
     let candidates = [Rc::clone(&server)];
     let chosen = select(
-        &wish,
+        &params,
         &candidates,
         &ServiceTimes::default(),
         Locality::Region,
--- a/crates/edge/tests/homes.rs
+++ b/crates/edge/tests/homes.rs
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 
 use heatherknot_edge::hand_over::HandOverHeader;
-use heatherknot_edge::homes::{HomeDirectory, home_of};
+use heatherknot_edge::homes::{HomeDirectory, find_home};
 use heatherknot_edge::presence::VmEntry;
 use heatherknot_edge::upstream::Upstream;
 use heatherknot_types::prelude::*;
@@ -55,8 +55,8 @@
     let mut other = one.clone();
     other.reverse();
     for server in servers("a", 100, &clock) {
-        let home = home_of(&server, &one).expect("there are VMs");
-        assert_eq!(Some(&home), home_of(&server, &other).as_ref());
+        let home = find_home(&server, &one).expect("there are VMs");
+        assert_eq!(Some(&home), find_home(&server, &other).as_ref());
         assert!(home.vm.as_str().starts_with("a-"));
     }
 }
@@ -67,8 +67,8 @@
     let mut vms = vms(&["a"]);
     vms.iter_mut().for_each(|vm| vm.handed = None);
     let server = upstream("s", "a", &clock);
-    assert_eq!(home_of(&server, &vms), None);
-    assert_eq!(home_of(&server, &[]), None);
+    assert_eq!(find_home(&server, &vms), None);
+    assert_eq!(find_home(&server, &[]), None);
 }
 
 #[test]
@@ -77,9 +77,9 @@
     let (before, servers) = (vms(&["a"]), servers("a", 300, &clock));
     let after: Vec<VmEntry> = before[1..].to_vec();
     for server in &servers {
-        let home = home_of(server, &before).expect("there are VMs");
+        let home = find_home(server, &before).expect("there are VMs");
         if home.vm != before[0].name {
-            assert_eq!(Some(home), home_of(server, &after));
+            assert_eq!(Some(home), find_home(server, &after));
         }
     }
 }
@@ -118,26 +118,26 @@
         .collect();
     let homes: Vec<VmName> = servers
         .iter()
-        .map(|s| home_of(s, &vms).expect("there are VMs").vm)
+        .map(|s| find_home(s, &vms).expect("there are VMs").vm)
         .collect();
     let mut rng = fastrand::Rng::with_seed(7);
-    let (a_second, seconds) = (4_800_u64, 30_u64);
+    let (requests_per_second, seconds) = (4_800_u64, 30_u64);
     let mut direct: HashMap<(usize, usize), u64> = HashMap::new();
-    let mut over_homes = HashSet::new();
-    let (mut new_direct, mut new_over_homes) = (0_u64, 0_u64);
+    let mut via_homes = HashSet::new();
+    let (mut new_direct, mut new_via_homes) = (0_u64, 0_u64);
 
-    for request in 0..a_second * seconds {
-        let at = request * 1_000 / a_second;
+    for request in 0..requests_per_second * seconds {
+        let at = request * 1_000 / requests_per_second;
         let (from, to) = (rng.usize(..vms.len()), rng.usize(..servers.len()));
         let last = direct.insert((from, to), at);
         new_direct += u64::from(last.is_none_or(|last| at - last > 8_000));
-        let is_own = homes[to] == vms[from].name;
-        new_over_homes += u64::from(!is_own && over_homes.insert((from, homes[to].clone())));
+        let is_home = homes[to] == vms[from].name;
+        new_via_homes += u64::from(!is_home && via_homes.insert((from, homes[to].clone())));
     }
 
-    let all = a_second * seconds;
+    let all = requests_per_second * seconds;
     assert!(new_direct > all * 9 / 10, "{new_direct} of {all}");
-    assert!(new_over_homes < all / 3, "{new_over_homes} of {all}");
+    assert!(new_via_homes < all / 3, "{new_via_homes} of {all}");
 }
 
 /// Pattern: few wide VMs among many narrow ones.
@@ -151,12 +151,12 @@
     let vms = vms(&["a"]);
     let servers = servers("a", 600, &clock);
     let is_wide = |s: &&Rc<Upstream>| {
-        let home = home_of(s, &vms).expect("there are VMs");
+        let home = find_home(s, &vms).expect("there are VMs");
         home.vm.as_str().contains("wide")
     };
-    let at_wide = servers.iter().filter(is_wide).count();
-    assert!(at_wide > 400, "{at_wide}");
-    assert!(at_wide < 600, "narrow ones take their part");
+    let on_wide = servers.iter().filter(is_wide).count();
+    assert!(on_wide > 400, "{on_wide}");
+    assert!(on_wide < 600, "narrow ones take their part");
 }
 
 #[test]
--- a/crates/edge/tests/load_patterns.rs
+++ b/crates/edge/tests/load_patterns.rs
@@ -5,10 +5,10 @@
 
 use std::rc::Rc;
 
-use heatherknot_edge::locality::{Carried, RouteLocality};
+use heatherknot_edge::locality::{RouteLocality, TransferProfile};
 use heatherknot_edge::selection::{Locality, SelectionParams, first_ranked, select};
 use heatherknot_edge::service_times::ServiceTimes;
-use heatherknot_edge::spillover::{Room, Spillover};
+use heatherknot_edge::spillover::{SlotCounts, Spillover};
 use heatherknot_edge::switches::Switches;
 use heatherknot_edge::upstream::{ServerLoad, Upstream};
 use heatherknot_types::prelude::*;
@@ -28,24 +28,26 @@
 /// with half of the slots and a third of the callers need send nothing away.
 #[test]
 fn callers_after_a_start_find_their_objects_near() {
-    let spill = Spillover::default();
-    let nothing = Room {
-        regions: 3,
-        ..Room::default()
+    let spillover = Spillover::default();
+    let no_slots = SlotCounts {
+        region_count: 3,
+        ..SlotCounts::default()
     };
-    let half = Room {
-        own: 90.0,
-        elsewhere: 90.0,
-        regions: 3,
-        ..Room::default()
+    let half_local = SlotCounts {
+        local: 90.0,
+        remote: 90.0,
+        region_count: 3,
+        ..SlotCounts::default()
     };
 
-    spill.step(nothing, Millis(0));
+    spillover.update(no_slots, Millis(0));
     for tick in 1..=32 {
-        spill.step(half, Millis(tick * TICK.0));
+        spillover.update(half_local, Millis(tick * TICK.0));
     }
 
-    let away = (0..1_000).filter(|object| spill.is_away(*object)).count();
+    let away = (0..1_000)
+        .filter(|object| spillover.is_remote(*object))
+        .count();
     assert_eq!(away, 0);
 }
 
@@ -57,22 +59,22 @@
 /// Grounds: 0.15 of a region's requests may change their region in two seconds.
 #[test]
 fn under_traffic_the_threshold_never_jumps() {
-    let spill = Spillover::default();
-    let room = |own: f64| Room {
-        own,
-        elsewhere: 180.0 - own,
-        regions: 3,
-        ..Room::default()
+    let spillover = Spillover::default();
+    let slot_counts = |own: f64| SlotCounts {
+        local: own,
+        remote: 180.0 - own,
+        region_count: 3,
+        ..SlotCounts::default()
     };
-    spill.step(room(90.0), Millis(0));
-    assert!(!spill.is_away(1), "a caller has come");
+    spillover.update(slot_counts(90.0), Millis(0));
+    assert!(!spillover.is_remote(1), "a caller has come");
 
-    let mut before = spill.part();
+    let mut before = spillover.remote_fraction();
     for tick in 1..=64 {
         let own = if tick < 32 { 9.0 } else { 90.0 };
-        spill.step(room(own), Millis(tick * TICK.0));
-        assert!((spill.part() - before).abs() <= 0.15 * TICK.as_secs_f64() / 2.0);
-        before = spill.part();
+        spillover.update(slot_counts(own), Millis(tick * TICK.0));
+        assert!((spillover.remote_fraction() - before).abs() <= 0.15 * TICK.as_secs_f64() / 2.0);
+        before = spillover.remote_fraction();
     }
 }
 
@@ -85,36 +87,40 @@
 /// Grounds: three slots a server, a third of them busy; callers of 30 s.
 #[test]
 fn a_region_with_room_again_takes_its_objects_back() {
-    let spill = Spillover::default();
-    let room = Room {
-        own: 240.0,
-        elsewhere: 240.0,
-        regions: 2,
-        way: Some(Millis(110)),
+    let spillover = Spillover::default();
+    let slot_counts = SlotCounts {
+        local: 240.0,
+        remote: 240.0,
+        region_count: 2,
+        round_trip: Some(Millis(110)),
     };
     let load = |running, waiting| ServerLoad {
         running,
         waiting,
         slots: 3,
     };
-    let play = |from: u64, own: &[ServerLoad]| {
+    let run_ticks = |from: u64, own: &[ServerLoad]| {
         for tick in from..from + 40 {
             let now = Millis(tick * TICK.0);
             own.iter()
-                .for_each(|told| spill.record(true, *told, Millis(260), now));
-            spill.record(false, load(1, 0), Millis(370), now);
-            spill.step(room, now);
+                .for_each(|reported| spillover.record(true, *reported, Millis(260), now));
+            spillover.record(false, load(1, 0), Millis(370), now);
+            spillover.update(slot_counts, now);
         }
     };
 
-    assert!(!spill.is_away(1), "a caller has come");
-    play(1, &[load(3, 4), load(3, 5)]);
-    let busy = spill.part();
-    play(41, &[load(1, 0), load(2, 0), load(2, 0), load(3, 0)]);
-    play(81, &[load(1, 0), load(2, 0), load(2, 0), load(3, 0)]);
+    assert!(!spillover.is_remote(1), "a caller has come");
+    run_ticks(1, &[load(3, 4), load(3, 5)]);
+    let busy = spillover.remote_fraction();
+    run_ticks(41, &[load(1, 0), load(2, 0), load(2, 0), load(3, 0)]);
+    run_ticks(81, &[load(1, 0), load(2, 0), load(2, 0), load(3, 0)]);
 
     assert!(busy > 0.3, "{busy}");
-    assert!(spill.part() < 0.01, "{}", spill.part());
+    assert!(
+        spillover.remote_fraction() < 0.01,
+        "{}",
+        spillover.remote_fraction()
+    );
 }
 
 /// Pattern: a region with few servers, some of whose slots are free.
@@ -126,30 +132,34 @@
 /// Grounds: a ninth of the slots in one of three regions, none of them waited for in 20 s.
 #[test]
 fn a_region_takes_no_more_objects_than_its_part_of_the_slots() {
-    let spill = Spillover::default();
-    let few = Room {
-        own: 20.0,
-        elsewhere: 160.0,
-        regions: 3,
-        way: Some(Millis(110)),
+    let spillover = Spillover::default();
+    let few_local = SlotCounts {
+        local: 20.0,
+        remote: 160.0,
+        region_count: 3,
+        round_trip: Some(Millis(110)),
     };
     let idle = ServerLoad {
         running: 1,
         waiting: 0,
         slots: 3,
     };
-    spill.step(few, Millis(0));
-    let at_first = spill.part();
-    let _a_caller_has_come = spill.is_away(1);
+    spillover.update(few_local, Millis(0));
+    let at_first = spillover.remote_fraction();
+    let _a_caller_has_come = spillover.is_remote(1);
 
     for tick in 1..=80 {
         let now = Millis(tick * TICK.0);
-        spill.record(true, idle, Millis(260), now);
-        spill.record(false, idle, Millis(370), now);
-        spill.step(few, now);
+        spillover.record(true, idle, Millis(260), now);
+        spillover.record(false, idle, Millis(370), now);
+        spillover.update(few_local, now);
     }
 
-    assert!((spill.part() - at_first).abs() < 1e-9, "{}", spill.part());
+    assert!(
+        (spillover.remote_fraction() - at_first).abs() < 1e-9,
+        "{}",
+        spillover.remote_fraction()
+    );
 }
 
 /// Pattern: a region with a third of the callers and a tenth of the servers.
@@ -160,22 +170,25 @@
 /// Grounds: 20 slots of 180 in one of three regions; a way of 113 ms and a target of 400 ms.
 #[test]
 fn where_servers_are_few_what_carries_much_stays() {
-    let spill = Spillover::default();
-    let few = Room {
-        own: 20.0,
-        elsewhere: 160.0,
-        regions: 3,
-        ..Room::default()
+    let spillover = Spillover::default();
+    let few_local = SlotCounts {
+        local: 20.0,
+        remote: 160.0,
+        region_count: 3,
+        ..SlotCounts::default()
+    };
+    spillover.update(few_local, Millis(0));
+    let profile = |large| TransferProfile {
+        expects_large: large,
+        local_vms: 1,
     };
-    spill.step(few, Millis(0));
-    let carried = |large| Carried { large, vms_here: 1 };
     let (uploads, reads) = (RouteLocality::default(), RouteLocality::default());
-    uploads.step(carried(true), Millis(0));
-    reads.step(carried(false), Millis(0));
+    uploads.update(profile(true), Millis(0));
+    reads.update(profile(false), Millis(0));
 
     let away = |route: &RouteLocality| {
         let places =
-            (0..1_000).map(|object| route.locality_of(object, &spill, Switches::default()));
+            (0..1_000).map(|object| route.locality_of(object, &spillover, Switches::default()));
         places
             .filter(|place| *place == Locality::OtherRegions)
             .count()
@@ -194,31 +207,31 @@
 /// Grounds: the longest and the shortest of 90 first measurements of a way of 110 ms.
 #[test]
 fn a_way_measured_too_long_at_a_start_moves_nothing_later() {
-    let (route, spill) = (RouteLocality::default(), Spillover::default());
-    let room = |way| Room {
-        own: 60.0,
-        elsewhere: 120.0,
-        regions: 3,
-        way: Some(Millis(way)),
+    let (route, spillover) = (RouteLocality::default(), Spillover::default());
+    let slot_counts = |way| SlotCounts {
+        local: 60.0,
+        remote: 120.0,
+        region_count: 3,
+        round_trip: Some(Millis(way)),
     };
-    let near = |spill: &Spillover| {
+    let near = |spillover: &Spillover| {
         let is_near = |object: &u64| {
-            route.locality_of(*object, spill, Switches::default()) == Locality::Region
+            route.locality_of(*object, spillover, Switches::default()) == Locality::Region
         };
         (0..1_000).filter(is_near).count()
     };
 
-    spill.step(room(146), Millis(0));
-    let at_first = near(&spill);
-    spill.step(room(113), Millis(500));
+    spillover.update(slot_counts(146), Millis(0));
+    let at_first = near(&spillover);
+    spillover.update(slot_counts(113), Millis(500));
 
-    assert_eq!((at_first, near(&spill)), (1_000, 1_000));
+    assert_eq!((at_first, near(&spillover)), (1_000, 1_000));
 }
 
 /// A home of `count` servers, the wish for one object among them, and the first of its rank.
-fn home_with<T>(
+fn with_servers<T>(
     count: usize,
-    act: impl FnOnce(&[Rc<Upstream>], &SelectionParams<'_>, &Rc<Upstream>) -> T,
+    body: impl FnOnce(&[Rc<Upstream>], &SelectionParams<'_>, &Rc<Upstream>) -> T,
 ) -> T {
     let clock = TestClock::default().clock();
     let id = |i| format!("server-{i}");
@@ -227,7 +240,7 @@
         .collect();
     let region = "north".into();
     let domain = "north".into();
-    let wish = SelectionParams {
+    let params = SelectionParams {
         object: 1,
         sticky: true,
         region: &region,
@@ -241,16 +254,16 @@
         is_home: &|_| true,
         placement: None,
     };
-    let first = first_ranked(&wish, &servers, Locality::Region).expect("there are servers");
-    act(&servers, &wish, &first)
+    let first = first_ranked(&params, &servers, Locality::Region).expect("there are servers");
+    body(&servers, &params, &first)
 }
 
 /// A pace by which a kept object takes 260 ms and another one 1,050 ms.
-fn pace() -> ServiceTimes {
-    let pace = ServiceTimes::default();
-    pace.record(&"north".into(), true, Millis(260));
-    pace.record(&"north".into(), false, Millis(1_050));
-    pace
+fn service_times() -> ServiceTimes {
+    let service_times = ServiceTimes::default();
+    service_times.record(&"north".into(), true, Millis(260));
+    service_times.record(&"north".into(), false, Millis(1_050));
+    service_times
 }
 
 /// Pattern: fewer objects than servers, and some servers are the first of three or four.
@@ -262,10 +275,11 @@
 /// lies at a server with three or more; a third of all slots is busy.
 #[test]
 fn where_others_are_idle_a_crowded_servers_objects_get_copies() {
-    home_with(60, |servers, wish, first| {
+    with_servers(60, |servers, params, first| {
         let _eight: Vec<_> = (0..8).map(|_| first.start_request()).collect();
 
-        let chosen = select(wish, servers, &pace(), Locality::Region).expect("there are servers");
+        let chosen =
+            select(params, servers, &service_times(), Locality::Region).expect("there are servers");
 
         assert_ne!(chosen.upstream.id, first.id);
         assert!(chosen.has_free_slot);
@@ -280,14 +294,15 @@
 /// Grounds: two slots in three busy leave one of each server's three in the mean.
 #[test]
 fn where_all_servers_are_busy_no_copies_are_made() {
-    home_with(60, |servers, wish, first| {
+    with_servers(60, |servers, params, first| {
         let _eight: Vec<_> = (0..8).map(|_| first.start_request()).collect();
         let others = servers.iter().filter(|u| u.id != first.id);
         let _two_each: Vec<_> = others
             .flat_map(|u| [u.start_request(), u.start_request()])
             .collect();
 
-        let chosen = select(wish, servers, &pace(), Locality::Region).expect("there are servers");
+        let chosen =
+            select(params, servers, &service_times(), Locality::Region).expect("there are servers");
 
         assert_eq!(chosen.upstream.id, first.id);
     });
@@ -303,19 +318,20 @@
 /// others beside free slots.
 #[test]
 fn a_fraction_of_a_request_does_not_fill_a_server() {
-    home_with(4, |servers, wish, first| {
+    with_servers(4, |servers, params, first| {
         let _two: Vec<_> = (0..2).map(|_| first.start_request()).collect();
         let load = |running| ServerLoad {
             running,
             waiting: 0,
             slots: 3,
         };
-        first.record_load(load(3), wish.now);
+        first.record_load(load(3), params.now);
         (0..10).for_each(|_| {
-            first.record_load(load(2), wish.now);
+            first.record_load(load(2), params.now);
         });
 
-        let chosen = select(wish, servers, &pace(), Locality::Region).expect("there are servers");
+        let chosen =
+            select(params, servers, &service_times(), Locality::Region).expect("there are servers");
 
         assert!(chosen.has_free_slot && chosen.upstream.id == first.id);
     });
--- a/crates/edge/tests/spread.rs
+++ b/crates/edge/tests/placement.rs
@@ -18,22 +18,27 @@
     names.map(|name| upstream(&name, "south", &clock)).collect()
 }
 
-fn ranked_first(object: u64, servers: &[Rc<Upstream>]) -> &Rc<Upstream> {
+fn top_ranked(object: u64, servers: &[Rc<Upstream>]) -> &Rc<Upstream> {
     let place = |u: &&Rc<Upstream>| hash::rendezvous(&[&object.to_le_bytes()], u.id.as_str());
     servers.iter().max_by_key(place).expect("there are servers")
 }
 
-fn put(spread: &ObjectPlacement, object: u64, servers: &[Rc<Upstream>], now: u64) -> UpstreamName {
-    let own: Vec<&Rc<Upstream>> = servers.iter().collect();
-    let first = ranked_first(object, servers);
-    spread
-        .server_of(object, first, &own, Millis(now))
+fn place(
+    placement: &ObjectPlacement,
+    object: u64,
+    servers: &[Rc<Upstream>],
+    now: u64,
+) -> UpstreamName {
+    let own_servers: Vec<&Rc<Upstream>> = servers.iter().collect();
+    let first = top_ranked(object, servers);
+    placement
+        .server_of(object, first, &own_servers, Millis(now))
         .id
         .clone()
 }
 
-fn objects_each(at: &HashMap<u64, UpstreamName>, servers: &[Rc<Upstream>]) -> Vec<usize> {
-    let of = |u: &Rc<Upstream>| at.values().filter(|server| **server == u.id).count();
+fn object_counts(placed: &HashMap<u64, UpstreamName>, servers: &[Rc<Upstream>]) -> Vec<usize> {
+    let of = |u: &Rc<Upstream>| placed.values().filter(|server| **server == u.id).count();
     servers.iter().map(of).collect()
 }
 
@@ -49,37 +54,38 @@
     let all = servers(12);
     let homes: Vec<(ObjectPlacement, &[Rc<Upstream>])> = all
         .chunks(4)
-        .map(|own| (ObjectPlacement::default(), own))
+        .map(|own_servers| (ObjectPlacement::default(), own_servers))
         .collect();
     let mut by_rank = HashMap::new();
-    let mut by_home = HashMap::new();
+    let mut by_placement = HashMap::new();
 
     for object in 0..217 {
-        let first = ranked_first(object, &all);
+        let first = top_ranked(object, &all);
         by_rank.insert(object, first.id.clone());
-        let of =
-            |(_, own): &&(ObjectPlacement, &[Rc<Upstream>])| own.iter().any(|u| u.id == first.id);
-        let (spread, own) = homes.iter().find(of).expect("each server has a home");
-        let own: Vec<&Rc<Upstream>> = own.iter().collect();
-        by_home.insert(
+        let of = |(_, own_servers): &&(ObjectPlacement, &[Rc<Upstream>])| {
+            own_servers.iter().any(|u| u.id == first.id)
+        };
+        let (placement, own_servers) = homes.iter().find(of).expect("each server has a home");
+        let own_servers: Vec<&Rc<Upstream>> = own_servers.iter().collect();
+        by_placement.insert(
             object,
-            spread
-                .server_of(object, first, &own, Millis(object))
+            placement
+                .server_of(object, first, &own_servers, Millis(object))
                 .id
                 .clone(),
         );
     }
 
-    let most = |at: &HashMap<u64, UpstreamName>| objects_each(at, &all).into_iter().max();
+    let most = |placed: &HashMap<u64, UpstreamName>| object_counts(placed, &all).into_iter().max();
     assert!(
         most(&by_rank) > Some(21),
         "{:?}",
-        objects_each(&by_rank, &all)
+        object_counts(&by_rank, &all)
     );
     assert!(
-        most(&by_home) <= Some(21),
+        most(&by_placement) <= Some(21),
         "{:?}",
-        objects_each(&by_home, &all)
+        object_counts(&by_placement, &all)
     );
 }
 
@@ -89,15 +95,15 @@
 fn an_object_stays_where_it_was_put() {
     let servers = servers(6);
     check().with_type::<Vec<u8>>().for_each(|asked| {
-        let spread = ObjectPlacement::default();
-        let mut at = HashMap::new();
+        let placement = ObjectPlacement::default();
+        let mut placed = HashMap::new();
         for (now, object) in asked.iter().enumerate() {
             let object = u64::from(*object);
-            let server = put(&spread, object, &servers, now as u64 * 10);
-            let before = at.insert(object, server.clone());
+            let server = place(&placement, object, &servers, now as u64 * 10);
+            let before = placed.insert(object, server.clone());
             assert!(before.is_none_or(|before| before == server));
         }
-        let each = objects_each(&at, &servers);
+        let each = object_counts(&placed, &servers);
         let (least, most) = (each.iter().min(), each.iter().max());
         assert!(most.unwrap_or(&0) <= &(least.unwrap_or(&0) + 2), "{each:?}");
     });
@@ -107,14 +113,14 @@
 #[test]
 fn objects_of_a_server_that_left_go_to_those_with_the_fewest() {
     let servers = servers(5);
-    let spread = ObjectPlacement::default();
+    let placement = ObjectPlacement::default();
     let before: HashMap<u64, UpstreamName> = (0..100)
-        .map(|object| (object, put(&spread, object, &servers, 0)))
+        .map(|object| (object, place(&placement, object, &servers, 0)))
         .collect();
 
     let left = &servers[1..];
     let after: HashMap<u64, UpstreamName> = (0..100)
-        .map(|object| (object, put(&spread, object, left, 100)))
+        .map(|object| (object, place(&placement, object, left, 100)))
         .collect();
 
     let stay = before
@@ -124,7 +130,7 @@
         stay.clone()
             .all(|(object, server)| after[object] == *server)
     );
-    let each = objects_each(&after, left);
+    let each = object_counts(&after, left);
     assert!(
         each.iter().max() <= each.iter().min().map(|least| least + 2).as_ref(),
         "{each:?}"
@@ -134,16 +140,16 @@
 #[test]
 fn an_object_that_nobody_asks_for_makes_room() {
     let servers = servers(2);
-    let spread = ObjectPlacement::default();
+    let placement = ObjectPlacement::default();
     for object in 0..40 {
-        put(&spread, object, &servers, 0);
+        place(&placement, object, &servers, 0);
     }
 
-    let again = put(&spread, 1_000, &servers, 60_000);
+    let again = place(&placement, 1_000, &servers, 60_000);
 
     assert_eq!(
         again,
-        ranked_first(1_000, &servers).id,
+        top_ranked(1_000, &servers).id,
         "the counts began anew"
     );
 }
--- a/crates/edge/tests/quantile.rs
+++ b/crates/edge/tests/quantile.rs
@@ -19,12 +19,12 @@
 /// of them, none kept its objects any more, and the rush went on for as long as callers came.
 #[test]
 fn waits_in_queues_are_not_taken_for_work() {
-    let pace = ServiceTimes::default();
+    let service_times = ServiceTimes::default();
     let region: RegionName = "north".into();
     for at in 0..400 {
         let waited = if at % 3 == 0 { 0 } else { 700 };
-        pace.record(&region, true, Millis(260 + waited));
+        service_times.record(&region, true, Millis(260 + waited));
     }
-    let work = pace.expected(&region, true, 600.0);
+    let work = service_times.expected_ms(&region, true, 600.0);
     assert!((200.0..320.0).contains(&work), "{work}");
 }
--- a/crates/edge/tests/region_counts.rs
+++ b/crates/edge/tests/region_counts.rs
@@ -8,34 +8,38 @@
 /// them away, or only what was under way to far regions was left.
 #[test]
 fn what_was_sent_and_what_is_still_under_way_are_told_apart() {
-    let sent = RegionCounts::default();
-    let near = sent.start_request(&"north".into());
+    let counts = RegionCounts::default();
+    let near = counts.start_request(&"north".into());
     let far: Vec<_> = (0..3)
-        .map(|_| sent.start_request(&"south".into()))
+        .map(|_| counts.start_request(&"south".into()))
         .collect();
     drop(near);
-    let first = sent.take_summary(Millis(2_000)).expect("a summary is due");
-    let _late = sent.start_request(&"south".into());
+    let first = counts
+        .take_summary(Millis(2_000))
+        .expect("a summary is due");
+    let _late = counts.start_request(&"south".into());
 
-    let second = sent.take_summary(Millis(4_000)).expect("a summary is due");
+    let second = counts
+        .take_summary(Millis(4_000))
+        .expect("a summary is due");
 
     assert_eq!(
         (first.requests, first.sent.as_str()),
         (4, "north=1 south=3")
     );
-    assert_eq!(first.under_way, "north=0 south=3");
+    assert_eq!(first.in_flight, "north=0 south=3");
     assert_eq!(second.sent, "north=0 south=1");
-    assert_eq!(second.under_way, "north=0 south=4");
+    assert_eq!(second.in_flight, "north=0 south=4");
     drop(far);
 }
 
 #[test]
 fn nothing_is_told_before_its_time_or_of_a_quiet_service() {
-    let sent = RegionCounts::default();
-    let one = sent.start_request(&"north".into());
+    let counts = RegionCounts::default();
+    let one = counts.start_request(&"north".into());
 
-    assert_eq!(sent.take_summary(Millis(1_999)), None);
-    assert!(sent.take_summary(Millis(2_000)).is_some());
+    assert_eq!(counts.take_summary(Millis(1_999)), None);
+    assert!(counts.take_summary(Millis(2_000)).is_some());
     drop(one);
-    assert_eq!(sent.take_summary(Millis(4_000)), None);
+    assert_eq!(counts.take_summary(Millis(4_000)), None);
 }
--- a/crates/edge/tests/regions.rs
+++ b/crates/edge/tests/regions.rs
@@ -3,20 +3,20 @@
 mod support;
 
 use heatherknot_types::prelude::*;
-use support::region_model::{Played, Region, Scenario, play};
+use support::region_model::{Region, Scenario, SimulationResult, simulate};
 
 /// The part of a region's requests that may change the region in which they run from one window of
 /// two seconds to the next.
-const MOST: f64 = 0.15;
+const MAX_SHIFT: f64 = 0.15;
 /// The time after which a day's start is over: windows before it are not compared.
-const STARTED: u64 = 3_000;
+const WARM_UP_MS: u64 = 3_000;
 
 /// Three regions with callers alike; they have 41, 49 and 10 of 100 servers.
 fn uneven_regions(seed: u64) -> Scenario {
     let region = |name, servers| Region {
         name,
         servers,
-        demand: 1_300.0,
+        requests_per_second: 1_300.0,
     };
     Scenario {
         regions: vec![
@@ -24,22 +24,22 @@
             region("plaines", 244),
             region("south", 50),
         ],
-        way: 55,
+        one_way_ms: 55,
         objects: 355,
-        kept: 13,
-        work: 250.0,
+        cache_capacity: 13,
+        cold_work_ms: 250.0,
         target: Millis(600),
-        end: 15_000,
+        end_ms: 15_000,
         seed,
     }
 }
 
-fn assert_no_shift(scenario: &Scenario, played: &Played, of: &[&str]) {
+fn assert_no_shift(scenario: &Scenario, result: &SimulationResult, names: &[&str]) {
     let regions = scenario.regions.iter().enumerate();
-    for (from, region) in regions.filter(|(_, region)| of.contains(&region.name)) {
-        let (shift, at) = played.largest_shift(from, scenario.regions.len(), STARTED);
+    for (from, region) in regions.filter(|(_, region)| names.contains(&region.name)) {
+        let (shift, at) = result.largest_shift(from, scenario.regions.len(), WARM_UP_MS);
         assert!(
-            shift <= MOST,
+            shift <= MAX_SHIFT,
             "{shift:.2} of the requests from {} change their region at {at} ms, seed {}",
             region.name,
             scenario.seed
@@ -57,9 +57,9 @@
     for seed in 1..=3 {
         let scenario = uneven_regions(seed);
 
-        let played = play(&scenario);
+        let result = simulate(&scenario);
 
-        assert_no_shift(&scenario, &played, &["north", "plaines"]);
+        assert_no_shift(&scenario, &result, &["north", "plaines"]);
     }
 }
 
@@ -72,8 +72,8 @@
     for seed in 1..=3 {
         let scenario = uneven_regions(seed);
 
-        let played = play(&scenario);
+        let result = simulate(&scenario);
 
-        assert_no_shift(&scenario, &played, &["north", "plaines", "south"]);
+        assert_no_shift(&scenario, &result, &["north", "plaines", "south"]);
     }
 }
--- a/crates/edge/tests/support/region_model.rs
+++ b/crates/edge/tests/support/region_model.rs
@@ -5,11 +5,11 @@
 use std::collections::{BinaryHeap, HashMap, VecDeque};
 use std::rc::Rc;
 
-use heatherknot_edge::locality::{Carried, RouteLocality};
+use heatherknot_edge::locality::{RouteLocality, TransferProfile};
 use heatherknot_edge::placement::ObjectPlacement;
 use heatherknot_edge::selection::{Locality, SelectionParams, first_ranked, select};
 use heatherknot_edge::service_times::ServiceTimes;
-use heatherknot_edge::spillover::{Room, Spillover};
+use heatherknot_edge::spillover::{SlotCounts, Spillover};
 use heatherknot_edge::switches::Switches;
 use heatherknot_edge::upstream::{InFlightGuard, ServerLoad, Upstream};
 use heatherknot_types::prelude::*;
@@ -17,20 +17,20 @@
 use super::{TestClock, upstream};
 
 /// How often a daemon moves its thresholds.
-const TICK: u64 = 250;
+const TICK_MS: u64 = 250;
 /// One way within a region.
-const NEAR: u64 = 1;
+const LOCAL_ONE_WAY_MS: u64 = 1;
 /// The slots of a server.
 const SLOTS: usize = 3;
 /// What is left of the work at a server that keeps the object.
-const KEPT_PART: f64 = 0.27;
+const WARM_WORK_FRACTION: f64 = 0.27;
 /// The time between two starts of windows that are compared.
-const STRIDE: u64 = 100;
+const WINDOW_STEP_MS: u64 = 100;
 /// The span of a window.
-const SPAN: u64 = 2_000;
+const WINDOW_MS: u64 = 2_000;
 /// The requests that a window must hold for its parts to be told from chance: with fewer, two
 /// standard deviations of a part of one half are more than the bound of 0.15.
-const ENOUGH: usize = 40;
+const MIN_EXECUTIONS: usize = 40;
 
 /// A region's callers and servers.
 #[derive(Clone, Copy, Debug)]
@@ -38,7 +38,7 @@
     pub name: &'static str,
     pub servers: usize,
     /// The requests a second of its callers.
-    pub demand: f64,
+    pub requests_per_second: f64,
 }
 
 /// What the model plays.
@@ -46,52 +46,57 @@
 pub struct Scenario {
     pub regions: Vec<Region>,
     /// One way to another region, in milliseconds.
-    pub way: u64,
+    pub one_way_ms: u64,
     /// The objects that are asked for, all alike.
     pub objects: u64,
     /// The objects that a server keeps.
-    pub kept: usize,
+    pub cache_capacity: usize,
     /// The work of an object that a server does not keep, in milliseconds.
-    pub work: f64,
+    pub cold_work_ms: f64,
     pub target: Millis,
     /// When the last caller has sent its last request, in milliseconds.
-    pub end: u64,
+    pub end_ms: u64,
     pub seed: u64,
 }
 
 /// A request that a server began to work on.
 #[derive(Clone, Copy, Debug)]
-pub struct Run {
+pub struct Execution {
     /// The region of its caller.
     pub from: usize,
     /// The region of the server.
     pub at: usize,
     /// When its caller sent it.
-    pub sent: u64,
+    pub sent_at: u64,
     /// When the server began to work on it.
-    pub began: u64,
+    pub started_at: u64,
 }
 
 /// What came of it.
 #[derive(Debug, Default)]
-pub struct Played {
-    pub runs: Vec<Run>,
-    pub asked: usize,
-    pub in_time: usize,
+pub struct SimulationResult {
+    pub executions: Vec<Execution>,
+    pub requests: usize,
+    pub within_target: usize,
     pub refused: usize,
     /// The sum of all answers' times, in milliseconds.
-    pub took: u64,
+    pub total_latency_ms: u64,
 }
 
-impl Played {
+impl SimulationResult {
     /// Gives the largest part of a region's requests that changes the region in which they run
     /// from one window of two seconds to the next, and when, for windows that hold enough.
     pub fn largest_shift(&self, from: usize, regions: usize, after: u64) -> (f64, u64) {
-        let last = self.runs.iter().map(|run| run.began).max().unwrap_or(0);
-        let ends = (after + SPAN..=last).step_by(STRIDE as usize);
-        let parts = |begin| self.parts(from, regions, begin);
+        let last = self
+            .executions
+            .iter()
+            .map(|execution| execution.started_at)
+            .max()
+            .unwrap_or(0);
+        let ends = (after + WINDOW_MS..=last).step_by(WINDOW_STEP_MS as usize);
+        let region_fractions = |start| self.region_fractions(from, regions, start);
         let shift = |at: u64| {
-            let (before, now) = (parts(at - SPAN)?, parts(at)?);
+            let (before, now) = (region_fractions(at - WINDOW_MS)?, region_fractions(at)?);
             let moved: f64 = before.iter().zip(&now).map(|(a, b)| (a - b).abs()).sum();
             Some((moved / 2.0, at))
         };
@@ -103,46 +108,54 @@
     }
 
     /// Gives the part of a region's requests that runs in each region, from `begin` for a window.
-    fn parts(&self, from: usize, regions: usize, begin: u64) -> Option<Vec<f64>> {
-        let window = begin..begin + SPAN;
-        let runs = self.runs.iter();
-        let runs: Vec<_> = runs
-            .filter(|run| run.from == from && window.contains(&run.began))
+    fn region_fractions(&self, from: usize, regions: usize, start: u64) -> Option<Vec<f64>> {
+        let window = start..start + WINDOW_MS;
+        let executions = self.executions.iter();
+        let executions: Vec<_> = executions
+            .filter(|execution| execution.from == from && window.contains(&execution.started_at))
             .collect();
-        if runs.len() < ENOUGH {
+        if executions.len() < MIN_EXECUTIONS {
             return None;
         }
-        let of = |region| runs.iter().filter(|run| run.at == region).count();
-        let part = |region| of(region) as f64 / runs.len() as f64;
-        Some((0..regions).map(part).collect())
+        let executed_in = |region| {
+            executions
+                .iter()
+                .filter(|execution| execution.at == region)
+                .count()
+        };
+        let fraction = |region| executed_in(region) as f64 / executions.len() as f64;
+        Some((0..regions).map(fraction).collect())
     }
 
     /// Gives the part of the requests of `from` that runs in other regions.
-    pub fn part_away(&self, from: usize) -> f64 {
-        let all = self.runs.iter().filter(|run| run.from == from);
-        let (away, all) = all.fold((0_u32, 0_u32), |(away, all), run| {
-            (away + u32::from(run.at != from), all + 1)
+    pub fn remote_fraction(&self, from: usize) -> f64 {
+        let all = self
+            .executions
+            .iter()
+            .filter(|execution| execution.from == from);
+        let (away, all) = all.fold((0_u32, 0_u32), |(away, all), execution| {
+            (away + u32::from(execution.at != from), all + 1)
         });
         f64::from(away) / f64::from(all.max(1))
     }
 }
 
 /// A request on its way.
-struct Flying {
+struct InFlightRequest {
     from: usize,
     object: u64,
-    sent: u64,
+    sent_at: u64,
     server: usize,
-    flight: Option<InFlightGuard>,
-    free: bool,
+    guard: Option<InFlightGuard>,
+    had_free_slot: bool,
 }
 
 enum Event {
     Send(usize),
-    Handed(Flying),
-    Arrived(Flying),
-    Done(Flying, u64),
-    Answered(Flying, ServerLoad, u64),
+    HandedOver(InFlightRequest),
+    Arrived(InFlightRequest),
+    Finished(InFlightRequest, u64),
+    Answered(InFlightRequest, ServerLoad, u64),
     Tick,
 }
 
@@ -150,24 +163,24 @@
 #[derive(Default)]
 struct Server {
     running: usize,
-    queue: VecDeque<Flying>,
-    kept: VecDeque<u64>,
+    queue: VecDeque<InFlightRequest>,
+    cached: VecDeque<u64>,
 }
 
 /// Where a server is found.
 #[derive(Clone, Copy)]
-struct ServerPlace {
+struct ServerLocation {
     server: usize,
     region: usize,
 }
 
 /// What the VMs of a region have learned.
-struct Learned {
+struct RegionState {
     name: RegionName,
-    spill: Spillover,
-    reach: RouteLocality,
-    pace: ServiceTimes,
-    spread: ObjectPlacement,
+    spillover: Spillover,
+    route_locality: RouteLocality,
+    service_times: ServiceTimes,
+    placement: ObjectPlacement,
 }
 
 struct Model<'a> {
@@ -175,18 +188,18 @@
     test: TestClock,
     servers: Vec<Server>,
     upstreams: Vec<Rc<Upstream>>,
-    places: HashMap<UpstreamName, ServerPlace>,
-    regions: Vec<Learned>,
+    locations: HashMap<UpstreamName, ServerLocation>,
+    regions: Vec<RegionState>,
     events: BinaryHeap<Reverse<(u64, u64)>>,
-    held: Vec<Option<Event>>,
+    pending: Vec<Option<Event>>,
     rng: fastrand::Rng,
     /// When the next caller of each region comes, in milliseconds.
-    next_at: Vec<f64>,
-    played: Played,
+    next_request_at: Vec<f64>,
+    result: SimulationResult,
 }
 
 /// Plays a scenario to its end.
-pub fn play(scenario: &Scenario) -> Played {
+pub fn simulate(scenario: &Scenario) -> SimulationResult {
     let test = TestClock::default();
     let clock = test.clock();
     let of_region = |region: &Region| {
@@ -199,37 +212,37 @@
         let mut regions = scenario.regions.iter();
         regions.position(|region| region.name == upstream.region.as_str())
     };
-    let places = upstreams.iter().enumerate().map(|(server, upstream)| {
+    let locations = upstreams.iter().enumerate().map(|(server, upstream)| {
         let region = region_of(upstream).expect("a region");
-        (upstream.id.clone(), ServerPlace { server, region })
+        (upstream.id.clone(), ServerLocation { server, region })
     });
-    let places = places.collect();
-    let learned = |region: &Region| Learned {
+    let locations = locations.collect();
+    let new_state = |region: &Region| RegionState {
         name: region.name.into(),
-        spill: Spillover::default(),
-        reach: RouteLocality::default(),
-        pace: ServiceTimes::default(),
-        spread: ObjectPlacement::default(),
+        spillover: Spillover::default(),
+        route_locality: RouteLocality::default(),
+        service_times: ServiceTimes::default(),
+        placement: ObjectPlacement::default(),
     };
     let mut model = Model {
         scenario,
         test,
         servers: upstreams.iter().map(|_| Server::default()).collect(),
         upstreams,
-        places,
-        regions: scenario.regions.iter().map(learned).collect(),
+        locations,
+        regions: scenario.regions.iter().map(new_state).collect(),
         events: BinaryHeap::new(),
-        held: Vec::new(),
-        next_at: vec![0.0; scenario.regions.len()],
+        pending: Vec::new(),
+        next_request_at: vec![0.0; scenario.regions.len()],
         rng: fastrand::Rng::with_seed(scenario.seed),
-        played: Played::default(),
+        result: SimulationResult::default(),
     };
     model.tick();
     for from in 0..scenario.regions.len() {
-        model.next_caller(from);
+        model.schedule_next_request(from);
     }
     model.run();
-    model.played
+    model.result
 }
 
 impl Model<'_> {
@@ -237,12 +250,14 @@
         while let Some(Reverse((at, number))) = self.events.pop() {
             let now = self.now();
             self.test.advance(at - now);
-            match self.held[number as usize].take() {
+            match self.pending[number as usize].take() {
                 Some(Event::Send(from)) => self.send(from),
-                Some(Event::Handed(flying)) => self.choose(flying),
-                Some(Event::Arrived(flying)) => self.arrive(flying),
-                Some(Event::Done(flying, began)) => self.done(flying, began),
-                Some(Event::Answered(flying, load, began)) => self.answered(flying, load, began),
+                Some(Event::HandedOver(request)) => self.select_server(request),
+                Some(Event::Arrived(request)) => self.arrive(request),
+                Some(Event::Finished(request, started_at)) => self.finish(request, started_at),
+                Some(Event::Answered(request, load, started_at)) => {
+                    self.receive_answer(request, load, started_at)
+                }
                 Some(Event::Tick) => self.tick(),
                 None => {}
             }
@@ -253,31 +268,35 @@
         self.test.clock().now().0
     }
 
-    fn after(&mut self, millis: u64, event: Event) {
+    fn schedule_after(&mut self, millis: u64, event: Event) {
         let at = self.now() + millis;
-        let number = self.held.len() as u64;
-        self.held.push(Some(event));
+        let number = self.pending.len() as u64;
+        self.pending.push(Some(event));
         self.events.push(Reverse((at, number)));
     }
 
-    fn way(&self, from: usize, to: usize) -> u64 {
-        if from == to { NEAR } else { self.scenario.way }
+    fn one_way_ms(&self, from: usize, to: usize) -> u64 {
+        if from == to {
+            LOCAL_ONE_WAY_MS
+        } else {
+            self.scenario.one_way_ms
+        }
     }
 
     fn region_of(&self, server: usize) -> usize {
-        self.places[&self.upstreams[server].id].region
+        self.locations[&self.upstreams[server].id].region
     }
 
     fn index_of(&self, upstream: &Upstream) -> usize {
-        self.places[&upstream.id].server
+        self.locations[&upstream.id].server
     }
 
-    fn next_caller(&mut self, from: usize) {
-        let demand = self.scenario.regions[from].demand / 1_000.0;
-        self.next_at[from] += -(1.0 - self.rng.f64()).ln() / demand;
-        let at = self.next_at[from];
-        if at < self.scenario.end as f64 {
-            self.after(at as u64 - self.now(), Event::Send(from));
+    fn schedule_next_request(&mut self, from: usize) {
+        let requests_per_ms = self.scenario.regions[from].requests_per_second / 1_000.0;
+        self.next_request_at[from] += -(1.0 - self.rng.f64()).ln() / requests_per_ms;
+        let at = self.next_request_at[from];
+        if at < self.scenario.end_ms as f64 {
+            self.schedule_after(at as u64 - self.now(), Event::Send(from));
         }
     }
 
@@ -285,26 +304,26 @@
         let now = Millis(self.now());
         let slots = |region: &Region| (region.servers * SLOTS) as f64;
         let all: f64 = self.scenario.regions.iter().map(slots).sum();
-        for (region, learned) in self.scenario.regions.iter().zip(&self.regions) {
-            let room = Room {
-                own: slots(region),
-                elsewhere: all - slots(region),
-                regions: self.regions.len(),
-                way: Some(Millis(2 * self.scenario.way)),
+        for (region, state) in self.scenario.regions.iter().zip(&self.regions) {
+            let slot_counts = SlotCounts {
+                local: slots(region),
+                remote: all - slots(region),
+                region_count: self.regions.len(),
+                round_trip: Some(Millis(2 * self.scenario.one_way_ms)),
             };
-            learned.spill.step(room, now);
-            let carried = Carried {
-                large: false,
-                vms_here: 1,
+            state.spillover.update(slot_counts, now);
+            let profile = TransferProfile {
+                expects_large: false,
+                local_vms: 1,
             };
-            learned.reach.step(carried, now);
+            state.route_locality.update(profile, now);
         }
-        if now.0 < self.scenario.end {
-            self.after(TICK, Event::Tick);
+        if now.0 < self.scenario.end_ms {
+            self.schedule_after(TICK_MS, Event::Tick);
         }
     }
 
-    fn wish<'a>(
+    fn params<'a>(
         &self,
         object: u64,
         region: &'a RegionName,
@@ -330,90 +349,96 @@
     /// The VM of a caller decides where its request is served, and hands it to the home there.
     fn send(&mut self, from: usize) {
         let now = self.now();
-        self.next_caller(from);
-        self.played.asked += 1;
+        self.schedule_next_request(from);
+        self.result.requests += 1;
         let object = self.rng.u64(..self.scenario.objects);
-        let learned = &self.regions[from];
-        learned.reach.record_request(object, Millis(now));
-        let place = learned
-            .reach
-            .locality_of(object, &learned.spill, Switches::default());
-        let domain = DomainName::from(learned.name.as_str());
-        let wish = self.wish(object, &learned.name, &domain, &|_| false);
-        let server = first_ranked(&wish, &self.upstreams, place).expect("there are servers");
+        let state = &self.regions[from];
+        state.route_locality.record_request(object, Millis(now));
+        let locality =
+            state
+                .route_locality
+                .locality_of(object, &state.spillover, Switches::default());
+        let domain = DomainName::from(state.name.as_str());
+        let params = self.params(object, &state.name, &domain, &|_| false);
+        let server = first_ranked(&params, &self.upstreams, locality).expect("there are servers");
         let server = self.index_of(&server);
-        let flying = Flying {
+        let request = InFlightRequest {
             from,
             object,
-            sent: now,
+            sent_at: now,
             server,
-            flight: None,
-            free: false,
+            guard: None,
+            had_free_slot: false,
         };
-        let way = self.way(from, self.region_of(server));
-        self.after(way, Event::Handed(flying));
+        let one_way_ms = self.one_way_ms(from, self.region_of(server));
+        self.schedule_after(one_way_ms, Event::HandedOver(request));
     }
 
     /// The home picks the server by load, or refuses.
-    fn choose(&mut self, mut flying: Flying) {
-        let at = self.region_of(flying.server);
-        let learned = &self.regions[at];
-        let domain = DomainName::from(learned.name.as_str());
-        let name = learned.name.clone();
+    fn select_server(&mut self, mut request: InFlightRequest) {
+        let at = self.region_of(request.server);
+        let state = &self.regions[at];
+        let domain = DomainName::from(state.name.as_str());
+        let name = state.name.clone();
         let is_home = |u: &Upstream| u.region == name;
-        let meant = &self.upstreams[flying.server];
-        let wish = SelectionParams {
-            assigned: Some(&meant.id),
-            placement: Some(&learned.spread),
-            ..self.wish(flying.object, &learned.name, &domain, &is_home)
+        let assigned = &self.upstreams[request.server];
+        let params = SelectionParams {
+            assigned: Some(&assigned.id),
+            placement: Some(&state.placement),
+            ..self.params(request.object, &state.name, &domain, &is_home)
         };
-        let best = select(&wish, &self.upstreams, &learned.pace, Locality::Region);
+        let best = select(
+            &params,
+            &self.upstreams,
+            &state.service_times,
+            Locality::Region,
+        );
         let best = best.expect("there are servers");
         if !best.has_free_slot && best.response_ms > self.scenario.target.0 as f64 {
-            self.played.refused += 1;
+            self.result.refused += 1;
             return;
         }
-        flying.server = self.index_of(&best.upstream);
-        flying.free = best.has_free_slot;
-        flying.flight = Some(best.upstream.start_request());
-        self.after(NEAR, Event::Arrived(flying));
+        request.server = self.index_of(&best.upstream);
+        request.had_free_slot = best.has_free_slot;
+        request.guard = Some(best.upstream.start_request());
+        self.schedule_after(LOCAL_ONE_WAY_MS, Event::Arrived(request));
     }
 
-    fn arrive(&mut self, flying: Flying) {
-        let server = &mut self.servers[flying.server];
+    fn arrive(&mut self, request: InFlightRequest) {
+        let server = &mut self.servers[request.server];
         if server.running == SLOTS {
-            server.queue.push_back(flying);
+            server.queue.push_back(request);
             return;
         }
-        self.begin(flying);
+        self.start(request);
     }
 
-    fn begin(&mut self, flying: Flying) {
+    fn start(&mut self, request: InFlightRequest) {
         let now = self.now();
-        self.played.runs.push(Run {
-            from: flying.from,
-            at: self.region_of(flying.server),
-            sent: flying.sent,
-            began: now,
+        self.result.executions.push(Execution {
+            from: request.from,
+            at: self.region_of(request.server),
+            sent_at: request.sent_at,
+            started_at: now,
         });
-        let server = &mut self.servers[flying.server];
+        let server = &mut self.servers[request.server];
         server.running += 1;
-        let kept = server.kept.iter().position(|o| *o == flying.object);
-        let part = match kept {
-            Some(_) => KEPT_PART,
+        let cached = server.cached.iter().position(|o| *o == request.object);
+        let fraction = match cached {
+            Some(_) => WARM_WORK_FRACTION,
             None => 1.0,
         };
-        kept.map(|place| server.kept.remove(place));
-        server.kept.push_back(flying.object);
-        if server.kept.len() > self.scenario.kept {
-            server.kept.pop_front();
+        cached.map(|index| server.cached.remove(index));
+        server.cached.push_back(request.object);
+        if server.cached.len() > self.scenario.cache_capacity {
+            server.cached.pop_front();
         }
-        let took = self.scenario.work * part * (0.85 + 0.3 * self.rng.f64());
-        self.after(took as u64, Event::Done(flying, now));
+        let work_ms = self.scenario.cold_work_ms * fraction * (0.85 + 0.3 * self.rng.f64());
+        self.schedule_after(work_ms as u64, Event::Finished(request, now));
     }
 
-    fn done(&mut self, flying: Flying, began: u64) {
-        let server = &mut self.servers[flying.server];
+    fn finish(&mut self, request: InFlightRequest, started_at: u64) {
+        let server = &mut self.servers[request.server];
         let load = ServerLoad {
             running: server.running as u32,
             waiting: server.queue.len() as u32,
@@ -421,31 +446,32 @@
         };
         server.running -= 1;
         let next = server.queue.pop_front();
-        self.after(NEAR, Event::Answered(flying, load, began));
+        self.schedule_after(LOCAL_ONE_WAY_MS, Event::Answered(request, load, started_at));
         if let Some(next) = next {
-            self.begin(next);
+            self.start(next);
         }
     }
 
     /// The home takes in the answer; the caller's VM does so as soon, which is by one way sooner
     /// than it could.
-    fn answered(&mut self, mut flying: Flying, load: ServerLoad, began: u64) {
+    fn receive_answer(&mut self, mut request: InFlightRequest, load: ServerLoad, started_at: u64) {
         let now = self.now();
-        let at = self.region_of(flying.server);
+        let at = self.region_of(request.server);
         let home = &self.regions[at];
-        let upstream = &self.upstreams[flying.server];
+        let upstream = &self.upstreams[request.server];
         let others = upstream.record_load(load, Millis(now));
-        drop(flying.flight.take());
-        home.pace.record_other_load(others, Millis(now));
-        let kept = upstream.likely_caches(flying.object, Millis(now));
-        if flying.free {
-            home.pace.record(&home.name, kept, Millis(now - began));
+        drop(request.guard.take());
+        home.service_times.record_other_load(others, Millis(now));
+        let cached = upstream.likely_caches(request.object, Millis(now));
+        if request.had_free_slot {
+            home.service_times
+                .record(&home.name, cached, Millis(now - started_at));
         }
-        upstream.record_success(flying.object, None, Millis(now));
-        let spill = &self.regions[flying.from].spill;
-        let took = now + self.way(flying.from, at) - flying.sent;
-        spill.record(at == flying.from, load, Millis(took), Millis(now));
-        self.played.took += took;
-        self.played.in_time += usize::from(took <= self.scenario.target.0);
+        upstream.record_success(request.object, None, Millis(now));
+        let spillover = &self.regions[request.from].spillover;
+        let latency_ms = now + self.one_way_ms(request.from, at) - request.sent_at;
+        spillover.record(at == request.from, load, Millis(latency_ms), Millis(now));
+        self.result.total_latency_ms += latency_ms;
+        self.result.within_target += usize::from(latency_ms <= self.scenario.target.0);
     }
 }
--- a/crates/edge/tests/room.rs
+++ b/crates/edge/tests/unbound_share.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use heatherknot_edge::accounts::RestrictedShare;
-use heatherknot_edge::unbound_share::{UnboundShares, parts_left};
+use heatherknot_edge::unbound_share::{UnboundShares, target_shares};
 use heatherknot_test_support::property::check;
 use heatherknot_types::prelude::*;
 
@@ -14,28 +14,28 @@
     regions.collect()
 }
 
-fn bound(region: &str, part: f64) -> RestrictedShare {
+fn restricted(region: &str, fraction: f64) -> RestrictedShare {
     RestrictedShare {
         regions: vec![region.into()],
-        fraction: part,
+        fraction,
     }
 }
 
-fn part(parts: &BTreeMap<RegionName, f64>, region: &str) -> f64 {
-    parts[region]
+fn share_of(targets: &BTreeMap<RegionName, f64>, region: &str) -> f64 {
+    targets[region]
 }
 
 /// Gives the requests for each slot of a region, bound ones and others, as the parts put them.
 fn load(slots: &BTreeMap<RegionName, f64>, shares: &[RestrictedShare], region: &str) -> f64 {
-    let parts = parts_left(slots, shares);
+    let targets = target_shares(slots, shares);
     let free = 1.0 - shares.iter().map(|share| share.fraction).sum::<f64>();
-    let weight: f64 = slots.iter().map(|(r, slots)| slots * parts[r]).sum();
+    let weight: f64 = slots.iter().map(|(r, slots)| slots * targets[r]).sum();
     let own = slots[region];
     let homes = shares
         .iter()
         .filter(|share| share.regions.contains(&region.into()));
     let taken: f64 = homes.map(|share| share.fraction).sum();
-    (taken + free * own * parts[region] / weight) / own
+    (taken + free * own * targets[region] / weight) / own
 }
 
 /// Pattern: an account with a fifth of all requests is bound to the region with a ninth of the
@@ -49,19 +49,19 @@
 #[test]
 fn a_small_region_is_left_to_the_account_that_is_bound_to_it() {
     let slots = slots(&[("north", 378.0), ("plaines", 414.0), ("south", 90.0)]);
-    let shares = [bound("south", 0.2)];
+    let shares = [restricted("south", 0.2)];
 
-    let parts = parts_left(&slots, &shares);
+    let targets = target_shares(&slots, &shares);
 
-    assert!(part(&parts, "south") <= 0.05);
-    assert!(part(&parts, "north") == 1.0 && part(&parts, "plaines") == 1.0);
+    assert!(share_of(&targets, "south") <= 0.05);
+    assert!(share_of(&targets, "north") == 1.0 && share_of(&targets, "plaines") == 1.0);
 }
 
 /// Pattern: the same account is bound to a region that has room for it.
 #[test]
 fn a_large_region_gives_up_what_is_bound_to_it() {
     let slots = slots(&[("north", 400.0), ("plaines", 400.0), ("south", 100.0)]);
-    let shares = [bound("north", 0.2), bound("plaines", 0.05)];
+    let shares = [restricted("north", 0.2), restricted("plaines", 0.05)];
 
     let loads = ["north", "plaines", "south"].map(|region| load(&slots, &shares, region));
 
@@ -76,7 +76,11 @@
 #[test]
 fn without_homes_all_room_is_left() {
     let slots = slots(&[("north", 9.0), ("south", 3.0)]);
-    assert!(parts_left(&slots, &[]).values().all(|part| *part == 1.0));
+    assert!(
+        target_shares(&slots, &[])
+            .values()
+            .all(|target| *target == 1.0)
+    );
 }
 
 /// Whatever is bound where: no part is beyond what is there, and the fullest region that takes
@@ -96,15 +100,15 @@
             let shares: Vec<_> = names
                 .iter()
                 .zip(taken)
-                .map(|(n, t)| bound(n, f64::from(*t) / all))
+                .map(|(n, t)| restricted(n, f64::from(*t) / all))
                 .collect();
 
-            let parts = parts_left(&slots, &shares);
+            let targets = target_shares(&slots, &shares);
 
-            assert!(parts.values().all(|part| (0.02..=1.0).contains(part)));
+            assert!(targets.values().all(|target| (0.02..=1.0).contains(target)));
             let open = names
                 .iter()
-                .filter(|name| parts[&RegionName::from(**name)] > 0.03);
+                .filter(|name| targets[&RegionName::from(**name)] > 0.03);
             let loads: Vec<f64> = open.map(|name| load(&slots, &shares, name)).collect();
             let most = loads.iter().copied().fold(0.0, f64::max);
             let least = loads.iter().copied().fold(f64::MAX, f64::min);
@@ -119,16 +123,16 @@
 /// Grounds: 0.15 of a region's requests may change their region in two seconds.
 #[test]
 fn under_traffic_parts_move_slowly() {
-    let parts = UnboundShares::default();
-    let whole = BTreeMap::from([("south".into(), 1.0)]);
-    let none = BTreeMap::from([("south".into(), 0.02)]);
-    parts.step(&whole, Millis(0));
-    parts.mark_used();
+    let shares = UnboundShares::default();
+    let full = BTreeMap::from([("south".into(), 1.0)]);
+    let least = BTreeMap::from([("south".into(), 0.02)]);
+    shares.update(&full, Millis(0));
+    shares.mark_used();
 
-    let mut before = parts.of(&"south".into());
+    let mut before = shares.share(&"south".into());
     for tick in 1..=200 {
-        parts.step(&none, Millis(tick * 250));
-        let now = parts.of(&"south".into());
+        shares.update(&least, Millis(tick * 250));
+        let now = shares.share(&"south".into());
         assert!(before - now <= 0.15 / 8.0);
         before = now;
     }
@@ -138,8 +142,8 @@
 
 #[test]
 fn before_the_first_request_parts_are_there_at_once() {
-    let parts = UnboundShares::default();
-    parts.step(&BTreeMap::from([("south".into(), 1.0)]), Millis(0));
-    parts.step(&BTreeMap::from([("south".into(), 0.1)]), Millis(250));
-    assert!((parts.of(&"south".into()) - 0.1).abs() < 1e-9);
+    let shares = UnboundShares::default();
+    shares.update(&BTreeMap::from([("south".into(), 1.0)]), Millis(0));
+    shares.update(&BTreeMap::from([("south".into(), 0.1)]), Millis(250));
+    assert!((shares.share(&"south".into()) - 0.1).abs() < 1e-9);
 }
