--- a/crates/edge/src/homes.rs
+++ b/crates/edge/src/homes.rs
@@ -1,10 +1,10 @@
-//! Which VM meets the requests for a backend server: its home.
+//! Assigns each backend server a home VM, through which its requests pass.
 //!
-//! With hundreds of VMs and more than a thousand backend servers there are more pairs of them
-//! than requests within the time for which a connection is kept. Nearly every request opens one,
-//! which takes a round trip more, and no VM hears of a server often enough to know its load. So
-//! each server has a home in its own failure domain, to which the other VMs hand its requests:
-//! the home keeps the connections to it and knows its load.
+//! With hundreds of VMs and more than a thousand backend servers, there are more pairs of them than
+//! requests within the idle timeout of a connection. Nearly every request would open a connection,
+//! which takes an additional round trip, and no VM would hear from a server often enough to know
+//! its load. Each server therefore has a home VM in its own failure domain, to which the other VMs
+//! hand over its requests. The home keeps the connections to the server and knows its load.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -20,42 +20,41 @@
 use crate::presence::VmEntry;
 use crate::upstream::{self, Upstream};
 
-/// The pause after the first failure to reach a home.
+/// Backoff after the first failure to reach a home VM.
 const INITIAL_BACKOFF: Millis = Millis(250);
-/// How often a pause doubles at most: four seconds then, in which the peers have noticed that a
-/// VM is gone and its servers have another home.
+/// Maximum number of times that the backoff doubles. It is four seconds then, within which the
+/// peers detect that a VM is gone and assign its servers another home.
 const MAX_BACKOFF_DOUBLINGS: u32 = 4;
 
-/// The connections to the homes of backend servers, and who those are.
+/// The home VMs of backend servers and the connections to them.
 #[derive(Default)]
 pub struct HomeDirectory {
-    /// The home of each server that was asked for since the VMs changed last.
+    /// Home of each server that was looked up since the last change of the VMs.
     homes: RefCell<HashMap<UpstreamName, Option<HomeVm>>>,
     peers: RefCell<HashMap<SocketAddr, Rc<HomePeer>>>,
 }
 
-/// The home of a backend server.
+/// The home VM of a backend server.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct HomeVm {
-    /// The VM.
+    /// Name of the VM.
     pub vm: VmName,
-    /// Where it takes requests that are handed to it.
+    /// Address at which the VM accepts requests that are handed over.
     pub hand_over_address: SocketAddr,
 }
 
-/// The connections to one VM that is the home of some servers.
+/// Connections to one home VM.
 pub struct HomePeer {
-    /// The connections.
+    /// Pool of connections.
     pub pool: Pool,
     consecutive_failures: Cell<u32>,
     backoff_until: Cell<Millis>,
 }
 
-/// Gives the home of a backend server among `vms`, alike on every VM that knows the same ones.
+/// Returns the home VM of a backend server. All VMs with the same `vms` compute the same one.
 ///
-/// VMs with more processor time and wider links are the home of more servers, in proportion to
-/// both: a few wide ones among many small ones meet most requests, so that connections to them
-/// are used again.
+/// VMs are weighted by processor time and link bandwidth: a few large VMs among many small ones
+/// become the home of most servers, so that connections to them are reused.
 pub fn find_home(upstream: &Upstream, vms: &[VmEntry]) -> Option<HomeVm> {
     let in_domain = vms.iter().filter(|vm| vm.domain == upstream.domain);
     let accepting = in_domain.filter_map(|vm| Some((vm, vm.handed?)));
@@ -71,13 +70,13 @@
     })
 }
 
-/// Gives how much a VM can carry beside others.
+/// Returns the weight of a VM.
 fn capacity(vm: &VmEntry) -> f64 {
     f64::from(vm.cpu_permille.max(1)) * f64::from(vm.link_mbps.max(1))
 }
 
 impl HomeDirectory {
-    /// Gives the home of a backend server.
+    /// Returns the home VM of a backend server.
     pub fn home_of(&self, upstream: &Upstream, vms: &[VmEntry]) -> Option<HomeVm> {
         let mut homes = self.homes.borrow_mut();
         if let Some(home) = homes.get(&upstream.id) {
@@ -88,14 +87,14 @@
         home
     }
 
-    /// Takes in that there are other VMs than before.
+    /// Updates the homes after a change of the VMs.
     pub fn vms_changed(&self, vms: &[VmEntry]) {
         self.homes.borrow_mut().clear();
         let is_present = |at: &SocketAddr| vms.iter().any(|vm| vm.handed == Some(*at));
         self.peers.borrow_mut().retain(|at, _| is_present(at));
     }
 
-    /// Gives the connections to a home.
+    /// Returns the connections to a home VM.
     pub fn peer(&self, home: &HomeVm, dialect: &Dialect, clock: &Clock) -> Rc<HomePeer> {
         let mut peers = self.peers.borrow_mut();
         let peer = peers.entry(home.hand_over_address).or_insert_with(|| {
@@ -108,7 +107,7 @@
         Rc::clone(peer)
     }
 
-    /// Closes connections that were idle for too long.
+    /// Closes connections whose idle timeout has passed.
     pub fn sweep(&self) {
         let peers = self.peers.borrow();
         peers.values().for_each(|peer| peer.pool.sweep());
@@ -116,19 +115,19 @@
 }
 
 impl HomePeer {
-    /// Says whether requests may be handed to it at `now`.
+    /// Returns whether requests may be handed over to the VM at `now`.
     pub fn is_reachable(&self, now: Millis) -> bool {
         now >= self.backoff_until.get()
     }
 
-    /// Takes in that it answered.
+    /// Records that the VM responded.
     pub fn record_success(&self) {
         self.consecutive_failures.set(0);
     }
 
-    /// Takes in that it could not be reached, broke off or did not answer in time. A VM that is
-    /// gone without a word would cost each request for its servers the time of a connect until
-    /// the peers have noticed.
+    /// Records that the VM could not be reached, closed the connection prematurely or did not
+    /// respond in time. Without a backoff, every request for the servers of an unresponsive VM
+    /// would cost the time of a connection attempt until the peers have detected the failure.
     pub fn record_failure(&self, now: Millis) {
         let consecutive_failures = self.consecutive_failures.get();
         self.consecutive_failures.set(consecutive_failures + 1);
@@ -138,8 +137,8 @@
     }
 }
 
-/// Gives the settings of the connections to homes. A home closes an idle connection after a
-/// minute; this VM does so well before.
+/// Returns the configuration of connections to home VMs. A home closes an idle connection after a
+/// minute; this VM closes it well before that.
 fn pool_config(dialect: &Dialect) -> PoolConfig {
     PoolConfig {
         max_connections: 256,
--- a/crates/edge/src/locality.rs
+++ b/crates/edge/src/locality.rs
@@ -1,10 +1,10 @@
-//! How far away a route's objects may be served.
+//! Determines how far from its callers a route's objects may be served.
 //!
-//! An object is served in the region of its callers, and in others only as far as the region's own
-//! servers are too few. One copy in the whole system would save work that each region does afresh,
-//! but two requests in three would then be under way to another region, beside room in their own.
-//! Objects with large bodies or answers are served in the caller's own failure domain where each is
-//! asked for often enough there to stay warm.
+//! An object is served in the region of its callers, and in other regions only to the extent that
+//! the region has too few servers. A single copy in the whole system would save the work that each
+//! region repeats, but with three regions two requests in three would then travel to another region
+//! although their own has capacity. Objects with large request or response bodies are served in the
+//! caller's failure domain if they are requested often enough there to stay cached.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashSet;
@@ -18,31 +18,31 @@
 use crate::switches::{Mechanism, Switches};
 use crate::window::SlidingWindow;
 
-/// Bytes of a request's body and its answer together from which they count as large: their
-/// transfer then costs more than the work that a second copy of the object takes.
+/// Size of a request and its response together, in bytes, from which a transfer counts as large: it
+/// then costs more than the work of a second copy of the object.
 const LARGE_TRANSFER: f64 = 32_000.0;
-/// Requests a second for one object in one domain from which it stays warm there.
+/// Requests per second for one object in one domain from which the object stays cached there.
 const MIN_OBJECT_RATE: f64 = 0.25;
-/// How much of a route's objects changes its reach in a second at most. Callers' requests may
-/// not be moved from one region to another all at once.
+/// Maximum change per second of the fraction of a route's objects that is served in the domain.
+/// Requests must not move to other servers all at once.
 const MAX_STEP_PER_SECOND: f64 = 0.04;
-/// The weight of one request in the usual size.
+/// Weight of one request in the average transfer size.
 const SIZE_WEIGHT: f64 = 0.1;
-/// The span over which requests are counted.
+/// Span over which requests are counted.
 const RATE_SPAN: Millis = Millis(10_000);
-/// Objects that are counted of one route; with more, each is asked for seldom.
+/// Maximum number of objects counted per route. With more, each of them is requested rarely.
 const MAX_COUNTED_OBJECTS: usize = 4_096;
 
-/// Where an object is served.
+/// Widest scope in which an object is served.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Scope {
-    /// In the caller's failure domain.
+    /// The caller's failure domain.
     Domain,
-    /// In the caller's region, or in others where the region's own servers are too few.
+    /// The caller's region, or other regions if that one has too few servers.
     Region,
 }
 
-/// What is learned of one route.
+/// Locality of one route, learned from its requests and responses.
 #[derive(Debug)]
 pub struct RouteLocality {
     size: Ewma,
@@ -50,7 +50,7 @@
     objects: RefCell<HashSet<u64>>,
     domain_fraction: Cell<f64>,
     updated_at: Cell<Millis>,
-    /// Whether its requests carry much.
+    /// Whether the transfers of the route are large.
     is_large: Cell<bool>,
 }
 
@@ -67,17 +67,17 @@
     }
 }
 
-/// What the reach of a route follows from, beside its requests and answers.
+/// Properties of a route, beside its observed traffic, that determine its locality.
 #[derive(Clone, Copy, Debug)]
 pub struct TransferProfile {
-    /// Whether the bodies or the answers are known to be large before one was seen.
+    /// Whether large bodies or responses are expected before any was observed.
     pub expects_large: bool,
-    /// The VMs of this domain, which share its callers.
+    /// Number of VMs in this domain, which share its callers.
     pub local_vms: usize,
 }
 
 impl RouteLocality {
-    /// Takes in a request for an object.
+    /// Records a request for an object.
     pub fn record_request(&self, object: u64, now: Millis) {
         self.requests.borrow_mut().add(now, 1.0);
         let mut objects = self.objects.borrow_mut();
@@ -86,13 +86,13 @@
         }
     }
 
-    /// Takes in the bytes of a request's body and its answer together. Both take the same way: a
-    /// body of 60 KB whose answer has 1.5 KB costs as much far off as an answer of that size.
+    /// Records the size of a request and its response together. Both use the same link: a body of
+    /// 60 KB with a response of 1.5 KB costs as much over a distance as a response of 60 KB.
     pub fn record_bytes(&self, bytes: u64) {
         self.size.add(bytes as f64, SIZE_WEIGHT);
     }
 
-    /// Gives where an object is served.
+    /// Returns the scope of an object.
     pub fn scope_of(&self, object: u64) -> Scope {
         let digest = hash::rendezvous(&[&object.to_le_bytes()], "domain");
         match hash::unit_interval(digest) < self.domain_fraction.get() {
@@ -101,21 +101,23 @@
         }
     }
 
-    /// Says whether its requests carry much.
+    /// Returns whether the transfers of the route are large.
     pub fn has_large_transfers(&self) -> bool {
         self.is_large.get()
     }
 
-    /// Says whether other regions may serve its objects for want of room in the own one.
+    /// Returns whether other regions may serve the route's objects if the local region has too few
+    /// servers.
     pub fn may_spill_over(&self, switches: Switches) -> bool {
         !self.is_large.get() || !switches.is_on(Mechanism::LargeStays)
     }
 
-    /// Gives where an object is served, if `spill` sends a part of its service's objects away.
+    /// Returns where an object is served, given the `spillover` of its service.
     ///
-    /// What carries much stays: where a region's servers are too few, others are sent away in its
-    /// stead. Bytes between regions, a quarter to a third of the prices of a day with uploads of
-    /// 60 KB, fell by 40 to 55 %; worth 0.010 on days with trouble, means of three seeds.
+    /// Large transfers stay, and other objects are redirected in their place if a region has too
+    /// few servers. On days with uploads of 60 KB, where bytes between regions make up a quarter to
+    /// a third of the cost, this reduced those bytes by 40 to 55 %. On days with faults it gained
+    /// 0.010 in the score (mean of three seeds).
     pub fn locality_of(&self, object: u64, spillover: &Spillover, switches: Switches) -> Locality {
         match self.scope_of(object) {
             Scope::Domain => Locality::Domain,
@@ -126,7 +128,7 @@
         }
     }
 
-    /// Moves the route's reach for the time since it was moved last.
+    /// Moves the fraction of objects served in the domain for the time since the last update.
     pub fn update(&self, profile: TransferProfile, now: Millis) {
         let elapsed = now
             .since(self.updated_at.replace(now))
@@ -149,7 +151,8 @@
             .set((self.domain_fraction.get() + step).clamp(0.0, 1.0));
     }
 
-    /// Gives the requests a second for one object in this domain.
+    /// Returns the requests per second for one object in this domain, averaged over the route's
+    /// objects.
     fn object_rate(&self, local_vms: usize, now: Millis) -> f64 {
         let objects = self.objects.borrow().len();
         if objects == 0 || objects >= MAX_COUNTED_OBJECTS {
--- a/crates/edge/src/placement.rs
+++ b/crates/edge/src/placement.rs
@@ -1,11 +1,12 @@
-//! Spreads objects evenly over the backend servers whose home a VM is.
+//! Places objects evenly on the backend servers whose home this VM is.
 //!
-//! By rank alone some servers get several objects more than others: with 217 objects over 12
-//! servers, one in five gets more than the 21 that it keeps. It then does most of its work afresh,
-//! three times as long, and turns requests away while its neighbours have room. The requests for
-//! one server all come to its home, so the home may put an object that it sees for the first time
-//! at another one of its servers, and needs nobody's agreement. An object that was put somewhere
-//! stays there: moving it would cost a run afresh, the first one costs nothing more.
+//! By rank alone, some servers get several objects more than others: with 217 objects on 12
+//! servers, one server in five gets more than the 21 that it can cache. Most of its requests are
+//! then cache misses, which take three times as long, and it refuses requests while its neighbours
+//! have capacity. All requests for a server pass through its home VM, so the home can place an
+//! object that it sees for the first time on another of its servers without coordination. A placed
+//! object stays where it is: moving it would cost a cache miss, while the first placement costs
+//! nothing extra.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -15,19 +16,19 @@
 
 use crate::upstream::Upstream;
 
-/// How long an object that nobody asks for keeps its place. Servers keep what was asked for last,
-/// so by then others have pushed it out.
+/// Time after which an object without requests loses its placement. Servers cache the most recently
+/// used objects, so by then others have evicted it.
 const IDLE_EXPIRY: Millis = Millis(20_000);
-/// The time between two looks for objects that are not asked for any more.
+/// Interval between two removals of expired placements.
 const SWEEP_INTERVAL: Millis = Millis(2_000);
-/// Objects that are remembered at most; others go by rank.
+/// Maximum number of tracked objects. Further ones are served by rank.
 const MAX_TRACKED_OBJECTS: usize = 65_536;
 
-/// Where the objects of one service are, as far as this VM is the home of their servers.
+/// Placements of the objects of one service on the servers whose home this VM is.
 #[derive(Debug, Default)]
 pub struct ObjectPlacement {
     placements: RefCell<HashMap<u64, PlacedObject>>,
-    /// The objects at each server.
+    /// Number of objects placed on each server.
     counts: RefCell<HashMap<UpstreamName, u32>>,
     swept_at: Cell<Millis>,
 }
@@ -39,9 +40,10 @@
 }
 
 impl ObjectPlacement {
-    /// Gives the server of an object: where it was put before, if that is one of `own`, else
-    /// `first`, the first one of its rank, or the one of `own` with the fewest objects where `first`
-    /// has two more than that.
+    /// Returns the server of an object: the one that it was placed on, if that is still one of
+    /// `own_servers`; otherwise `ranked_first`, the first server of the object's rank; or, if that
+    /// one has at least two more objects, the one of `own_servers` with the fewest objects per
+    /// slot.
     pub fn server_of(
         &self,
         object: u64,
--- a/crates/edge/src/quantile.rs
+++ b/crates/edge/src/quantile.rs
@@ -1,12 +1,13 @@
-//! A quantile that follows what was seen lately.
+//! Streaming estimate of a quantile.
 
 use std::cell::Cell;
 
-/// How far one sample moves the quantile, as a part of its value.
+/// Maximum change by one sample, relative to the current value.
 const STEP: f64 = 0.1;
 
-/// A quantile of the samples, in constant memory: each sample below it moves it down a
-/// little, each one above it up, in the ratio that keeps `part` of them below.
+/// Estimates a quantile in constant memory. Each sample below the estimate lowers it a little and
+/// each one above raises it, in the ratio that keeps the fraction `level` of the samples below.
+/// Older samples lose their influence.
 #[derive(Debug)]
 pub struct Quantile {
     level: f64,
@@ -14,7 +15,7 @@
 }
 
 impl Quantile {
-    /// Makes the quantile below which `part` of the samples lie, from 0 to 1.
+    /// Creates an estimate of the quantile at `level`, from 0 to 1.
     pub fn new(level: f64) -> Self {
         Self {
             level,
@@ -22,7 +23,7 @@
         }
     }
 
-    /// Takes in a sample.
+    /// Adds a sample.
     pub fn add(&self, sample: f64) {
         let next = match self.value.get() {
             None => sample,
@@ -34,7 +35,7 @@
         self.value.set(Some(next));
     }
 
-    /// Gives the quantile, where there was a sample.
+    /// Returns the estimate, or `None` without samples.
     pub fn get(&self) -> Option<f64> {
         self.value.get()
     }
--- a/crates/edge/src/region_counts.rs
+++ b/crates/edge/src/region_counts.rs
@@ -1,9 +1,8 @@
-//! In which regions a VM has its callers' requests run, as the log tells it.
+//! Counts and logs the regions to which a VM sends its callers' requests.
 //!
-//! Requests that move from one region to another find caches cold and links thin. Whether they
-//! moved because of a decision, or only arrive later from far away, can't be seen from single
-//! requests: what tells it is how many were sent to each region, how many of them are under way, and
-//! where the thresholds stood.
+//! Requests that move to another region find cold caches and slow links. Single requests do not
+//! show whether they moved because of a decision or merely arrive later from a remote region. The
+//! number sent to each region, the number in flight and the spillover threshold do.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -12,12 +11,12 @@
 
 use heatherknot_types::prelude::*;
 
-/// The time between two lines about a service. It is the span in which callers' requests may not
-/// move between regions all at once.
+/// Interval between two log lines about a service. Within this interval requests must not move
+/// between regions all at once.
 const SUMMARY_INTERVAL: Millis = Millis(2_000);
 
-/// The requests for one service that this VM sent to each region, those that another VM handed to it
-/// left out.
+/// Requests for one service that this VM sent to each region, without those that another VM handed
+/// over to it.
 #[derive(Debug, Default)]
 pub struct RegionCounts {
     summarized_at: Cell<Millis>,
@@ -26,13 +25,14 @@
 
 #[derive(Debug, Default)]
 struct Counts {
-    /// Requests since the last line.
+    /// Requests since the last summary.
     sent: Cell<u32>,
-    /// Requests without an answer yet.
+    /// Requests without a response so far.
     in_flight: Cell<u32>,
 }
 
-/// A request that is under way to a region, or waits there.
+/// A request that is in transit to a region or being processed there. It counts as in flight until
+/// dropped.
 #[derive(Debug)]
 pub struct RequestInFlight {
     counts: Rc<Counts>,
@@ -46,8 +46,7 @@
 }
 
 impl RegionCounts {
-    /// Counts a request that is sent to `region`. It is under way for as long as the returned guard
-    /// lives.
+    /// Counts a request sent to `region`, which is in flight until the returned guard is dropped.
     pub fn start_request(&self, region: &RegionName) -> RequestInFlight {
         let mut regions = self.regions.borrow_mut();
         let counts = Rc::clone(regions.entry(region.clone()).or_default());
@@ -56,8 +55,8 @@
         RequestInFlight { counts }
     }
 
-    /// Gives what was sent to each region since the last summary, where one is due and anything was
-    /// sent or is under way.
+    /// Returns the requests sent to each region since the last summary, if the interval has passed
+    /// and any request was sent or is in flight.
     pub fn take_summary(&self, now: Millis) -> Option<Summary> {
         let span = now.since(self.summarized_at.get());
         if span < SUMMARY_INTERVAL {
@@ -80,21 +79,21 @@
     }
 }
 
-/// What was sent to each region in a span of time, as a log line tells it.
+/// Requests sent to each region during an interval, formatted for the log.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct Summary {
-    /// The span.
+    /// Length of the interval.
     pub span: Millis,
-    /// The requests that were sent.
+    /// Number of requests sent.
     pub requests: u32,
-    /// Those sent to each region, as `region=number`.
+    /// Requests sent to each region, as `region=number`.
     pub sent: String,
-    /// Those under way to each region, as `region=number`.
+    /// Requests in flight to each region, as `region=number`.
     pub in_flight: String,
 }
 
 fn append_count(text: &mut String, region: &RegionName, count: u32) {
     let space = if text.is_empty() { "" } else { " " };
-    // Writing to a string can't fail.
+    // Writing to a string cannot fail.
     let _ = write!(text, "{space}{region}={count}");
 }
--- a/crates/edge/src/round_trip.rs
+++ b/crates/edge/src/round_trip.rs
@@ -1,4 +1,4 @@
-//! How far other regions are, measured by calls to VMs there.
+//! Measures round trips to other regions by calls to VMs there.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -12,19 +12,19 @@
 use crate::context::EdgeContext;
 use crate::presence;
 
-/// The method that answers at once.
+/// Method that responds immediately.
 const PING: &str = "e.ping";
-/// The pause between two measurements while there are few, and after.
+/// Interval between two measurements while there are too few samples, and afterwards.
 const INITIAL_INTERVAL: Millis = Millis(500);
 const INTERVAL: Millis = Millis(10_000);
-/// The measurements of a region after which its way counts as known. While everything starts, one
-/// takes up to a quarter longer than the way; VMs that took that for the way would decide
-/// otherwise than their neighbours where objects are served.
+/// Samples per region before the round trip counts as known. During a start, a measurement may be
+/// up to a quarter too long. A VM that used it would choose other locations for objects than its
+/// neighbours.
 const MIN_SAMPLES: u32 = 4;
-/// The time allowed for an answer.
+/// Timeout of a measurement.
 const PING_TIMEOUT: Millis = Millis(1_500);
 
-/// The shortest round trips seen to other regions.
+/// Shortest round trip measured to each other region.
 #[derive(Debug, Default)]
 pub struct RegionRoundTrips {
     shortest: RefCell<BTreeMap<RegionName, Millis>>,
@@ -32,12 +32,13 @@
 }
 
 impl RegionRoundTrips {
-    /// Gives the longest of the shortest round trips, where one is known.
+    /// Returns the round trip to the farthest region, if any is known.
     pub fn longest(&self) -> Option<Millis> {
         self.shortest.borrow().values().max().copied()
     }
 
-    /// Takes in a round trip to a region. Only the shortest counts: others waited somewhere.
+    /// Records a round trip to a region. Only the shortest one is kept, because longer ones include
+    /// queueing.
     pub fn record(&self, region: &RegionName, took: Millis) {
         let mut shortest = self.shortest.borrow_mut();
         let current = shortest.entry(region.clone()).or_insert(took);
@@ -46,12 +47,12 @@
     }
 }
 
-/// Registers the method that answers at once.
+/// Registers the method that responds immediately.
 pub fn register(methods: &mut MethodTable) {
     methods.register(PING, |_, (): ()| async { Ok(()) });
 }
 
-/// Measures the ways to other regions for as long as the process runs.
+/// Measures the round trips to other regions until the process ends.
 pub async fn run(cx: Rc<EdgeContext>) {
     loop {
         let regions = cx.distances.shortest.borrow().len() as u32;
@@ -76,18 +77,18 @@
 }
 
 async fn measure(cx: &EdgeContext, region: &RegionName, vm: &VmName) {
-    // The first call may open the connection, so the second one is measured.
+    // The first call may have to open the connection, so only the second one is measured.
     for is_measured in [false, true] {
         let began = cx.now();
         let opts = CallOptions::quick(PING_TIMEOUT);
         if let Err(error) = cx.net.call_with::<_, ()>(vm, PING, &(), opts).await {
-            debug!(vm:% = vm, error:% = error; "the way to a VM could not be measured");
+            debug!(vm:% = vm, error:% = error; "the round trip to a VM could not be measured");
             return;
         }
         if is_measured {
             let took = cx.now().since(began);
             cx.distances.record(region, took);
-            info!(vm:% = vm, region:% = region, round_trip_ms = took.0; "the way to another region was measured");
+            info!(vm:% = vm, region:% = region, round_trip_ms = took.0; "round trip to another region measured");
         }
     }
 }
--- a/crates/edge/src/selection.rs
+++ b/crates/edge/src/selection.rs
@@ -1,9 +1,9 @@
-//! Which backend server gets a request, or none.
+//! Selects the backend server of a request.
 //!
-//! Servers are faster at objects that they handled lately, and keep few of them. So every
-//! VM ranks the servers for an object alike, without a message, by rendezvous hashing, and
-//! takes the one that is expected to answer first: the first of the rank while it has room,
-//! another one where waiting there would take longer than doing the work afresh elsewhere.
+//! A backend server answers faster for objects that it handled recently, and caches only a few of
+//! them. Every VM therefore ranks the servers of an object by rendezvous hashing, without
+//! coordination, and normally uses the first one. Another server is selected only where waiting at
+//! the first one would take longer than processing the request elsewhere without a cached object.
 
 use std::rc::Rc;
 
@@ -15,95 +15,96 @@
 use crate::switches::{Mechanism, Switches};
 use crate::upstream::Upstream;
 
-/// The part of a failing server's usual time that its failures are taken to cost. A failed
-/// request is sent again or lost, so a server that fails all of them counts as four times
-/// as slow.
+/// Cost of a server's failures, as a multiple of its service time at a failure rate of 1. A failed
+/// request is retried or lost, so a server that fails every request counts as four times as slow.
 const FAILURE_COST: f64 = 3.0;
-/// The time for an object that a server keeps, as a part of the latency target, until one was
-/// seen; and for one that it does not keep. They only say that the second takes longer.
-const DEFAULT_WARM_TIME: f64 = 0.4;
-const DEFAULT_COLD_TIME: f64 = 1.2;
-/// How many times the extra work for an object that a server does not keep counts. The work
-/// takes a slot from other requests, beside the time that it takes itself.
+/// Service time assumed for a warm and for a cold server until one was measured, as a fraction of
+/// the latency target. Only their order matters.
+const DEFAULT_WARM_FRACTION: f64 = 0.4;
+const DEFAULT_COLD_FRACTION: f64 = 1.2;
+/// Weight of the additional work of a cache miss. The work also occupies a slot that other requests
+/// could have used.
 const MISS_WEIGHT: f64 = 3.0;
 
-/// The part of the slots of a home's servers that may be busy for further copies to be made. At
-/// two thirds a server of three slots has one free in the mean.
+/// Utilization of the home's slots below which further copies of an object may be made. At two
+/// thirds, a server with three slots has one free on average.
 const MAX_COPY_UTILIZATION: f64 = 0.6;
-/// The requests of others beyond the slots that are taken for none. What is told of them is an
-/// average, and a hundredth of a request would make a server with a free slot count as full.
+/// Number of requests above the slots at which a server still counts as free. The reported load of
+/// other VMs is an average that never quite reaches zero, so without the tolerance a hundredth of a
+/// request would make a server with a free slot count as full.
 const LOAD_TOLERANCE: f64 = 0.3;
 
-/// Where an object is served.
+/// Where an object is served, relative to the VM that received the request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Locality {
-    /// In the VM's own failure domain.
+    /// The VM's own failure domain.
     Domain,
-    /// In the VM's own region.
+    /// The VM's own region.
     Region,
-    /// In other regions.
+    /// Any region but the VM's own.
     OtherRegions,
-    /// In any region.
+    /// Any region.
     AnyRegion,
 }
 
-/// What a choice is made for.
+/// Input of a selection.
 pub struct SelectionParams<'a> {
-    /// The object, or any number where the route has none.
+    /// Hash of the object, or a random number if the request names no object.
     pub object: u64,
-    /// Whether servers are faster at objects that they know.
+    /// Whether servers answer faster for objects that they handled before.
     pub sticky: bool,
-    /// The VM's own region.
+    /// Region of this VM.
     pub region: &'a RegionName,
-    /// The VM's own failure domain.
+    /// Failure domain of this VM.
     pub domain: &'a DomainName,
-    /// The time within which an answer is worth most.
+    /// Latency target of the route.
     pub latency_target: Millis,
-    /// The time that is left for the request.
+    /// Time left until the request's deadline.
     pub time_left: Millis,
-    /// Now.
+    /// Current time.
     pub now: Millis,
-    /// Whether it may run in some regions only.
+    /// Whether the request is restricted to certain regions.
     pub is_region_bound: bool,
-    /// Which mechanisms are on.
+    /// Mechanisms that are switched on.
     pub switches: Switches,
-    /// The server that another VM has found to be the first of the rank.
+    /// First server of the object's rank as determined by the VM that handed the request over.
     pub assigned: Option<&'a UpstreamName>,
-    /// Says whether this VM is the home of a server.
+    /// Returns whether this VM is the home of a server.
     pub is_home: &'a dyn Fn(&Upstream) -> bool,
-    /// Where the homes of servers put objects, while all requests for them come there.
+    /// Placement of objects by the home VM, if all requests for them pass through it.
     pub placement: Option<&'a ObjectPlacement>,
 }
 
-/// A server that may get the request, as it is expected to do.
+/// A server that may receive the request, with the estimates that the selection is based on.
 #[derive(Clone)]
 pub struct Candidate {
     /// The server.
     pub upstream: Rc<Upstream>,
-    /// Whether it is taken to keep the object.
+    /// Whether the server is assumed to have the object cached.
     pub is_warm: bool,
-    /// Whether a slot is expected to be free.
+    /// Whether the server is expected to have a free slot.
     pub has_free_slot: bool,
-    /// The expected time to its answer, in milliseconds, were it free.
+    /// Expected response time without queueing, in milliseconds.
     pub service_ms: f64,
-    /// The expected time to its answer, in milliseconds.
+    /// Expected response time, in milliseconds.
     pub response_ms: f64,
-    /// The requests that it is expected to have, of this VM and of others.
+    /// Expected number of requests at the server, from this VM and others.
     pub load: f64,
-    /// How old what it told of its load is.
+    /// Age of the load that the server last reported.
     pub load_age: Millis,
-    /// This VM's own requests at it.
+    /// Number of this VM's own requests at the server.
     pub own_in_flight: u32,
-    /// What taking it costs, in milliseconds: the time, and what others lose.
+    /// Cost of selecting the server, in milliseconds: the response time plus the penalties for
+    /// failures and cache misses.
     pub cost_ms: f64,
 }
 
-/// Chooses among `candidates`; gives nothing where there are none.
+/// Selects one of `candidates`. Returns `None` if there are none.
 ///
-/// An object is served at its `place`. There the first server of its rank gets it. Another one
-/// gets a copy only where it is free and the first one is so busy that even the work without a
-/// copy is done sooner there. With more copies, an overload spreads every object over every
-/// server, none of which then keeps any, and the overload stays.
+/// The first server of the object's rank within `locality` gets the request. Another server gets a
+/// copy of the object only if it is free and the first one is so busy that even the slower uncached
+/// work completes sooner. With more copies, an overload would spread every object over every
+/// server; none would have its objects cached any more, and the overload would persist.
 pub fn select(
     params: &SelectionParams<'_>,
     candidates: &[Rc<Upstream>],
@@ -114,7 +115,7 @@
         .iter()
         .partition(|u| is_in_locality(params, u, locality));
     if matching.is_empty() {
-        // A region without servers of the service, or without one that the route allows.
+        // The region has no server of the service, or none that the route allows.
         let tier = |u: &Upstream| local_region_first(params, u);
         return select_ranked(params, &others, service_times, &tier);
     }
@@ -127,8 +128,8 @@
     {
         return best_match;
     }
-    // Only what would otherwise be refused leaves the regions that it is meant for, and only for
-    // servers that it was sent to before.
+    // Only requests that would otherwise be refused leave their locality, and only for servers that
+    // they were sent to before.
     let ranked = rank_servers(params, &others, &|u| local_region_first(params, u));
     let mut fallback = ranked
         .iter()
@@ -138,8 +139,8 @@
         .or(best_match)
 }
 
-/// Gives the server of `candidates` that gets an object at its `place` where it has room, as all
-/// VMs work it out alike.
+/// Returns the server that gets an object within `locality` while that server has capacity. Every
+/// VM computes the same one.
 pub fn first_ranked(
     params: &SelectionParams<'_>,
     candidates: &[Rc<Upstream>],
@@ -157,7 +158,7 @@
     best.or_else(in_any_region).cloned()
 }
 
-/// Which servers come before others, whatever their rank: those with the least number.
+/// Returns the tier of a server. Servers of a lower tier come first, whatever their rank.
 type Tier<'a> = &'a dyn Fn(&Upstream) -> u8;
 
 fn local_region_first(params: &SelectionParams<'_>, upstream: &Upstream) -> u8 {
@@ -187,7 +188,7 @@
     }
     let others = servers.iter().filter(|u| u.id != chosen.id);
     let others: Vec<&Rc<Upstream>> = others.copied().collect();
-    // The load of servers whose home this VM is is known exactly, so they are asked first.
+    // The load of the servers whose home this VM is is known exactly, so they are considered first.
     let home_first = |u: &Upstream| 2 * tier(u) + u8::from(!(params.is_home)(u));
     let ranked = rank_servers(params, &others, &home_first);
     let others = ranked
@@ -202,7 +203,8 @@
     Some(alternative.unwrap_or(first))
 }
 
-/// Gives where the home of the first server of an object's rank puts the object.
+/// Returns the server on which the home VM of `first` placed the object; `first` itself if this VM
+/// is not its home.
 fn apply_placement(
     params: &SelectionParams<'_>,
     first: &Rc<Upstream>,
@@ -218,13 +220,12 @@
     }
 }
 
-/// Says whether the servers whose home this VM is have room for copies of objects, the one whose
-/// requests would come late left out.
+/// Returns whether the servers whose home this VM is have capacity for copies of objects.
 ///
-/// The first server of a rank may get three or four objects while others get none. What it can't
-/// answer in time is then worth a copy at a server that is idle: the request that makes it comes
-/// late, the ones after it come in time. Where all servers are busy the copies would push
-/// other objects out, and every request would be work afresh.
+/// Some servers rank first for three or four objects and others for none. Requests that such a
+/// server cannot answer in time justify a copy on an idle server: the request that creates the copy
+/// is late, but later ones are on time. If all servers were busy, the copies would evict other
+/// objects, and every request would be a cache miss.
 fn has_copy_capacity(
     params: &SelectionParams<'_>,
     servers: &[&Rc<Upstream>],
@@ -241,8 +242,8 @@
     load < slots * MAX_COPY_UTILIZATION
 }
 
-/// Gives the first server of an object's rank: the one that another VM named, where it is among
-/// them.
+/// Returns the first server of an object's rank, or the server that another VM assigned if it is
+/// one of `servers`.
 fn top_ranked<'a>(
     params: &SelectionParams<'_>,
     mut servers: impl Iterator<Item = &'a Rc<Upstream>> + Clone,
@@ -265,7 +266,7 @@
     Some(best.2)
 }
 
-/// Ranks servers for an object.
+/// Sorts servers by tier and then by their rank for the object.
 fn rank_servers<'a>(
     params: &SelectionParams<'_>,
     servers: &[&'a Rc<Upstream>],
@@ -277,8 +278,8 @@
     keyed.into_iter().map(|(_, _, u)| u).collect()
 }
 
-/// Gives a server's place in the rank of an object, by weighted rendezvous hashing alike on every
-/// VM: the least comes first.
+/// Returns a server's sort key in the rank of an object, lowest first. It uses rendezvous hashing
+/// weighted by slots and is the same on every VM.
 fn rank_key(params: &SelectionParams<'_>, upstream: &Upstream) -> f64 {
     let object = params.object.to_le_bytes();
     let digest = hash::rendezvous(&[&object], upstream.id.as_str());
@@ -297,10 +298,10 @@
 ) -> Candidate {
     let is_warm = params.sticky && (is_target || upstream.likely_caches(params.object, params.now));
     let target = params.latency_target.0 as f64;
-    let warm_ms = service_times.expected_ms(&upstream.region, true, target * DEFAULT_WARM_TIME);
+    let warm_ms = service_times.expected_ms(&upstream.region, true, target * DEFAULT_WARM_FRACTION);
     let expected_ms = match is_warm {
         true => warm_ms,
-        false => service_times.expected_ms(&upstream.region, false, target * DEFAULT_COLD_TIME),
+        false => service_times.expected_ms(&upstream.region, false, target * DEFAULT_COLD_FRACTION),
     };
     let slots = f64::from(upstream.slots.get());
     let is_on = |mechanism| params.switches.is_on(mechanism);
--- a/crates/edge/src/service_times.rs
+++ b/crates/edge/src/service_times.rs
@@ -1,4 +1,4 @@
-//! How long the backend servers of one service take, learned from their answers.
+//! Response times of the backend servers of one service, learned from their responses.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -8,22 +8,22 @@
 use crate::ewma::{Ewma, decay};
 use crate::quantile::Quantile;
 
-/// The quantile of the times with a kept object that counts as usual. Under load most answers
-/// have waited in their server's queue; what is wanted is the time of the work alone, or each
-/// wait would be counted twice and everything be refused for being late.
+/// Quantile of the warm response times that counts as the typical one. Under load most responses
+/// include time in the server's queue. The estimate must be of the service time alone, or waits
+/// would be counted twice and every request would be refused for being late.
 const WARM_QUANTILE: f64 = 0.25;
-/// The same for the work without a kept object.
+/// The same for cold response times.
 const COLD_QUANTILE: f64 = 0.5;
-/// The weight of one answer in the usual load by other VMs.
+/// Weight of one report in the typical load by other VMs.
 const OTHER_LOAD_WEIGHT: f64 = 0.1;
-/// The time without an answer after which that load counts for half.
+/// Time without reports after which the typical load by other VMs counts half.
 const OTHER_LOAD_HALF_LIFE: Millis = Millis(500);
-/// How many times the usual time with a kept object a time is taken for one without.
+/// Multiple of the typical warm time from which a response counts as cold.
 const COLD_RATIO: f64 = 2.0;
 
-/// Times of one service, from sending a request to its whole answer, in milliseconds.
+/// Times of one service from sending a request to the end of its response, in milliseconds.
 ///
-/// They are kept by the backend server's region, so that the way there is part of them.
+/// They are kept by region of the backend server, so that they include the network round trip.
 #[derive(Debug, Default)]
 pub struct ServiceTimes {
     by_region: RefCell<HashMap<RegionName, TimeQuantiles>>,
@@ -54,11 +54,11 @@
 }
 
 impl ServiceTimes {
-    /// Takes in that a free server in `region` took `took` for an object that it was known
-    /// to keep, or not known to keep.
+    /// Records that a server in `region` with a free slot took `took` for an object that it was
+    /// known to have cached, or not.
     ///
-    /// Other VMs may have sent it the object meanwhile, and it may have dropped the object
-    /// for others, so a time that is far off the usual one counts for the other kind.
+    /// Other VMs may have requested the object from the server in the meantime, or the server may
+    /// have evicted it. A time far from the typical one is therefore recorded for the other kind.
     pub fn record(&self, region: &RegionName, was_cached: bool, took: Millis) {
         let took = took.0 as f64;
         let typical = self.overall.warm.get();
@@ -69,21 +69,22 @@
         times.quantile(warm).add(took);
     }
 
-    /// Takes in how many requests of other VMs a server has.
+    /// Records the number of requests of other VMs at a server.
     pub fn record_other_load(&self, other_load: f64, now: Millis) {
         self.other_load_at.set(now);
         self.other_load.add(other_load, OTHER_LOAD_WEIGHT);
     }
 
-    /// Gives how many requests of other VMs a server usually has. It fades while no server
-    /// tells anything, or a VM that refuses everything would never learn that it need not.
+    /// Returns the typical number of requests of other VMs at a server. It decays while no server
+    /// reports anything. Otherwise a VM that refuses every request would never learn that it need
+    /// not.
     pub fn typical_other_load(&self, now: Millis) -> f64 {
         let age = now.since(self.other_load_at.get());
         self.other_load.get().unwrap_or(0.0) * decay(age, OTHER_LOAD_HALF_LIFE)
     }
 
-    /// Gives how many times as long as usual an answer took, where that is known. One for an
-    /// object that the server may not have kept is compared with the kind that it is nearer.
+    /// Returns the ratio of a response time to the typical one, if that is known. If it is
+    /// uncertain whether the object was cached, the closer of the warm and the cold time is used.
     pub fn slowness(&self, region: &RegionName, was_cached: bool, took: Millis) -> Option<f64> {
         let by_region = self.by_region.borrow();
         let times = by_region.get(region)?;
@@ -95,8 +96,8 @@
         times.cold.get().map(|cold| (took / cold).max(1.0))
     }
 
-    /// Gives the expected time at a free server in `region`, or `unknown` where nothing like
-    /// it was seen.
+    /// Returns the expected response time of a server in `region` with a free slot, in
+    /// milliseconds, or `default_ms` if nothing comparable was recorded.
     pub fn expected_ms(&self, region: &RegionName, warm: bool, default_ms: f64) -> f64 {
         let by_region = self.by_region.borrow();
         let quantiles = by_region.get(region);
--- a/crates/edge/src/spillover.rs
+++ b/crates/edge/src/spillover.rs
@@ -1,9 +1,9 @@
-//! Which part of a region's objects other regions serve.
+//! Determines which fraction of a region's objects is served by other regions.
 //!
-//! A region's own servers are near, but there may be too few of them. A request at a time
-//! sent away would move the load to and fro between regions and warm every object twice. So
-//! whole objects are sent away: those whose hash lies below a threshold, which all VMs of
-//! the region compute alike and move slowly.
+//! A region's own servers are near but may be too few. Redirecting single requests would make the
+//! load oscillate between regions and warm every object twice, so whole objects are redirected:
+//! those whose hash lies below a threshold that all VMs of the region compute alike and that moves
+//! slowly.
 
 use std::cell::Cell;
 
@@ -14,40 +14,41 @@
 use crate::quantile::Quantile;
 use crate::upstream::ServerLoad;
 
-/// How far the threshold moves in a second at most. Callers' requests may not be moved from
-/// one region to another all at once: caches there are cold and links between regions thin.
+/// Maximum change of the threshold per second. Requests must not move to another region all at
+/// once, because caches there are cold and links between regions are slow.
 const MAX_STEP_PER_SECOND: f64 = 0.04;
-/// How far it comes back in a second at most. Nothing is overloaded then, so it may take longer.
+/// Maximum decrease of the threshold per second. Nothing is overloaded at that point, so the return
+/// may take longer.
 const MAX_RETURN_PER_SECOND: f64 = 0.03;
-/// How much longer than elsewhere requests wait in the own region where the threshold stands still,
-/// as a part of the way to another region and back. At half of it, requests begin to run as soon
-/// near as far away; each one sent away also shortens the wait of those that stay.
+/// Difference between the local and the remote wait at which the threshold stays where it is, as a
+/// fraction of the round trip to another region. At half a round trip a request starts as early
+/// locally as remotely, and every redirected request also shortens the wait of those that stay.
 const TARGET_WAIT_EXCESS: f64 = 0.5;
-/// How far the threshold moves in a second for each whole way by which the wait is off the balance.
+/// Change of the threshold per second for a deviation of one round trip from the target.
 const GAIN_PER_SECOND: f64 = 0.06;
-/// The weight of one answer in the waits.
+/// Weight of one response in the average wait.
 const WAIT_WEIGHT: f64 = 0.05;
-/// The part of the own servers' answers that come within the usual time of the work alone.
+/// Quantile of the local response times that is taken as the service time without queueing.
 const SERVICE_TIME_QUANTILE: f64 = 0.25;
-/// The time without an answer after which the wait that was seen counts for half. A region that
-/// sends nearly everything away hears little of its own servers, and would never try them again.
+/// Time without responses after which the recorded wait counts half. A region that redirects nearly
+/// everything hears little from its own servers and would otherwise never try them again.
 const WAIT_HALF_LIFE: Millis = Millis(3_000);
-/// The slots of a service that are in the own region and elsewhere.
+/// Slots of a service in the local region and in all others.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct SlotCounts {
-    /// Slots in the own region.
+    /// Slots in the local region.
     pub local: f64,
     /// Slots in all other regions.
     pub remote: f64,
-    /// Regions that have slots or callers.
+    /// Number of regions that have slots or callers.
     pub region_count: usize,
-    /// The time to another region and back, where it is known.
+    /// Round trip to another region, if known.
     pub round_trip: Option<Millis>,
 }
 
 impl SlotCounts {
-    /// Gives the part to send away where nothing is known of the load: callers are taken to
-    /// be spread evenly over the regions.
+    /// Returns the fraction to redirect before anything is known of the load, assuming that callers
+    /// are spread evenly over the regions.
     fn base_fraction(&self) -> f64 {
         let total = self.local + self.remote;
         if self.local <= 0.0 || total <= 0.0 {
@@ -57,11 +58,11 @@
     }
 }
 
-/// The threshold of one service.
+/// The spillover threshold of one service.
 #[derive(Debug)]
 pub struct Spillover {
     fraction: Cell<Option<f64>>,
-    /// Whether a request has gone by the threshold.
+    /// Whether a request has been routed by the threshold.
     is_used: Cell<bool>,
     integral: Cell<f64>,
     local_wait: MeanWait,
@@ -84,7 +85,7 @@
     }
 }
 
-/// How long requests wait at some servers, in milliseconds.
+/// Average time that requests wait at a group of servers, in milliseconds.
 #[derive(Debug, Default)]
 struct MeanWait {
     mean: Ewma,
@@ -104,12 +105,12 @@
 }
 
 impl Spillover {
-    /// Takes in what an answer tells: the load of its server, and how long it took.
+    /// Records the load that a response reported and the time that the response took.
     ///
-    /// Only servers that have requests tell anything, so the mean of the loads told is far above
-    /// that of all servers: with a third of all slots busy two thirds were told, and a region that
-    /// had once been busy never took its objects back. The wait that the next request would have is
-    /// what its caller would feel, whoever tells it.
+    /// Only servers that have requests report a load, so the mean of the reports is far above the
+    /// mean of all servers: with a third of the slots busy, two thirds were reported, and a region
+    /// that had once been busy never took its objects back. The wait of the next request, in
+    /// contrast, is what a caller would experience at whichever server reports it.
     pub fn record(&self, is_local: bool, load: ServerLoad, took: Millis, now: Millis) {
         if is_local {
             self.service_time.add(took.0 as f64);
@@ -123,24 +124,24 @@
         mean_wait.add(load.next_wait_ms(service_ms), now);
     }
 
-    /// Gives the part of the objects that other regions serve.
+    /// Returns the fraction of objects that other regions serve.
     pub fn remote_fraction(&self) -> f64 {
         self.fraction.get().unwrap_or(0.0)
     }
 
-    /// Says whether another region serves an object.
+    /// Returns whether another region serves an object.
     pub fn is_remote(&self, object: u64) -> bool {
         self.is_used.set(true);
         let digest = hash::rendezvous(&[&object.to_le_bytes()], "away");
         hash::unit_interval(digest) < self.remote_fraction()
     }
 
-    /// Moves the threshold for the time since it was moved last.
+    /// Moves the threshold for the time since the last update.
     ///
-    /// Until the first request goes by it, it is where it should be at once. A VM that starts
-    /// hears of routes before it hears of servers: with none in its region it would send
-    /// everything away, and take 25 s to come back from there. On days that begin so, objects
-    /// were served far off and then warmed once more near their callers.
+    /// Until the first request is routed by it, the threshold jumps directly to its target. A
+    /// starting VM learns of routes before it learns of servers: with no local server known it
+    /// would redirect everything and need 25 s to return from there, while objects are served
+    /// remotely and then warmed a second time near their callers.
     pub fn update(&self, slots: SlotCounts, now: Millis) {
         let elapsed = now
             .since(self.updated_at.replace(now))
@@ -148,12 +149,12 @@
             .min(1.0);
         let max_step = MAX_STEP_PER_SECOND * elapsed;
         let integral = self.integral.get() + self.adjustment(slots, now) * elapsed;
-        // A region takes no more objects than its part of all slots, even while it has free ones:
-        // its servers keep as few objects as others do, and more of its requests were refused when
-        // it took them.
+        // A region takes no more objects than its share of all slots, even if some of its own slots
+        // are free: its servers cache as few objects as others do, and more of its requests were
+        // refused when it took them.
         self.integral.set(integral.max(0.0));
         let target = (slots.base_fraction() + self.integral.get()).clamp(0.0, 1.0);
-        // What can't be followed is not to be wound up.
+        // Anti-windup: discards the part of the integral that is clamped away.
         self.integral.set(target - slots.base_fraction());
         let fraction_now = match self.fraction.get() {
             Some(fraction) if slots.local > 0.0 && self.is_used.get() => {
@@ -164,16 +165,16 @@
         self.fraction.set(Some(fraction_now));
     }
 
-    /// Forgets where the threshold is, so that the next step sets it at once.
+    /// Clears the threshold, so that the next update jumps to the target.
     pub fn reset(&self) {
         self.fraction.set(None);
     }
 
-    /// Gives how far the threshold is to move in a second.
+    /// Returns the change of the threshold per second.
     ///
-    /// What runs far away is under way for longer. Where more is sent there than callers gain by,
-    /// the region's requests no longer run where they did as soon as their rate changes: at a sudden
-    /// end only those under way to far regions are left.
+    /// Redirected requests are in transit for longer. If more were redirected than callers gain by,
+    /// the distribution of the region's requests over the regions would change as soon as their
+    /// rate does: when callers suddenly stop, only requests in transit to remote regions are left.
     fn adjustment(&self, slots: SlotCounts, now: Millis) -> f64 {
         let (Some(round_trip), true) = (slots.round_trip, slots.remote > 0.0) else {
             return 0.0;
--- a/crates/edge/src/spillover_update.rs
+++ b/crates/edge/src/spillover_update.rs
@@ -1,4 +1,5 @@
-//! Moves the thresholds of all services and routes by what servers and VMs there are.
+//! Periodically updates the spillover thresholds, unbound shares and localities of all services and
+//! routes from the known servers and VMs.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
@@ -17,7 +18,7 @@
 use crate::upstream::Upstream;
 use crate::world::RoutingState;
 
-/// Moves each threshold once.
+/// Updates every threshold once.
 pub(crate) fn run(cx: &EdgeContext) {
     let now = cx.now();
     let catalog = cx.world.borrow().catalog().cloned();
@@ -41,7 +42,7 @@
     for route in catalog.routes() {
         let profile = TransferProfile {
             expects_large: route.large_answers || route.large_bodies,
-            // With no VM here no object is asked for often enough to stay in the domain.
+            // With zero VMs, no object's request rate is high enough to stay in the domain.
             local_vms: match is_on(Mechanism::OwnDomain) {
                 true => local_vms,
                 false => 0,
@@ -53,7 +54,7 @@
     routes.retain(|name, _| catalog.has_route(name));
 }
 
-/// Tells where requests for a service were sent, and where its threshold stands.
+/// Logs to which regions requests for a service were sent, and its spillover threshold.
 fn log_sent(cx: &EdgeContext, service: &ServiceName, now: Millis) {
     let state = cx.service(service);
     if let Some(summary) = state.sent_by_region.take_summary(now) {
@@ -63,7 +64,7 @@
     }
 }
 
-/// Moves the parts of a service's regions that are left to requests which may run anywhere.
+/// Updates the share of each region's slots that is left to requests not bound to a region.
 fn update_unbound_shares(cx: &EdgeContext, catalog: &Catalog, service: &ServiceName, now: Millis) {
     let restricted = catalog
         .accounts()
--- a/crates/edge/src/split.rs
+++ b/crates/edge/src/split.rs
@@ -1,9 +1,10 @@
-//! Shares the requests of one route between its targets.
+//! Distributes the requests of one route over its targets.
 
 use crate::catalog::Target;
 
-/// Smooth weighted round robin: each target gets its part of any run of requests, to within
-/// one request, where random draws would be off by the root of their number.
+/// Smooth weighted round robin. In any sequence of requests each target's count is within one
+/// request of its weight, whereas random draws would deviate by the square root of the number of
+/// requests.
 #[derive(Clone, Debug, Default)]
 pub struct TrafficSplit {
     targets: Vec<Target>,
@@ -11,7 +12,7 @@
 }
 
 impl TrafficSplit {
-    /// Gives the target of the next request. Changed targets begin anew.
+    /// Returns the target of the next request. A change of the targets resets the state.
     pub fn next<'a>(&mut self, targets: &'a [Target]) -> Option<&'a Target> {
         if self.targets != targets {
             self.targets = targets.to_vec();
--- a/crates/edge/src/switches.rs
+++ b/crates/edge/src/switches.rs
@@ -1,58 +1,60 @@
-//! Mechanisms of the decisions that can be switched off, to measure what each is worth.
+//! Switches that turn single mechanisms of the request path off, to measure the effect of each.
 
 use serde::Deserialize;
 
-/// A mechanism of the decisions.
+/// A mechanism that can be switched off.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Mechanism {
-    /// A busy region sends a part of its objects away.
+    /// A busy region redirects a fraction of its objects to other regions.
     Spill,
-    /// Objects that carry much are served in the caller's failure domain.
+    /// Objects with large transfers are served in the caller's failure domain.
     OwnDomain,
-    /// What carries much is not sent away.
+    /// Objects with large transfers are not redirected to other regions.
     LargeStays,
-    /// What would be refused may go to a free server of another region that keeps the object.
+    /// A request that would be refused may be sent to a free server in another region that has the
+    /// object cached.
     OtherRegions,
-    /// What every server would answer too late is refused at once.
+    /// A request that every server would answer too late is refused immediately.
     Refusal,
-    /// Later answers are allowed where a server's load is little known.
+    /// Longer response times are accepted from a server whose load is uncertain.
     Doubt,
-    /// What servers tell of their load counts.
+    /// Load reported by servers is taken into account.
     ToldLoad,
-    /// Servers that take longer than usual get less.
+    /// Servers that are slower than usual get fewer requests.
     Slowness,
-    /// Servers that fail or refuse get less.
+    /// Servers that fail or refuse requests get fewer requests.
     Failing,
-    /// A server that answers nothing at all is left alone.
+    /// A server that does not respond at all is avoided.
     HangingServers,
-    /// Work without a kept object counts more than its time.
+    /// Work on an uncached object is weighted more than its time.
     ColdCost,
-    /// Requests are handed to the home of their backend server.
+    /// Requests are handed over to the home VM of their backend server.
     HandOver,
-    /// Requests that may run anywhere leave room to those that may not.
+    /// Requests that are not bound to a region leave capacity to those that are.
     GiveWay,
-    /// Client accounts are held to their limits.
+    /// Rate limits of client accounts are enforced.
     Quota,
-    /// VMs tell each other what they admitted; else each keeps to its share of the limits.
+    /// VMs tell each other how much they admitted. Otherwise each VM enforces its own share of the
+    /// limits.
     ToldQuota,
-    /// Homes spread objects evenly over their servers.
+    /// Home VMs place objects evenly on their servers.
     Spread,
-    /// Requests sent ahead are handled side by side.
+    /// Pipelined requests are handled concurrently.
     Ahead,
-    /// Requests under which servers ended are suspected, and rejected after three ends.
+    /// Requests during which servers ended are suspected, and rejected after three such ends.
     Poison,
 }
 
-/// Which mechanisms are on.
+/// The set of mechanisms that are switched on.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Switches {
-    /// One bit for each mechanism that is off.
+    /// One bit for each mechanism that is switched off.
     off: u32,
 }
 
 impl Switches {
-    /// Switches off what `off` names; all else is on.
+    /// Returns switches with the mechanisms in `off` switched off and all others on.
     pub fn without(off: &[Mechanism]) -> Self {
         let bits = off.iter().map(|mechanism| mechanism.bit());
         Self {
@@ -60,7 +62,7 @@
         }
     }
 
-    /// Says whether a mechanism is on.
+    /// Returns whether a mechanism is switched on.
     pub fn is_on(self, mechanism: Mechanism) -> bool {
         self.off & mechanism.bit() == 0
     }
--- a/crates/edge/src/unbound_share.rs
+++ b/crates/edge/src/unbound_share.rs
@@ -1,10 +1,10 @@
-//! How much of its room each region leaves to the requests that may run anywhere.
+//! Determines which share of its slots each region leaves to requests that are not bound to a
+//! region.
 //!
-//! Requests of an account with home regions have nowhere else to go. Where a large account is
-//! bound to a region of few servers, requests that may run anywhere crowd it out of there: its
-//! requests are refused, run late and come back, while other regions have room. So those that may
-//! go elsewhere give way ahead of the crowding, by what all VMs reckon alike from the accounts'
-//! limits.
+//! Requests of a client account with home regions cannot be served elsewhere. If a large account is
+//! bound to a region with few servers, unbound requests would crowd it out: its requests would be
+//! refused, answered late and retried while other regions have capacity. Unbound requests therefore
+//! yield in advance, by a share that all VMs compute alike from the accounts' limits.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -13,15 +13,16 @@
 
 use crate::accounts::RestrictedShare;
 
-/// How far a region's part moves in a second at most. The requests that move with it may be no
-/// more than the callers' caches and the links between regions bear.
+/// Maximum change of a region's share per second. It limits the requests that move to other regions
+/// at once, to what caches and links between regions can absorb.
 const MAX_STEP_PER_SECOND: f64 = 0.04;
-/// The least part. With none at all a region's servers would not be ranked, where no other region
-/// has any that can be reached.
+/// Smallest share. With a share of zero the region's servers would not be ranked at all, even if no
+/// other region has a reachable server.
 const MIN_SHARE: f64 = 0.02;
 
-/// Gives the part of each region's slots that is left to requests which may run anywhere, if all
-/// slots are to be used alike. `bound` are the shares of all requests that certain regions must run.
+/// Returns the share of each region's slots to leave to unbound requests so that all slots are used
+/// evenly. `restricted` holds the fractions of all requests that have to be served in certain
+/// regions.
 pub fn target_shares(
     slots: &BTreeMap<RegionName, f64>,
     restricted: &[RestrictedShare],
@@ -53,8 +54,9 @@
     shares.collect()
 }
 
-/// Gives the requests for each slot with which `free` fills the regions beside what is taken of
-/// them. A region that is fuller than that gets nothing of it.
+/// Returns the requests per slot to which `unrestricted` fills the regions on top of their
+/// `reserved` requests (water-filling). A region that is fuller than this level gets no
+/// unrestricted requests.
 fn fill_level(
     slots: &BTreeMap<RegionName, f64>,
     reserved: &BTreeMap<&RegionName, f64>,
@@ -78,23 +80,23 @@
     level
 }
 
-/// The parts of a service's regions, as they move.
+/// The current shares of a service's regions.
 #[derive(Debug, Default)]
 pub struct UnboundShares {
     shares: RefCell<BTreeMap<RegionName, f64>>,
-    /// Whether a request has gone by them.
+    /// Whether a request has been routed by the shares.
     is_used: Cell<bool>,
     updated_at: Cell<Millis>,
 }
 
 impl UnboundShares {
-    /// Notes that a request goes by the parts.
+    /// Records that a request is routed by the shares.
     pub fn mark_used(&self) {
         self.is_used.set(true);
     }
 
-    /// Moves the parts towards `goals` for the time since they were moved last. Until the first
-    /// request goes by them they are there at once.
+    /// Moves the shares towards `targets` for the time since the last update. Until the first
+    /// request is routed by them, they jump directly to the targets.
     pub fn update(&self, targets: &BTreeMap<RegionName, f64>, now: Millis) {
         let elapsed = now
             .since(self.updated_at.replace(now))
@@ -111,12 +113,12 @@
         }
     }
 
-    /// Says whether all regions leave all of their room.
+    /// Returns whether every region leaves all of its slots.
     pub fn are_all_full(&self) -> bool {
         self.shares.borrow().values().all(|share| *share >= 1.0)
     }
 
-    /// Gives a region's part.
+    /// Returns the share of a region.
     pub fn share(&self, region: &RegionName) -> f64 {
         self.shares.borrow().get(region).copied().unwrap_or(1.0)
     }
--- a/crates/edge/src/upstream.rs
+++ b/crates/edge/src/upstream.rs
@@ -1,4 +1,4 @@
-//! What this VM knows of one run of a backend server.
+//! State that this VM keeps about one run of a backend server.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -12,57 +12,57 @@
 use crate::poison::crash::CrashProbe;
 use crate::registration::Registration;
 
-/// Objects that are remembered of one backend server. Servers keep tens of objects at most,
-/// and one that was forgotten here is only taken for slower than it is.
+/// Maximum number of objects remembered per backend server. Servers cache tens of objects at most,
+/// and a server whose object was forgotten here is merely assumed to be slower than it is.
 const MAX_TRACKED_OBJECTS: usize = 256;
-/// How long an idle connection to a backend server is kept.
+/// Time after which an idle connection to a backend server is closed.
 pub const IDLE_TIMEOUT: Millis = Millis(8_000);
-/// How long a handled object is taken for kept.
+/// Time for which an object is assumed to stay cached after a request for it.
 const ASSUMED_CACHED_FOR: Millis = Millis(60_000);
-/// The weight of one response in the average of what other VMs have running.
+/// Weight of one response in the average load by other VMs.
 const OTHER_LOAD_WEIGHT: f64 = 0.4;
-/// The time after which what was told of others counts for half.
+/// Time after which the reported load by other VMs counts half.
 const OTHER_LOAD_HALF_LIFE: Millis = Millis(350);
-/// The time after which what was seen of its slowness and failures counts for half.
+/// Time after which recorded slowness and failures count half.
 const QUALITY_HALF_LIFE: Millis = Millis(3_000);
-/// The weight of one response in the average slowness and failure rate.
+/// Weight of one response in the average slowness and failure rate.
 const QUALITY_WEIGHT: f64 = 0.2;
-/// The pause after the first failure to reach a backend server.
+/// Backoff after the first failure to reach a backend server.
 const INITIAL_BACKOFF: Millis = Millis(250);
-/// The longest pause between two tries of a backend server that can't be reached.
+/// Maximum backoff between two attempts to reach a backend server.
 const MAX_BACKOFF: Millis = Millis(4_000);
-/// How often a failing pause doubles at most.
+/// Maximum number of times that the backoff doubles.
 const MAX_BACKOFF_DOUBLINGS: u32 = 4;
 
-/// One run of a backend server.
+/// One run of a backend server, from its start to its end.
 pub struct Upstream {
-    /// Its identifier.
+    /// Identifier of the server.
     pub id: UpstreamName,
-    /// When it started, in its own Unix time, where it told that.
+    /// When the run started, in the server's Unix time, if it reported that.
     pub started_at: Option<Millis>,
-    /// The service that it runs.
+    /// Service that it runs.
     pub service: ServiceName,
-    /// The failure domain that it lies in.
+    /// Failure domain that it belongs to.
     pub domain: DomainName,
-    /// The region of that domain.
+    /// Region of the failure domain.
     pub region: RegionName,
-    /// The connections to it.
+    /// Connections to the server.
     pub pool: Pool,
-    /// The requests that it runs at once.
+    /// Number of requests that it processes concurrently.
     pub slots: Cell<u32>,
-    /// Whether it said that it leaves.
+    /// Whether it announced that it is shutting down.
     pub leaving: Cell<bool>,
-    /// Whether another server answers at its address.
+    /// Whether another server has taken over its address.
     pub replaced: Cell<bool>,
-    /// Until when it counts as cold.
+    /// Time until which it counts as cold.
     pub cold_until: Cell<Millis>,
-    /// Whether it counts as cold only until it says otherwise.
+    /// Whether it counts as cold only until it reports otherwise.
     pub is_presumed_cold: Cell<bool>,
-    /// The part of its room that is left to requests which may run anywhere.
+    /// Share of its slots that is left to requests not bound to a region.
     pub unbound_share: Cell<f64>,
     /// When it registered, on this process's clock.
     pub registered_at: Millis,
-    /// The last question whether it has ended.
+    /// The latest probe of whether the run has ended.
     pub(crate) end_probe: RefCell<Option<CrashProbe>>,
     in_flight: Cell<u32>,
     other_load: Ewma,
@@ -76,8 +76,8 @@
     recent_objects: RefCell<HashMap<u64, Millis>>,
 }
 
-/// Gives how connections that carry requests are tested. A peer that is gone without a word is
-/// found out within about three seconds, while most requests still have time.
+/// Returns the liveness options of connections that carry requests. An unresponsive peer is
+/// detected within about three seconds, while most requests still have time left.
 pub fn liveness_options() -> LivenessOptions {
     LivenessOptions {
         user_timeout: Duration::from_millis(1_500),
@@ -86,27 +86,28 @@
     }
 }
 
-/// The load that a backend server tells with a response.
+/// Load that a backend server reports with a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ServerLoad {
-    /// Requests that run.
+    /// Requests being processed.
     pub running: u32,
-    /// Requests that wait.
+    /// Requests waiting for a slot.
     pub waiting: u32,
-    /// Requests that can run at once.
+    /// Maximum number of concurrent requests.
     pub slots: u32,
 }
 
 impl ServerLoad {
-    /// Gives how long the next request waits for a slot, if each takes `work` milliseconds. The
-    /// request that was answered is still among those that run, and has left its slot by then.
+    /// Returns how long the next request would wait for a slot, in milliseconds, if each request
+    /// takes `service_ms`. The request that was just answered is still counted as running, but has
+    /// freed its slot by then.
     pub fn next_wait_ms(self, service_ms: f64) -> f64 {
         let slots = self.slots.max(1);
         let excess = (self.running + self.waiting).saturating_sub(slots);
         f64::from(excess) / f64::from(slots) * service_ms
     }
 
-    /// Reads `running,waiting,slots`.
+    /// Parses `running,waiting,slots`.
     pub fn parse(text: &str) -> Option<Self> {
         let mut numbers = text.split(',').map(|n| n.trim().parse().ok());
         Some(Self {
@@ -118,7 +119,7 @@
 }
 
 impl Upstream {
-    /// Makes the record of a backend server that has just registered.
+    /// Creates the state of a backend server that has just registered.
     pub fn new(reg: &Registration, region: RegionName, pool: PoolConfig, clock: &Clock) -> Self {
         Self {
             id: reg.id.clone(),
@@ -148,18 +149,18 @@
         }
     }
 
-    /// Says whether it takes requests at all, as far as it is known.
+    /// Returns whether the server accepts requests, as far as is known.
     pub fn accepts_requests(&self) -> bool {
         !self.leaving.get() && !self.replaced.get()
     }
 
-    /// Says whether it is cold at `now`.
+    /// Returns whether the server counts as cold at `now`.
     pub fn is_cold(&self, now: Millis) -> bool {
         now < self.cold_until.get()
     }
 
-    /// Says whether it is worth a try at `now`. One that failed is tried by one request at a
-    /// time until it answers.
+    /// Returns whether the server may be tried at `now`. After a failure it gets one request at a
+    /// time until it responds.
     pub fn is_reachable(&self, now: Millis) -> bool {
         match self.consecutive_failures.get() {
             0 => true,
@@ -167,11 +168,11 @@
         }
     }
 
-    /// Gives the requests that it is expected to have, of this VM and of others.
+    /// Returns the expected number of requests at the server, from this VM and others.
     ///
-    /// What it told of others counts for less with age, and `usual`, the average of all
-    /// servers of the service, for more. Otherwise a server that was once full would get
-    /// nothing from this VM, and so could never tell that it is free again.
+    /// The reported load of other VMs is weighted less as it ages, and `typical_other_load`, the
+    /// average over the service's servers, is weighted more. Otherwise a server that was once full
+    /// would get no further requests from this VM and could never report that it is free again.
     pub fn load(&self, typical_other_load: f64, now: Millis) -> f64 {
         let confidence = self.load_confidence(now);
         let reported = self.other_load.get().unwrap_or(typical_other_load);
@@ -180,44 +181,43 @@
             + (reported - typical_other_load) * confidence
     }
 
-    /// Gives how far its own word of its load counts at `now`, from one to zero.
+    /// Returns the weight of the server's own load report at `now`, decaying from 1 to 0.
     pub fn load_confidence(&self, now: Millis) -> f64 {
         decay(now.since(self.load_reported_at.get()), OTHER_LOAD_HALF_LIFE)
     }
 
-    /// Gives how old what it told of its load is.
+    /// Returns the age of the last load report.
     pub fn load_age(&self, now: Millis) -> Millis {
         now.since(self.load_reported_at.get())
     }
 
-    /// Gives this VM's own requests at it.
+    /// Returns the number of this VM's own requests at the server.
     pub fn in_flight(&self) -> u32 {
         self.in_flight.get()
     }
 
-    /// Gives how many times as long as usual its requests take.
+    /// Returns the ratio of the server's response times to the typical ones.
     ///
-    /// It fades with time, as what is told of load does, so that a server that was slow once
-    /// is tried again.
+    /// It decays to 1 like the reported load, so that a server that was slow once is tried again.
     pub fn slowness(&self, now: Millis) -> f64 {
         let average = self.slowness.get().unwrap_or(1.0);
         1.0 + (average - 1.0) * decay(now.since(self.quality_updated_at.get()), QUALITY_HALF_LIFE)
     }
 
-    /// Gives the part of its requests that failed lately.
+    /// Returns the fraction of the server's recent requests that failed.
     pub fn failure_rate(&self, now: Millis) -> f64 {
         let age = now.since(self.quality_updated_at.get());
         self.failure_rate.get().unwrap_or(0.0) * decay(age, QUALITY_HALF_LIFE)
     }
 
-    /// Says whether it lately handled an object.
+    /// Returns whether the server handled the object recently enough to still have it cached.
     pub fn likely_caches(&self, object: u64, now: Millis) -> bool {
         let recent_objects = self.recent_objects.borrow();
         let at = recent_objects.get(&object);
         at.is_some_and(|at| now.since(*at) < ASSUMED_CACHED_FOR)
     }
 
-    /// Counts a request for as long as the returned guard lives.
+    /// Counts a request as in flight until the returned guard is dropped.
     pub fn start_request(self: &Rc<Self>) -> InFlightGuard {
         self.in_flight.set(self.in_flight.get() + 1);
         InFlightGuard {
@@ -225,7 +225,8 @@
         }
     }
 
-    /// Takes in the load that it told; gives the requests of other VMs among them.
+    /// Records the load that the server reported. Returns the number of requests of other VMs in
+    /// it.
     pub fn record_load(&self, load: ServerLoad, now: Millis) -> f64 {
         self.load_reported_at.set(now);
         let total = f64::from(load.running + load.waiting);
@@ -235,8 +236,7 @@
         other_load
     }
 
-    /// Takes in a good answer that took `slowness` times as long as usual, where that is
-    /// known.
+    /// Records a successful response that took `slowness` times the typical time, if that is known.
     pub fn record_success(&self, object: u64, slowness: Option<f64>, now: Millis) {
         self.consecutive_failures.set(0);
         self.failure_rate.add(0.0, QUALITY_WEIGHT);
@@ -255,40 +255,41 @@
         recent_objects.insert(object, now);
     }
 
-    /// Takes in that it answered something, whatever that was.
+    /// Records that the server sent a response of any kind.
     pub fn record_response(&self, now: Millis) {
         self.end_probe.take();
         self.last_response_at.set(now);
     }
 
-    /// Says whether it has answered nothing at all since `since`.
+    /// Returns whether the server has sent no response at all since `since`.
     pub fn is_silent_since(&self, since: Millis) -> bool {
         self.last_response_at.get() < since
     }
 
-    /// Takes in that a request was without an answer after `slowness` times the usual time.
+    /// Records that a request was still unanswered after `slowness` times the typical time.
     pub fn record_unanswered(&self, slowness: f64, now: Millis) {
         self.quality_updated_at.set(now);
         self.slowness.add(slowness.clamp(1.0, 20.0), QUALITY_WEIGHT);
     }
 
-    /// Takes in an answer that says that the request failed or was refused.
+    /// Records a response by which the request failed or was refused.
     pub fn record_error_response(&self, now: Millis) {
         self.quality_updated_at.set(now);
         self.consecutive_failures.set(0);
         self.failure_rate.add(1.0, QUALITY_WEIGHT);
     }
 
-    /// Takes in that it could not be reached, or broke off.
+    /// Records that the server could not be reached or closed the connection prematurely.
     ///
-    /// A server that is gone without a word costs each request that tries it the time of a
-    /// connect. It is left alone for a pause that doubles, and then tried by one request.
+    /// Every request sent to an unresponsive server costs the time of a connection attempt. The
+    /// server is therefore avoided for an exponentially growing backoff and then probed with a
+    /// single request.
     pub fn record_connection_failure(&self, now: Millis) {
         self.record_hang(Millis(0), now);
     }
 
-    /// Takes in the same of a request that has `waited` for nothing. The pause is no shorter than
-    /// that, or the server would get the next request, which waits as long, almost at once.
+    /// Records that a request got no response for `waited`. The backoff is at least that long.
+    /// Otherwise the server would get the next request, which waits as long, almost immediately.
     pub fn record_hang(&self, waited: Millis, now: Millis) {
         let consecutive_failures = self.consecutive_failures.get();
         self.consecutive_failures.set(consecutive_failures + 1);
@@ -301,7 +302,7 @@
     }
 }
 
-/// A request at a backend server.
+/// Counts a request as in flight at a backend server until dropped.
 pub struct InFlightGuard {
     upstream: Rc<Upstream>,
 }
--- a/crates/edge/src/window.rs
+++ b/crates/edge/src/window.rs
@@ -1,13 +1,13 @@
-//! Counts over a sliding span of time.
+//! Counting over a sliding time window.
 
 use std::collections::VecDeque;
 
 use heatherknot_types::prelude::*;
 
-/// The parts that a window is cut into; the count is exact to one of them.
+/// Number of buckets per window. The total is exact to one bucket.
 const BUCKETS: u64 = 20;
 
-/// Counts events of the last `span`, never fewer than there were.
+/// Sums amounts over the last `span`. The sum may include up to one bucket more, but never less.
 #[derive(Debug)]
 pub struct SlidingWindow {
     span: Millis,
@@ -16,7 +16,7 @@
 }
 
 impl SlidingWindow {
-    /// Makes a window of `span`.
+    /// Creates a window of length `span`.
     pub fn new(span: Millis) -> Self {
         Self {
             span,
@@ -36,7 +36,7 @@
         self.total += amount;
     }
 
-    /// Gives the amount of the last span.
+    /// Returns the sum over the last span.
     pub fn total(&mut self, now: Millis) -> f64 {
         self.expire(now);
         self.total
