--- a/crates/edge/src/round_trip.rs
+++ b/crates/edge/src/round_trip.rs
@@ -79,14 +79,14 @@
 async fn measure(cx: &EdgeContext, region: &RegionName, vm: &VmName) {
     // The first call may have to open the connection, so only the second one is measured.
     for is_measured in [false, true] {
-        let began = cx.now();
+        let started = cx.now();
         let opts = CallOptions::quick(PING_TIMEOUT);
         if let Err(error) = cx.net.call_with::<_, ()>(vm, PING, &(), opts).await {
             debug!(vm:% = vm, error:% = error; "the round trip to a VM could not be measured");
             return;
         }
         if is_measured {
-            let took = cx.now().since(began);
+            let took = cx.now().since(started);
             cx.distances.record(region, took);
             info!(vm:% = vm, region:% = region, round_trip_ms = took.0; "round trip to another region measured");
         }
--- a/crates/edge/tests/decisions.rs
+++ b/crates/edge/tests/decisions.rs
@@ -285,8 +285,8 @@
     let clock = TestClock::default();
     clock.advance(10_000);
     let server = upstream("a", "north", &clock.clock());
-    let told = ServerLoad::parse("1,0,3").expect("a load");
-    server.record_load(told, Millis(9_300));
+    let reported = ServerLoad::parse("1,0,3").expect("a load");
+    server.record_load(reported, Millis(9_300));
     let region = RegionName::from("north");
     let params = params(7, &region, Millis(10_000));
     let candidates = [Rc::clone(&server)];
@@ -298,9 +298,9 @@
     );
     let chosen = chosen.expect("there is a server");
 
-    let flight = server.start_request();
-    server.record_load(told, Millis(10_400));
+    let guard = server.start_request();
+    server.record_load(reported, Millis(10_400));
 
     assert_eq!((chosen.load_age, chosen.own_in_flight), (Millis(700), 0));
-    drop(flight);
+    drop(guard);
 }
--- a/crates/edge/tests/homes.rs
+++ b/crates/edge/tests/homes.rs
@@ -159,17 +159,17 @@
 
 #[test]
 fn a_hand_over_header_round_trips() {
-    let word = HandOverHeader {
+    let header = HandOverHeader {
         version: 12,
         service: "gallery".into(),
         server: "i-7".into(),
     };
-    let value = word
+    let value = header
         .to_value(TOKEN)
         .expect("these names can stand in a header");
     assert_eq!(
         HandOverHeader::parse(value.to_str().expect("text"), TOKEN),
-        Some(word)
+        Some(header)
     );
 }
 
