--- a/crates/edge/tests/load_patterns.rs
+++ b/crates/edge/tests/load_patterns.rs
@@ -81,7 +81,7 @@
 /// their load always have a request, so with a third of the slots busy, two thirds are reported. In
 /// one region 72 in 100 of a service's objects were served 110 ms away on a day without faults.
 ///
-/// Servers have three slots, a third of them busy.
+/// Servers have three slots, a third of them busy; callers send for 30 s.
 #[test]
 fn a_region_with_free_capacity_takes_its_objects_back() {
     let spillover = Spillover::default();
