--- a/crates/edge/tests/relay.rs
+++ b/crates/edge/tests/relay.rs
@@ -1,4 +1,4 @@
-//! Which VMs read the store, and whom the others ask.
+//! Tests of which VMs read the store, and which VMs the others ask.
 
 use std::collections::BTreeSet;
 
@@ -81,9 +81,8 @@
     }
 }
 
-/// Story: the region next to the store loses power. Nobody there reads the store any more, and
-/// the VMs that are left would wait for each other. Those of the next region take over as soon
-/// as the entries of the first are gone.
+/// If the region next to the store loses power, the remaining VMs must not wait for each other:
+/// those of the next region take over once the entries of the first are gone.
 #[test]
 fn the_next_region_reads_the_store_once_the_nearest_is_gone() {
     let mut vms = vms();
@@ -95,9 +94,9 @@
     assert!(readers.iter().all(|vm| vm.region == "south".into()));
 }
 
-/// Story: the VM that a domain hears from is cut off from the store and answers on. The others
-/// of its domain need somebody else to ask, and nobody in another region: a copy of everything
-/// for each of them would fill the way between regions.
+/// A domain's head that is cut off from the store still answers. The other VMs of the domain need
+/// an alternative to ask, but not in another region: a full copy for each of them would saturate
+/// the link between regions.
 #[test]
 fn there_is_somebody_else_to_ask_in_the_same_domain() {
     let vms = vms();
@@ -142,7 +141,7 @@
         let domain = domain.into();
         let keeps = vms
             .iter()
-            .filter(|vm| relay.keeps_entries_of(&vm.name, &domain));
+            .filter(|vm| relay.deletes_entries_of(&vm.name, &domain));
         keeps.map(|vm| vm.domain.clone()).collect::<Vec<_>>()
     };
     assert_eq!(keepers("s1"), ["s1".into()]);
@@ -151,15 +150,15 @@
     assert!(of_lost[0].as_str().starts_with('n'), "it reads the store");
 }
 
-/// Story: all VMs restart where they were. Each finds its own entry and writes nothing: three
-/// hundred writes at once would hold up the readings of those that are to serve again.
+/// When all VMs restart in place, each must recognize its own entry and write nothing: three
+/// hundred simultaneous writes would delay the reads of VMs that are about to serve again.
 #[test]
 fn an_entry_of_an_earlier_run_says_the_same_unless_an_address_differs() {
     let before = vm("n1-1", "n1", "north", Some(9));
     let mut after = vm("n1-1", "n1", "north", None);
     after.incarnation = Incarnation(7);
-    assert!(before.says_the_same(&after));
+    assert!(before.advertises_same(&after));
 
     after.requests = "127.0.0.1:9".parse().expect("an address");
-    assert!(!before.says_the_same(&after));
+    assert!(!before.advertises_same(&after));
 }
--- a/crates/edge/tests/support/quota_model.rs
+++ b/crates/edge/tests/support/quota_model.rs
@@ -1,5 +1,5 @@
-//! A fleet that keeps an account to its quota: the real meters, pools and reports, with a clock, a
-//! network and callers of the test's own.
+//! Simulation of a fleet that enforces an account's limit: the real meters, totals and reports,
+//! with a simulated clock, network and callers.
 
 use std::collections::HashMap;
 
@@ -9,85 +9,87 @@
 use heatherknot_edge::quota::usage::{Counts, Reporter, UsageReport};
 use heatherknot_types::prelude::*;
 
-/// A step of the model's clock.
+/// Step of the simulated clock, in milliseconds like all times here.
 const STEP: u64 = 10;
-/// The time between two reports while nothing surges, and while something does.
-const PERIOD: u64 = 300;
-const SURGE_PERIOD: u64 = 60;
-/// One way within a domain, and between two.
-const NEAR: u64 = 2;
-const FAR: u64 = 57;
-/// The time allowed for an answer within a domain, and from another one.
-const LIMIT_HERE: u64 = 400;
-const LIMIT_AWAY: u64 = 700;
-/// How long a process takes to start again.
-const START: u64 = 700;
+/// Interval between two reports without and during a surge.
+const REPORT_INTERVAL: u64 = 300;
+const MIN_REPORT_INTERVAL: u64 = 60;
+/// One-way delay within a domain and between domains.
+const DELAY_WITHIN_DOMAIN: u64 = 2;
+const DELAY_BETWEEN_DOMAINS: u64 = 57;
+/// Timeouts of a report within a domain and between domains.
+const TIMEOUT_WITHIN_DOMAIN: u64 = 400;
+const TIMEOUT_BETWEEN_DOMAINS: u64 = 700;
+/// How long a process takes to restart.
+const RESTART_TIME: u64 = 700;
 
 /// The only account.
 pub const ACCOUNT: &str = "hot";
 
-/// How a fleet keeps to the quota.
+/// How the fleet enforces the limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Way {
-    /// Not at all.
+pub enum Policy {
+    /// No enforcement.
     Unlimited,
-    /// Each VM by its own equal share of the limit.
+    /// Each VM admits by an equal share of the limit.
     EqualShares,
-    /// Each VM by the total that it knows: all while there is room, else nothing.
+    /// Each VM admits by the total that it knows: everything until the limit is reached, then
+    /// nothing.
     Totals,
-    /// Each VM by the part that one VM of the whole fleet lends it.
+    /// Each VM admits by the fraction that it receives from one VM of the whole fleet.
     Lent,
-    /// Each VM by the part that the totals leave room for.
+    /// Each VM admits by the fraction that it receives from its domain's head. This is the daemons'
+    /// policy.
     Parts,
 }
 
-/// What goes wrong at a time.
+/// A fault that occurs at a certain time.
 #[derive(Clone, Debug)]
 pub enum Fault {
-    /// These VMs reach no other VM, and callers still reach them.
-    Cut(Vec<usize>),
-    /// All VMs reach each other again.
+    /// These VMs can't reach any other VM, but callers still reach them.
+    Partition(Vec<usize>),
+    /// All VMs can reach each other again.
     Heal,
-    /// These processes are killed and start again.
+    /// These processes are killed and restart.
     Kill(Vec<usize>),
-    /// From now on this part of the reports, and of the answers, is lost.
+    /// From now on this fraction of the reports and of the answers is lost.
     Lose(f64),
-    /// From now on reports take this much longer.
+    /// From now on each message takes this much longer.
     Delay(u64),
 }
 
-/// What the model plays.
+/// The input of a simulation.
 pub struct Scenario {
-    /// The limit.
+    /// The account's limit.
     pub limit: RateLimit,
-    /// The VMs of each domain.
+    /// The number of VMs in each domain.
     pub domains: Vec<usize>,
-    /// Requests a second, from these times in milliseconds on.
+    /// Request rates per second, each with the time in milliseconds from which it applies.
     pub demand: Vec<(u64, f64)>,
-    /// What goes wrong, from these times on.
+    /// Faults, each with the time at which it occurs.
     pub faults: Vec<(u64, Fault)>,
     /// The end, in milliseconds.
     pub end: u64,
-    /// The chance of all that is drawn.
+    /// The random seed.
     pub seed: u64,
 }
 
-/// What came of it.
-pub struct Played {
+/// The result of a simulation.
+pub struct RunResult {
     /// When requests were admitted, in milliseconds.
     pub admitted: Vec<u64>,
-    /// Requests that callers sent.
-    pub asked: u64,
-    /// Requests that one counter in one place would have admitted.
-    pub owed: u64,
-    /// Words that VMs sent.
+    /// Number of requests that callers sent.
+    pub sent: u64,
+    /// Number of requests that a single shared counter would have admitted.
+    pub ideal_admitted: u64,
+    /// Number of reports that VMs sent.
     pub reports: u64,
-    /// Accounts that reports told of.
-    pub told: u64,
+    /// Number of account counts in those reports.
+    pub accounts_reported: u64,
 }
 
-impl Played {
-    /// Gives the most requests that were admitted within a window.
+impl RunResult {
+    /// Returns the highest number of requests admitted within any window of this length.
     pub fn most_within(&self, window: u64) -> usize {
         let mut first = 0;
         let mut most = 0;
@@ -101,14 +103,14 @@
     }
 }
 
-/// A report on its way, and the answer to it.
+/// A report in flight, or the answer to it.
 #[derive(Clone, Copy)]
 struct Call {
     from: usize,
     incarnation: u64,
     to: usize,
     number: u64,
-    /// Whether it tells what the VM itself counted.
+    /// Whether it contains the sending VM's own counts.
     is_own: bool,
 }
 
@@ -125,26 +127,26 @@
     meter: Meter,
     totals: Totals,
     reporters: HashMap<usize, Reporter>,
-    /// The calls that wait for an answer, by peer.
+    /// The call that awaits an answer, by peer.
     waits_for: HashMap<usize, u64>,
     next_step: u64,
-    stepped: u64,
+    last_step: u64,
 }
 
 struct Model<'a> {
     scenario: &'a Scenario,
-    way: Way,
+    policy: Policy,
     rng: fastrand::Rng,
     accounts: Accounts,
     vms: Vec<Vm>,
     events: Vec<(u64, Event)>,
-    cut: Vec<bool>,
-    lost: f64,
+    partitioned: Vec<bool>,
+    loss_rate: f64,
     delay: u64,
-    played: Played,
+    result: RunResult,
 }
 
-/// Makes an account with a limit.
+/// Creates an account with a limit.
 pub fn account_entry(name: &str, limit: RateLimit) -> AccountEntry {
     let account = Account {
         name: name.into(),
@@ -158,16 +160,16 @@
     }
 }
 
-/// Plays a scenario.
-pub fn play(scenario: &Scenario, way: Way) -> Played {
-    let mut model = Model::new(scenario, way);
+/// Runs a scenario.
+pub fn simulate(scenario: &Scenario, policy: Policy) -> RunResult {
+    let mut model = Model::new(scenario, policy);
     let limit = scenario.limit;
     let mut level = limit.burst;
     let mut due = 0.0;
     let mut faults = scenario.faults.iter().peekable();
     for now in (0..scenario.end).step_by(STEP as usize) {
         while let Some((_, fault)) = faults.next_if(|(at, _)| *at <= now) {
-            model.strike(fault, now);
+            model.inject(fault, now);
         }
         model.deliver(now);
         model.step(now);
@@ -176,18 +178,18 @@
         due += demand.map_or(0.0, |(_, rate)| rate * STEP as f64 / 1_000.0);
         while due >= 1.0 {
             due -= 1.0;
-            model.ask(now);
+            model.send_request(now);
             if level >= 1.0 {
                 level -= 1.0;
-                model.played.owed += 1;
+                model.result.ideal_admitted += 1;
             }
         }
     }
-    model.played
+    model.result
 }
 
 impl<'a> Model<'a> {
-    fn new(scenario: &'a Scenario, way: Way) -> Self {
+    fn new(scenario: &'a Scenario, policy: Policy) -> Self {
         let entry = account_entry(ACCOUNT, scenario.limit);
         let mut rng = fastrand::Rng::with_seed(scenario.seed);
         let domains = scenario.domains.iter().enumerate();
@@ -195,41 +197,41 @@
         let vms: Vec<Vm> = domains.map(|domain| Vm::new(domain, 0, &mut rng)).collect();
         Self {
             scenario,
-            way,
+            policy,
             accounts: Accounts::new(vec![entry], Vec::new()).0,
-            cut: vec![false; vms.len()],
+            partitioned: vec![false; vms.len()],
             vms,
             rng,
             events: Vec::new(),
-            lost: 0.0,
+            loss_rate: 0.0,
             delay: 0,
-            played: Played {
+            result: RunResult {
                 admitted: Vec::new(),
-                asked: 0,
-                owed: 0,
+                sent: 0,
+                ideal_admitted: 0,
                 reports: 0,
-                told: 0,
+                accounts_reported: 0,
             },
         }
     }
 
-    fn strike(&mut self, fault: &Fault, now: u64) {
+    fn inject(&mut self, fault: &Fault, now: u64) {
         match fault {
-            Fault::Cut(vms) => vms.iter().for_each(|vm| self.cut[*vm] = true),
-            Fault::Heal => self.cut.fill(false),
-            Fault::Lose(part) => self.lost = *part,
+            Fault::Partition(vms) => vms.iter().for_each(|vm| self.partitioned[*vm] = true),
+            Fault::Heal => self.partitioned.fill(false),
+            Fault::Lose(fraction) => self.loss_rate = *fraction,
             Fault::Delay(delay) => self.delay = *delay,
             Fault::Kill(vms) => {
                 for vm in vms {
                     let domain = self.vms[*vm].domain;
-                    self.vms[*vm] = Vm::new(domain, now + START, &mut self.rng);
+                    self.vms[*vm] = Vm::new(domain, now + RESTART_TIME, &mut self.rng);
                 }
             }
         }
     }
 
-    fn ask(&mut self, now: u64) {
-        self.played.asked += 1;
+    fn send_request(&mut self, now: u64) {
+        self.result.sent += 1;
         let up: Vec<usize> = (0..self.vms.len())
             .filter(|vm| self.vms[*vm].up_at <= now)
             .collect();
@@ -242,40 +244,42 @@
         let limit = self.scenario.limit;
         let verdict = self.vms[vm]
             .meter
-            .ask(&ACCOUNT.into(), limit, vms, Millis(now), draw);
-        if verdict == Verdict::Admitted || self.way == Way::Unlimited {
-            self.played.admitted.push(now);
+            .admit(&ACCOUNT.into(), limit, vms, Millis(now), draw);
+        if verdict == Verdict::Admitted || self.policy == Policy::Unlimited {
+            self.result.admitted.push(now);
         }
     }
 
     fn step(&mut self, now: u64) {
-        if matches!(self.way, Way::Unlimited | Way::EqualShares) {
+        if matches!(self.policy, Policy::Unlimited | Policy::EqualShares) {
             return;
         }
         for at in 0..self.vms.len() {
             let vm = &self.vms[at];
             let surges = vm.meter.has_surge() || vm.totals.has_surge();
-            let is_due = now >= vm.next_step || (surges && now >= vm.stepped + SURGE_PERIOD);
+            let is_due =
+                now >= vm.next_step || (surges && now >= vm.last_step + MIN_REPORT_INTERVAL);
             if vm.up_at <= now && is_due {
-                self.vms[at].next_step = now + PERIOD;
-                self.vms[at].stepped = now;
+                self.vms[at].next_step = now + REPORT_INTERVAL;
+                self.vms[at].last_step = now;
                 self.step_one(at, now);
             }
         }
     }
 
-    /// What `exchange` does: tell the head of the domain, and the other heads where this is one.
+    /// Mirrors `quota::exchange`: reports to the head of the domain, and to the other heads if this
+    /// VM is one.
     fn step_one(&mut self, at: usize, now: u64) {
         let domain = self.vms[at].domain;
-        let leaders = self.leaders_to_tell(at, domain);
+        let leaders = self.leaders_to_report_to(at, domain);
         let is_collector = leaders.last() == Some(&at);
-        let counts = self.vms[at].meter.take_untold();
+        let counts = self.vms[at].meter.take_unreported();
         if is_collector {
             let vms = self.vms.len();
             let vm = &mut self.vms[at];
-            vm.totals.take_own(&counts, &self.accounts, Millis(now));
-            let parts = self.parts(at, vms, now);
-            self.vms[at].meter.take_parts(parts, Millis(now));
+            vm.totals.apply_own(&counts, &self.accounts, Millis(now));
+            let fractions = self.fractions(at, vms, now);
+            self.vms[at].meter.set_fractions(fractions, Millis(now));
         } else {
             for (rank, leader) in leaders.iter().enumerate() {
                 let is_last = rank + 1 == leaders.len();
@@ -284,37 +288,39 @@
                 } else {
                     Counts::new()
                 };
-                self.tell(at, *leader, &counts, None, now);
+                self.report_to(at, *leader, &counts, None, now);
             }
         }
-        let heard = self.vms[at].totals.heard_here(Millis(now)) + u32::from(is_collector);
-        if heard == 0 || self.way == Way::Lent {
+        let reporting_vms =
+            self.vms[at].totals.reporting_vms(Millis(now)) + u32::from(is_collector);
+        if reporting_vms == 0 || self.policy == Policy::Lent {
             return;
         }
         let collected = self.vms[at].totals.take_collected();
         for domain in 0..self.scenario.domains.len() {
-            for leader in self.leaders_to_tell(at, domain) {
+            for leader in self.leaders_to_report_to(at, domain) {
                 if leader != at {
-                    self.tell(at, leader, &collected, Some(heard), now);
+                    self.report_to(at, leader, &collected, Some(reporting_vms), now);
                 }
             }
         }
     }
 
-    fn parts(&mut self, at: usize, vms: usize, now: u64) -> HashMap<AccountName, f64> {
+    fn fractions(&mut self, at: usize, vms: usize, now: u64) -> HashMap<AccountName, f64> {
         let totals = &mut self.vms[at].totals;
-        if matches!(self.way, Way::Parts | Way::Lent) {
-            return totals.parts(&self.accounts, vms, Millis(now));
+        if matches!(self.policy, Policy::Parts | Policy::Lent) {
+            return totals.fractions(&self.accounts, vms, Millis(now));
         }
-        let standings = totals.standings(vms, Millis(now)).into_iter();
-        let full = standings.filter(|(_, standing)| standing.level < 1.0);
+        let usages = totals.usages(vms, Millis(now)).into_iter();
+        let full = usages.filter(|(_, usage)| usage.level < 1.0);
         full.map(|(name, _)| (name, 0.0)).collect()
     }
 
-    fn leaders_to_tell(&self, at: usize, domain: usize) -> Vec<usize> {
-        let is_there = |vm: &usize| self.way == Way::Lent || self.vms[*vm].domain == domain;
-        let there = (0..self.vms.len()).filter(is_there);
-        let leaders: Vec<usize> = there.take(2).collect();
+    fn leaders_to_report_to(&self, at: usize, domain: usize) -> Vec<usize> {
+        let is_candidate =
+            |vm: &usize| self.policy == Policy::Lent || self.vms[*vm].domain == domain;
+        let candidates = (0..self.vms.len()).filter(is_candidate);
+        let leaders: Vec<usize> = candidates.take(2).collect();
         let reporters = &self.vms[at].reporters;
         let answers =
             |vm: &usize| *vm == at || !reporters.get(vm).is_some_and(Reporter::is_avoided);
@@ -322,36 +328,45 @@
         leaders[..first.map_or(leaders.len(), |first| first + 1)].to_vec()
     }
 
-    fn tell(&mut self, at: usize, to: usize, counts: &Counts, vms: Option<u32>, now: u64) {
+    fn report_to(&mut self, at: usize, to: usize, counts: &Counts, vms: Option<u32>, now: u64) {
         let vm = &mut self.vms[at];
         let reporter = vm.reporters.entry(to).or_default();
         counts
             .iter()
             .for_each(|(name, count)| reporter.add(name, *count, Millis(now)));
-        let Some(report) = reporter.begin(vms, Millis(now)) else {
+        let Some(report) = reporter.next_report(vms, Millis(now)) else {
             return;
         };
-        self.played.reports += 1;
-        self.played.told += report.counts.len() as u64;
+        self.result.reports += 1;
+        self.result.accounts_reported += report.counts.len() as u64;
         let call = Call {
             from: at,
             incarnation: vm.incarnation,
             to,
-            number: self.played.reports,
+            number: self.result.reports,
             is_own: vms.is_none(),
         };
         vm.waits_for.insert(to, call.number);
-        let limit = if call.is_own { LIMIT_HERE } else { LIMIT_AWAY };
+        let limit = if call.is_own {
+            TIMEOUT_WITHIN_DOMAIN
+        } else {
+            TIMEOUT_BETWEEN_DOMAINS
+        };
         self.events.push((now + limit, Event::Timeout(call)));
-        self.post(at, to, Event::UsageReport(call, report), now);
+        self.send_message(at, to, Event::UsageReport(call, report), now);
     }
 
-    fn post(&mut self, from: usize, to: usize, event: Event, now: u64) {
+    fn send_message(&mut self, from: usize, to: usize, event: Event, now: u64) {
         let is_near = self.vms[from].domain == self.vms[to].domain;
-        let way = if is_near { NEAR } else { FAR };
-        let is_lost = self.rng.f64() < self.lost || self.cut[from] || self.cut[to];
+        let link_delay = if is_near {
+            DELAY_WITHIN_DOMAIN
+        } else {
+            DELAY_BETWEEN_DOMAINS
+        };
+        let is_lost =
+            self.rng.f64() < self.loss_rate || self.partitioned[from] || self.partitioned[to];
         if !is_lost {
-            self.events.push((now + way + self.delay, event));
+            self.events.push((now + link_delay + self.delay, event));
         }
     }
 
@@ -362,52 +377,56 @@
         self.events = later;
         let due: Vec<(u64, Event)> = due;
         for (_, event) in due {
-            self.take(event, now);
+            self.handle(event, now);
         }
     }
 
-    fn take(&mut self, event: Event, now: u64) {
+    fn handle(&mut self, event: Event, now: u64) {
         match event {
-            Event::UsageReport(call, report) => self.take_report(call, &report, now),
-            Event::Answer(call, parts) => {
-                let Some(vm) = self.waiting(call) else {
+            Event::UsageReport(call, report) => self.receive_report(call, &report, now),
+            Event::Answer(call, fractions) => {
+                let Some(vm) = self.take_waiting(call) else {
                     return;
                 };
                 vm.reporters
                     .entry(call.to)
                     .or_default()
-                    .answered(Millis(now));
-                if let Some(parts) = parts {
-                    vm.meter.take_parts(parts, Millis(now));
+                    .on_answer(Millis(now));
+                if let Some(fractions) = fractions {
+                    vm.meter.set_fractions(fractions, Millis(now));
                 }
             }
             Event::Timeout(call) => {
-                let Some(vm) = self.waiting(call) else {
+                let Some(vm) = self.take_waiting(call) else {
                     return;
                 };
-                let untold = vm.reporters.entry(call.to).or_default().failed(Millis(now));
+                let unreported = vm
+                    .reporters
+                    .entry(call.to)
+                    .or_default()
+                    .on_failure(Millis(now));
                 if call.is_own {
-                    vm.meter.put_back(untold);
+                    vm.meter.restore_unreported(unreported);
                 }
             }
         }
     }
 
-    fn take_report(&mut self, call: Call, report: &UsageReport, now: u64) {
+    fn receive_report(&mut self, call: Call, report: &UsageReport, now: u64) {
         if self.vms[call.to].up_at > now {
             return;
         }
         let name = VmName::from(format!("vm-{}", call.from));
         let incarnation = Incarnation(call.incarnation);
         let totals = &mut self.vms[call.to].totals;
-        totals.take(&name, incarnation, report, &self.accounts, Millis(now));
+        totals.apply_report(&name, incarnation, report, &self.accounts, Millis(now));
         let vms = self.vms.len();
-        let parts = call.is_own.then(|| self.parts(call.to, vms, now));
-        self.post(call.to, call.from, Event::Answer(call, parts), now);
+        let fractions = call.is_own.then(|| self.fractions(call.to, vms, now));
+        self.send_message(call.to, call.from, Event::Answer(call, fractions), now);
     }
 
-    /// Gives the VM that waits for a call, which it does no more after that.
-    fn waiting(&mut self, call: Call) -> Option<&mut Vm> {
+    /// Returns the VM that awaits this call's answer and marks the call as finished.
+    fn take_waiting(&mut self, call: Call) -> Option<&mut Vm> {
         let vm = &mut self.vms[call.from];
         let waits =
             vm.incarnation == call.incarnation && vm.waits_for.get(&call.to) == Some(&call.number);
@@ -429,8 +448,8 @@
             totals: Totals::new(Millis(up_at)),
             reporters: HashMap::new(),
             waits_for: HashMap::new(),
-            next_step: up_at + rng.u64(..PERIOD),
-            stepped: 0,
+            next_step: up_at + rng.u64(..REPORT_INTERVAL),
+            last_step: 0,
         }
     }
 }
--- a/crates/edge/tests/world.rs
+++ b/crates/edge/tests/world.rs
@@ -1,4 +1,4 @@
-//! What follows from the store's keys: routes, backend servers, evacuations.
+//! Tests of the routing state derived from the store's keys: routes, backend servers, evacuations.
 
 mod support;
 
@@ -19,8 +19,8 @@
     assert_eq!(version(&world), Some(3));
 }
 
-/// Story: a peer that was cut off tells of an older configuration after a newer one is in
-/// force. A request would be served by a service that it was moved away from.
+/// A peer that was cut off may send an older configuration after a newer one is in force. Its
+/// routes would send requests to a service that they were moved away from.
 #[test]
 fn no_configuration_goes_back() {
     let clock = TestClock::default().clock();
@@ -33,8 +33,8 @@
     assert_eq!(version(&world), Some(4));
 }
 
-/// Story: entries lapse while the store is away, and their servers live on. Were they dropped
-/// at once, every request would be refused although nothing is wrong with the servers.
+/// During a store outage entries expire although their servers are healthy. Removing the servers at
+/// once would refuse every request.
 #[test]
 fn entries_missing_after_an_outage_are_kept_until_it_has_settled() {
     let clock = TestClock::default().clock();
@@ -51,8 +51,8 @@
     assert_eq!(left[0].id.as_str(), "a");
 }
 
-/// Story: a domain is taken back after an evacuation and its servers have turned cold
-/// unnoticed. The full load at once would crash them.
+/// While a domain is evacuated its servers may turn cold unnoticed. The full load at once after its
+/// return would crash them.
 #[test]
 fn servers_count_as_cold_after_an_evacuation_until_they_say_otherwise() {
     let test = TestClock::default();
@@ -69,7 +69,7 @@
     assert!(!world.is_evacuated(&"north-1".into()));
     assert!(a.is_cold(clock.now()));
     let told = put("server/a", entry("ready", 0, 2), 5);
-    assert!(world.matters(&told), "other VMs wait for it too");
+    assert!(world.is_relevant(&told), "other VMs wait for it too");
     world.apply(&[told], true);
     assert!(!a.is_cold(clock.now()));
 }
@@ -108,9 +108,9 @@
     assert_eq!(service("b.example", "/shots/1"), None);
 }
 
-/// Story: a server crashes and starts again under its identifier, cold. The VM takes the new
-/// run for the old one, which was warm and kept objects, and sends it the load under which a
-/// cold server crashes; or a late word of the old run brings that run back.
+/// A server that restarts under the same identifier is cold and holds no objects. Taking it for the
+/// previous run would send it a load that crashes cold servers, and a late update of the previous
+/// run must not bring that run back.
 #[test]
 fn a_server_that_starts_again_under_its_identifier_is_another_run() {
     let test = TestClock::default();
@@ -123,7 +123,7 @@
     old.record_success(7, Some(1.0), clock.now());
 
     let again = put("server/a", entry_of_run(200, "ready", 3_000), 2);
-    assert!(world.matters(&again), "other VMs wait for it too");
+    assert!(world.is_relevant(&again), "other VMs wait for it too");
     world.apply(&[again], true);
 
     let new = world.upstreams(&service)[0].clone();
@@ -140,8 +140,8 @@
     );
 }
 
-/// Story: the new run's entry has vanished, and a word of the run before it arrives. Requests
-/// would go to a server that ended two runs ago.
+/// After the newest run's entry is deleted, a late update of the run before it must not direct
+/// requests to a server that ended two runs ago.
 #[test]
 fn a_word_of_an_ended_run_names_no_server() {
     let clock = TestClock::default().clock();
@@ -154,8 +154,8 @@
     assert_eq!(world.upstreams(&"gallery".into()).len(), 1);
 }
 
-/// Story: somebody else writes over a server's entry. The server was known, so requests went on
-/// to it for as long as nobody wrote again, and it had left long since.
+/// After a server's entry is overwritten with invalid data, requests must not continue to the
+/// server it named before, which may be long gone.
 #[test]
 fn an_entry_that_cannot_be_read_any_more_names_no_server() {
     let clock = TestClock::default().clock();
