--- a/crates/edge/src/quota/exchange.rs
+++ b/crates/edge/src/quota/exchange.rs
@@ -22,10 +22,10 @@
 const REPORT_INTERVAL: Millis = Millis(300);
 /// Interval between two reports while an account surges.
 const MIN_REPORT_INTERVAL: Millis = Millis(60);
-/// Timeouts of a report within a domain and between domains. A round trip between regions takes 0.1
-/// s.
+/// Timeouts of a report within a domain and between domains, where a round trip takes 0.1 s.
 const TIMEOUT_WITHIN_DOMAIN: Millis = Millis(400);
 const TIMEOUT_BETWEEN_DOMAINS: Millis = Millis(700);
+
 /// Registers the RPC method that receives usage reports.
 pub fn register(methods: &mut MethodTable, quota: &Rc<Quota>) {
     let quota = Rc::clone(quota);
--- a/crates/edge/src/relay.rs
+++ b/crates/edge/src/relay.rs
@@ -89,7 +89,7 @@
     /// Returns the VMs that `vm` of `domain` asks for changes, in order of preference.
     ///
     /// The leaders of a domain ask the readers of the store, each in its own order, which spreads
-    /// the load. All other VMs ask only the leaders of their domain.
+    /// the load; the standby asks the head first. All other VMs ask only the leaders of their domain.
     pub fn sources(&self, vm: &VmName, domain: &DomainName) -> Vec<VmName> {
         let leaders = self.leaders(domain);
         let before = leaders.iter().take_while(|leader| *leader != vm);
--- a/crates/edge/src/world.rs
+++ b/crates/edge/src/world.rs
@@ -245,7 +245,7 @@
         }
     }
 
-    /// Applies a valid registration.
+    /// Applies a valid registration; returns whether the set of servers changed.
     ///
     /// A server that restarts under the same identifier holds no objects, may be cold and has none
     /// of the requests of its previous run. Statistics of that run would direct more work to it
--- a/crates/edge/tests/accounts.rs
+++ b/crates/edge/tests/accounts.rs
@@ -30,11 +30,11 @@
     }
 }
 
-fn accounts(entries: Vec<AccountEntry>, unread: Vec<InvalidAccount>) -> Accounts {
-    Accounts::new(entries, unread).0
+fn accounts(entries: Vec<AccountEntry>, invalid: Vec<InvalidAccount>) -> Accounts {
+    Accounts::new(entries, invalid).0
 }
 
-fn unread(keys: Option<&[&str]>) -> InvalidAccount {
+fn invalid(keys: Option<&[&str]>) -> InvalidAccount {
     let keys = keys.map(|keys| keys.iter().filter_map(|key| ApiKey::new(key)).collect());
     InvalidAccount {
         keys,
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn a_key_tells_its_account_and_a_route_for_all_needs_none() {
+fn a_key_identifies_its_account_and_a_public_route_needs_none() {
     let names = names();
     let catalog = catalog(accounts(vec![entry("north", &[KEY])], Vec::new()));
     let keyed = head(&[(&names.key, KEY.as_bytes())]);
@@ -105,7 +105,7 @@
 /// A caller may send its key together with a second, an empty or a differently spelled one. If a
 /// backend server read the second key, the request would run for an account that was not checked.
 #[test]
-fn a_key_that_is_repeated_empty_or_spelled_otherwise_is_none() {
+fn a_key_that_is_repeated_empty_or_misspelled_is_rejected() {
     let names = names();
     let catalog = catalog(accounts(vec![entry("north", &[KEY])], Vec::new()));
     let spellings: [&[&[u8]]; 7] = [
@@ -127,7 +127,7 @@
 /// A caller must not be able to act for another account by naming it in the header that backend
 /// servers trust.
 #[test]
-fn what_a_caller_says_of_its_account_reaches_no_server() {
+fn an_account_header_from_a_caller_reaches_no_server() {
     let names = names();
     let known = [KEY, "k-2", ""];
     check()
@@ -153,13 +153,13 @@
             set_account_header(&names, &mut head, account.as_deref());
 
             assert!(!head.headers.contains_key(&names.key));
-            let told: Vec<_> = head.headers.get_all(&names.account).iter().collect();
+            let received: Vec<_> = head.headers.get_all(&names.account).iter().collect();
             let expected: Vec<&str> = match key {
                 b"k-1" => vec!["north"],
                 b"k-2" => vec!["south"],
                 _ => Vec::new(),
             };
-            assert_eq!(told, expected);
+            assert_eq!(received, expected);
         });
 }
 
@@ -167,48 +167,48 @@
 /// tell callers that their keys were revoked, and running their requests would act for an
 /// undetermined account.
 #[test]
-fn a_key_of_no_sure_owner_is_neither_run_nor_denied() {
+fn a_key_of_an_undetermined_owner_is_neither_accepted_nor_denied() {
     let held_twice = vec![entry("north", &[KEY, "k-n"]), entry("south", &[KEY])];
 
     let shared = accounts(held_twice, Vec::new());
-    let one_row = accounts(vec![entry("north", &["k-n"])], vec![unread(Some(&[KEY]))]);
-    let no_keys = accounts(vec![entry("north", &["k-n"])], vec![unread(None)]);
+    let one_invalid = accounts(vec![entry("north", &["k-n"])], vec![invalid(Some(&[KEY]))]);
+    let no_keys = accounts(vec![entry("north", &["k-n"])], vec![invalid(None)]);
 
-    for accounts in [&shared, &one_row, &no_keys] {
+    for accounts in [&shared, &one_invalid, &no_keys] {
         assert_eq!(accounts.owner(KEY), KeyOwner::Undetermined);
         assert!(matches!(accounts.owner("k-n"), KeyOwner::Account(_)));
     }
-    assert_eq!(one_row.owner("guess"), KeyOwner::Unknown);
+    assert_eq!(one_invalid.owner("guess"), KeyOwner::Unknown);
     assert_eq!(no_keys.owner("guess"), KeyOwner::Undetermined);
     assert_eq!(Accounts::unreadable().owner(KEY), KeyOwner::Undetermined);
 }
 
 #[test]
-fn two_accounts_of_one_name_and_one_without_keys_are_told_of() {
+fn duplicate_names_and_missing_keys_are_reported() {
     let entries = vec![
         entry("north", &["k-1"]),
         entry("north", &["k-2"]),
         entry("south", &[]),
     ];
 
-    let (accounts, remarks) = Accounts::new(entries, Vec::new());
+    let (accounts, problems) = Accounts::new(entries, Vec::new());
 
     assert!(matches!(accounts.owner("k-1"), KeyOwner::Account(_)));
     assert_eq!(accounts.owner("k-2"), KeyOwner::Undetermined);
     assert!(
-        remarks
+        problems
             .iter()
-            .any(|remark| remark.contains("two accounts have this name"))
+            .any(|problem| problem.contains("two accounts have this name"))
     );
     assert!(
-        remarks
+        problems
             .iter()
-            .any(|remark| remark.contains("'south': it has no key"))
+            .any(|problem| problem.contains("'south': it has no key"))
     );
 }
 
 #[test]
-fn a_key_stands_in_no_debug_text() {
+fn keys_do_not_appear_in_debug_output() {
     let accounts = accounts(vec![entry("north", &["k-secret"])], Vec::new());
     assert!(!format!("{accounts:?}").contains("secret"));
 }
@@ -216,7 +216,7 @@
 /// A VM hands a request to the home of its server with the account's name instead of the key. A
 /// home that does not know the account must not run the request without one.
 #[test]
-fn a_home_takes_only_an_account_that_it_knows() {
+fn a_home_accepts_only_accounts_that_it_knows() {
     let names = names();
     let catalog = catalog(accounts(vec![entry("north", &[KEY])], Vec::new()));
     let of = |route: &Route, account: Option<&[u8]>| {
@@ -235,7 +235,7 @@
 }
 
 #[test]
-fn homes_of_route_and_account_both_bind() {
+fn home_regions_of_route_and_account_both_apply() {
     let regions = |names: &[&str]| -> Vec<_> { names.iter().map(|n| (*n).into()).collect() };
     let allowed = |route: &[&str], account: &[&str], region: &str| {
         AllowedRegions::intersect(&regions(route), &regions(account)).allows(&region.into())
--- a/crates/edge/tests/feed.rs
+++ b/crates/edge/tests/feed.rs
@@ -45,23 +45,20 @@
 /// neither would ever watch the store again, and both would keep an old configuration long after
 /// the connection is restored.
 #[test]
-fn two_vms_without_the_store_do_not_vouch_for_each_other() {
+fn vms_without_the_store_do_not_refresh_each_other() {
     let clock = TestClock::default();
     clock.advance(10_000);
     let (one, _) = feed(&clock);
     let (other, _) = feed(&clock);
     one.note_peer_data_age(Millis(100));
     other.note_peer_data_age(Millis(100));
-    assert!(
-        !one.should_watch_store(),
-        "both have just heard of the store"
-    );
+    assert!(!one.should_watch_store(), "both have a recent update");
 
     for _ in 0..20 {
         clock.advance(200);
-        let age = other.age().expect("it has heard once");
+        let age = other.age().expect("it received an update");
         one.note_peer_data_age(age);
-        let age = one.age().expect("it has heard once");
+        let age = one.age().expect("it received an update");
         other.note_peer_data_age(age);
     }
 
@@ -73,7 +70,7 @@
 /// it waited until its own store connection settled, it would keep sending requests to the removed
 /// server.
 #[test]
-fn a_vm_that_hears_from_peers_again_drops_servers_that_are_gone() {
+fn a_settled_peer_confirms_that_a_server_is_gone() {
     let clock = TestClock::default();
     clock.advance(10_000);
     let (feed, world) = feed(&clock);
@@ -86,52 +83,51 @@
         StoreRevision(4),
         feed.is_settled(),
     );
-    assert_eq!(servers(&world), 1, "its entry may come back");
+    assert_eq!(servers(&world), 1, "its entry may be written again");
     feed.note_peer_data_age(Millis(50));
-    assert_eq!(
-        servers(&world),
-        1,
-        "a peer that is not settled confirms nothing"
-    );
+    assert_eq!(servers(&world), 1, "an unsettled peer confirms nothing");
 
     feed.remove_missing_servers();
     assert_eq!(servers(&world), 0);
 }
 
 #[test]
-fn an_event_tells_of_changes_that_peers_need_and_of_no_others() {
+fn the_flag_fires_only_for_changes_that_peers_need() {
     let clock = TestClock::default();
     let (feed, _) = feed(&clock);
-    let news = feed.next_change();
+    let next_change = feed.next_change();
     feed.apply_changes(
         vec![put("server/a", entry("ready", 0, 1), 3)],
         StoreRevision(3),
         true,
     );
-    assert!(news.is_fired());
+    assert!(next_change.is_fired());
 
-    let news = feed.next_change();
+    let next_change = feed.next_change();
     feed.apply_changes(
         vec![put("server/a", entry("ready", 0, 2), 4)],
         StoreRevision(4),
         true,
     );
-    assert!(!news.is_fired(), "the server only says that it lives");
+    assert!(
+        !next_change.is_fired(),
+        "the server only confirms that it is alive"
+    );
     feed.apply_changes(
         vec![put("server/a", entry("leaving", 0, 3), 5)],
         StoreRevision(5),
         true,
     );
-    assert!(news.is_fired());
+    assert!(next_change.is_fired());
 }
 
 #[test]
-fn entries_may_come_back_for_a_while_after_a_time_without_any_word() {
+fn missing_entries_are_unsettled_after_a_period_without_updates() {
     let clock = TestClock::default();
     clock.advance(10_000);
     let (feed, _) = feed(&clock);
     feed.note_peer_data_age(Millis(0));
-    assert!(!feed.is_settled(), "nobody knows what was before");
+    assert!(!feed.is_settled(), "the time before is unknown");
     for _ in 0..13 {
         clock.advance(200);
         feed.note_peer_data_age(Millis(0));
@@ -152,24 +148,24 @@
 /// If each of three hundred VMs that start together read all keys from a store in another region,
 /// the traffic between regions would exceed that of a minute of service.
 #[test]
-fn a_vm_that_has_just_started_waits_for_its_peers_before_it_reads_everything() {
+fn a_starting_vm_waits_for_its_peers_before_it_reads_all_keys() {
     let clock = TestClock::default();
     let world = Rc::new(RefCell::new(world(&clock.clock())));
     let feed = Feed::new(silent_store(), clock.timer(), world, Millis(2_500));
     feed.set_watch_policy(|| false, || None);
-    assert!(!feed.should_watch_store(), "peers may tell it");
+    assert!(!feed.should_watch_store(), "it waits for its peers");
 
     clock.advance(2_100);
-    assert!(feed.should_watch_store(), "nobody did");
+    assert!(feed.should_watch_store(), "no peer answered");
 
     feed.note_peer_data_age(Millis(100));
-    assert!(!feed.should_watch_store(), "somebody does now");
+    assert!(!feed.should_watch_store(), "a peer has answered");
 }
 
 /// During a store outage of nine seconds, attempts by each of three hundred VMs every 0.4 s would
 /// be seven thousand useless calls, each as expensive as three requests.
 #[test]
-fn a_vm_whose_peers_hear_nothing_either_leaves_the_store_alone() {
+fn a_vm_backs_off_from_the_store_if_its_peers_are_stale_too() {
     let clock = TestClock::default();
     clock.advance(10_000);
     let (feed, _) = feed(&clock);
@@ -179,20 +175,23 @@
     clock.advance(1_300);
     feed.note_stale_peer();
     clock.advance(9_000);
-    assert!(!feed.should_watch_store(), "its peers would tell it");
+    assert!(
+        !feed.should_watch_store(),
+        "its peers would pass updates on"
+    );
 
     feed.note_peer_data_age(Millis(50));
     clock.advance(2_000);
     assert!(
         feed.should_watch_store(),
-        "no peer has told it anything since the store was back"
+        "no peer has passed on an update since the store came back"
     );
 }
 
-/// If every answer without news delayed a VM's own attempt once more, a VM whose peers are all
+/// If every answer without new data delayed a VM's own attempt once more, a VM whose peers are all
 /// rejected by the store would never find out that the store accepts it again.
 #[test]
-fn quiet_peers_put_a_try_off_once_and_not_for_good() {
+fn stale_peers_delay_an_attempt_only_once() {
     let clock = TestClock::default();
     clock.advance(10_000);
     let (feed, _) = feed(&clock);
@@ -210,7 +209,7 @@
 }
 
 #[test]
-fn a_watcher_tries_the_store_whatever_its_peers_hear() {
+fn a_watcher_calls_the_store_even_if_its_peers_are_stale() {
     let clock = TestClock::default();
     clock.advance(10_000);
     let (feed, _) = feed(&clock);
@@ -225,7 +224,7 @@
 /// asking VMs elsewhere. Returning to the leaders, who hold their answers back, after each attempt
 /// delayed a configuration change by seven seconds, and callers got 404 for new routes.
 #[test]
-fn while_its_leaders_hear_nothing_a_vm_asks_one_vm_after_the_other() {
+fn a_vm_asks_other_vms_in_turn_while_its_leaders_are_avoided() {
     let leaders = || vec![VmName::from("head"), VmName::from("deputy")];
     let mut avoided = HashMap::new();
     assert_eq!(
--- a/crates/edge/tests/mirror.rs
+++ b/crates/edge/tests/mirror.rs
@@ -8,7 +8,7 @@
 use support::{delete, put};
 
 #[test]
-fn a_late_word_changes_nothing() {
+fn an_older_update_is_ignored() {
     let mut mirror = Mirror::default();
     assert!(mirror.apply(&put("a", "new", 7)));
     assert!(!mirror.apply(&put("a", "old", 5)));
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn a_deleted_key_stays_deleted_for_an_older_word() {
+fn an_older_update_does_not_restore_a_deleted_key() {
     let mut mirror = Mirror::default();
     mirror.apply(&put("a", "x", 3));
     mirror.apply(&delete("a", 4));
@@ -28,7 +28,7 @@
 /// The pages of a list are read one after another while the store changes, so a watch may have
 /// delivered a key that is missing from the list, which was read from an earlier revision on.
 #[test]
-fn a_list_takes_away_only_what_is_older_than_itself() {
+fn a_list_removes_only_keys_older_than_itself() {
     let mut mirror = Mirror::default();
     mirror.apply(&put("gone", "x", 3));
     mirror.apply(&put("newer", "x", 9));
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn peers_get_what_matters_after_their_revision() {
+fn peers_get_the_relevant_changes_after_their_revision() {
     let mut mirror = Mirror::default();
     mirror.apply(&put("config", "1", 2));
     mirror.apply(&put("server", "seq 1", 3));
@@ -48,14 +48,14 @@
     mirror.advance(StoreRevision(6));
     assert_eq!(mirror.changes_since(StoreRevision(3)), Some(Vec::new()));
     mirror.mark_relevant("server");
-    let news = mirror
+    let changes = mirror
         .changes_since(StoreRevision(3))
         .expect("all is known");
-    assert_eq!(news, [put("server", "seq 2", 6)]);
+    assert_eq!(changes, [put("server", "seq 2", 6)]);
 }
 
 #[test]
-fn a_peer_from_before_the_list_gets_a_whole_copy() {
+fn a_peer_older_than_the_list_gets_a_full_copy() {
     let mut mirror = Mirror::default();
     mirror.apply_snapshot(vec![put("a", "x", 2)], StoreRevision(5));
     assert_eq!(mirror.changes_since(StoreRevision(4)), None);
@@ -65,7 +65,7 @@
 /// After the store compacts its history, a VM reads a full list instead of the changes. Peers that
 /// were up to date until then must not each be sent a full copy.
 #[test]
-fn a_peer_that_was_up_to_date_before_a_list_gets_only_what_changed() {
+fn a_peer_that_was_up_to_date_before_a_list_gets_only_the_changes() {
     let mut mirror = Mirror::default();
     mirror.apply_snapshot(
         vec![put("kept", "x", 2), put("gone", "x", 3)],
@@ -77,17 +77,17 @@
     );
     changed.iter().for_each(|c| mirror.mark_relevant(&c.key));
 
-    let news = mirror
+    let changes = mirror
         .changes_since(StoreRevision(5))
         .expect("nothing is missing");
 
-    assert_eq!(news, [delete("gone", 9), put("new", "x", 8)]);
+    assert_eq!(changes, [delete("gone", 9), put("new", "x", 8)]);
 }
 
 /// A key may have been created and deleted unseen between the two lists. A peer whose revision lies
 /// between them may have it, and only a full copy shows that it is gone.
 #[test]
-fn a_peer_that_stands_between_two_lists_gets_a_whole_copy() {
+fn a_peer_between_two_lists_gets_a_full_copy() {
     let mut mirror = Mirror::default();
     mirror.apply_snapshot(vec![put("kept", "x", 2)], StoreRevision(5));
     mirror.apply_snapshot(vec![put("kept", "x", 2)], StoreRevision(9));
--- a/crates/edge/tests/packed.rs
+++ b/crates/edge/tests/packed.rs
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn what_was_packed_comes_back() {
+fn unpacking_restores_the_packed_value() {
     for count in [0, 1, 1_000] {
         let keys = entries(count);
         let back: Vec<String> = unpack(&pack(&keys)).expect("it was packed");
@@ -30,23 +30,23 @@
 /// those VMs refused all requests for lack of a configuration. A fifth of that takes less than a
 /// fifth of a second.
 #[test]
-fn a_copy_of_everything_is_packed_to_a_fifth() {
+fn a_full_copy_is_packed_to_a_fifth() {
     let keys = entries(1_900);
-    let plain = serde_json::to_vec(&keys).expect("text serialises").len();
+    let plain = serde_json::to_vec(&keys).expect("text serializes").len();
     let packed = pack(&keys).len();
     assert!(packed * 5 < plain, "{packed} of {plain}");
 }
 
 #[test]
-fn what_was_not_packed_is_refused_with_its_cause() {
+fn invalid_input_is_rejected_with_its_cause() {
     for text in ["not base64!", "AAAA", "aGVsbG8gd29ybGQ="] {
-        let error = unpack::<Vec<String>>(text).expect_err("it is no packed list");
+        let error = unpack::<Vec<String>>(text).expect_err("not a packed list");
         assert!(error.to_string().contains("a peer's keys"), "{error}");
     }
 }
 
 #[test]
-fn a_message_that_unpacks_to_too_much_is_refused() {
+fn a_message_that_unpacks_to_over_16_mb_is_rejected() {
     let bomb = pack(&"a".repeat(17 << 20));
     assert!(unpack::<String>(&bomb).is_err());
 }
--- a/crates/edge/tests/quota.rs
+++ b/crates/edge/tests/quota.rs
@@ -86,7 +86,7 @@
 /// in nine seconds to each, and two in five of its requests are refused although it stays far below
 /// its limit. Limits are 1.6 times the usual rate.
 #[test]
-fn what_is_usual_is_not_refused() {
+fn usual_request_rates_are_not_refused() {
     for per_second in [1.6, 16.0, 60.0, 625.0] {
         let scenario = calm(per_second);
 
@@ -155,7 +155,7 @@
 /// requests. The connected VMs must not use up the whole limit while each VM that is cut off still
 /// admits its own share.
 #[test]
-fn vms_that_nobody_hears_are_counted_in() {
+fn unreachable_vms_are_accounted_for() {
     for per_second in [16.0, 60.0, 625.0] {
         for (by, kind) in [(3, "a third"), (2, "half")] {
             let scenario = Scenario {
@@ -232,7 +232,7 @@
 /// A domain's head that had just started and did not know the number of VMs answered that nothing
 /// may be admitted, so callers within their limits were refused.
 #[test]
-fn a_head_that_does_not_know_the_vms_says_nothing_of_what_may_be_admitted() {
+fn a_head_that_does_not_know_the_number_of_vms_returns_no_fractions() {
     let clock = TestClock::default();
     let accounts = Accounts::new(vec![account_entry("north", limit(25.0))], Vec::new()).0;
     let world = Rc::new(RefCell::new(world_with(accounts, &clock.clock())));
@@ -266,7 +266,7 @@
 /// Random sequences of partitions, kills, lost and late reports during a surge: the sum over any
 /// five seconds stays within the bound.
 #[test]
-fn the_limit_holds_under_faults_by_chance() {
+fn the_limit_holds_under_random_faults() {
     check()
         .with_iterations(60)
         .with_type::<(u8, u8, [(u8, u8, u8); 6])>()
--- a/crates/edge/tests/relay.rs
+++ b/crates/edge/tests/relay.rs
@@ -6,7 +6,7 @@
 use heatherknot_edge::relay::Relay;
 use heatherknot_types::prelude::*;
 
-fn vm(name: &str, domain: &str, region: &str, store_way: Option<u64>) -> VmEntry {
+fn vm(name: &str, domain: &str, region: &str, store_rtt: Option<u64>) -> VmEntry {
     VmEntry {
         name: name.into(),
         domain: domain.into(),
@@ -17,7 +17,7 @@
         link_mbps: 100,
         cpu_permille: 200,
         handed: None,
-        store_rtt: store_way.map(Millis),
+        store_rtt: store_rtt.map(Millis),
     }
 }
 
@@ -29,8 +29,8 @@
         ("s1", "south", 118),
         ("s2", "south", 121),
     ];
-    let of = |(domain, region, way): (&str, &str, u64)| {
-        let make = |i| vm(&format!("{domain}-{i}"), domain, region, Some(way + i));
+    let of = |(domain, region, rtt): (&str, &str, u64)| {
+        let make = |i| vm(&format!("{domain}-{i}"), domain, region, Some(rtt + i));
         (0..3).map(make).collect::<Vec<_>>()
     };
     domains.into_iter().flat_map(of).collect()
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn a_domain_reads_for_itself_while_nobody_has_measured_the_way() {
+fn every_domain_reads_the_store_while_response_times_are_unknown() {
     let mut vms = vms();
     vms.iter_mut().for_each(|vm| vm.store_rtt = None);
 
@@ -62,14 +62,14 @@
 }
 
 #[test]
-fn every_vm_hears_from_its_domain_and_that_from_a_reader() {
+fn vms_ask_their_own_domain_or_a_reader_of_the_store() {
     let vms = vms();
     let relay = Relay::new(&vms);
     let readers: BTreeSet<VmName> = readers(&vms).iter().map(|vm| vm.name.clone()).collect();
 
     for vm in &vms {
         let first = relay.sources(&vm.name, &vm.domain).first().cloned();
-        let first = first.expect("somebody else reads the store");
+        let first = first.expect("another VM reads the store");
         let of = vms.iter().find(|vm| vm.name == first).expect("it is known");
         let is_in_domain = of.domain == vm.domain;
         assert!(
@@ -98,7 +98,7 @@
 /// an alternative to ask, but not in another region: a full copy for each of them would saturate
 /// the link between regions.
 #[test]
-fn there_is_somebody_else_to_ask_in_the_same_domain() {
+fn vms_have_a_second_source_in_their_own_domain() {
     let vms = vms();
     let relay = Relay::new(&vms);
 
@@ -133,27 +133,30 @@
 }
 
 #[test]
-fn the_head_of_a_domain_keeps_its_entries_and_a_reader_those_of_a_lost_domain() {
+fn the_head_deletes_its_domains_entries_and_a_reader_those_of_a_lost_domain() {
     let mut vms = vms();
     vms.retain(|vm| vm.domain.as_str() != "s2");
     let relay = Relay::new(&vms);
-    let keepers = |domain: &str| {
+    let deleters = |domain: &str| {
         let domain = domain.into();
-        let keeps = vms
+        let deleting = vms
             .iter()
             .filter(|vm| relay.deletes_entries_of(&vm.name, &domain));
-        keeps.map(|vm| vm.domain.clone()).collect::<Vec<_>>()
+        deleting.map(|vm| vm.domain.clone()).collect::<Vec<_>>()
     };
-    assert_eq!(keepers("s1"), ["s1".into()]);
-    let of_lost = keepers("s2");
-    assert_eq!(of_lost.len(), 1, "one and no more");
-    assert!(of_lost[0].as_str().starts_with('n'), "it reads the store");
+    assert_eq!(deleters("s1"), ["s1".into()]);
+    let deleters_of_lost = deleters("s2");
+    assert_eq!(deleters_of_lost.len(), 1, "exactly one VM");
+    assert!(
+        deleters_of_lost[0].as_str().starts_with('n'),
+        "it reads the store"
+    );
 }
 
 /// When all VMs restart in place, each must recognize its own entry and write nothing: three
 /// hundred simultaneous writes would delay the reads of VMs that are about to serve again.
 #[test]
-fn an_entry_of_an_earlier_run_says_the_same_unless_an_address_differs() {
+fn an_entry_of_an_earlier_run_is_up_to_date_unless_an_address_differs() {
     let before = vm("n1-1", "n1", "north", Some(9));
     let mut after = vm("n1-1", "n1", "north", None);
     after.incarnation = Incarnation(7);
--- a/crates/edge/tests/world.rs
+++ b/crates/edge/tests/world.rs
@@ -10,7 +10,7 @@
 }
 
 #[test]
-fn a_configuration_that_cannot_be_read_leaves_the_last_one_in_force() {
+fn an_invalid_configuration_leaves_the_last_one_in_force() {
     let clock = TestClock::default().clock();
     let mut world = world(&clock);
     world.apply(&[put("catalog", "3 gallery", 5)], true);
@@ -22,7 +22,7 @@
 /// A peer that was cut off may send an older configuration after a newer one is in force. Its
 /// routes would send requests to a service that they were moved away from.
 #[test]
-fn no_configuration_goes_back() {
+fn an_older_configuration_is_ignored() {
     let clock = TestClock::default().clock();
     let mut world = world(&clock);
     world.apply(&[put("catalog", "3 gallery", 5)], true);
@@ -54,7 +54,7 @@
 /// While a domain is evacuated its servers may turn cold unnoticed. The full load at once after its
 /// return would crash them.
 #[test]
-fn servers_count_as_cold_after_an_evacuation_until_they_say_otherwise() {
+fn servers_count_as_cold_after_an_evacuation_until_they_report_otherwise() {
     let test = TestClock::default();
     let clock = test.clock();
     let mut world = world(&clock);
@@ -68,14 +68,14 @@
     let a = world.upstreams(&service)[0].clone();
     assert!(!world.is_evacuated(&"north-1".into()));
     assert!(a.is_cold(clock.now()));
-    let told = put("server/a", entry("ready", 0, 2), 5);
-    assert!(world.is_relevant(&told), "other VMs wait for it too");
-    world.apply(&[told], true);
+    let update = put("server/a", entry("ready", 0, 2), 5);
+    assert!(world.is_relevant(&update), "other VMs need it too");
+    world.apply(&[update], true);
     assert!(!a.is_cold(clock.now()));
 }
 
 #[test]
-fn a_leaving_server_takes_no_requests_and_a_cold_one_is_known_as_such() {
+fn a_leaving_server_takes_no_requests_and_a_cold_one_counts_as_cold() {
     let test = TestClock::default();
     let clock = test.clock();
     let mut world = world(&clock);
@@ -123,11 +123,11 @@
     old.record_success(7, Some(1.0), clock.now());
 
     let again = put("server/a", entry_of_run(200, "ready", 3_000), 2);
-    assert!(world.is_relevant(&again), "other VMs wait for it too");
+    assert!(world.is_relevant(&again), "other VMs need it too");
     world.apply(&[again], true);
 
     let new = world.upstreams(&service)[0].clone();
-    assert!(!old.accepts_requests(), "sends to the old run are over");
+    assert!(!old.accepts_requests(), "the old run gets no more requests");
     assert!(new.accepts_requests() && new.is_cold(clock.now()));
     assert!(!new.likely_caches(7, clock.now()));
     assert_eq!(new.in_flight(), 0);
@@ -136,14 +136,14 @@
     assert_eq!(kept.started_at, Some(Millis(200)));
     assert!(
         kept.accepts_requests(),
-        "a late word of the old run is passed over"
+        "a late update of the old run is ignored"
     );
 }
 
 /// After the newest run's entry is deleted, a late update of the run before it must not direct
 /// requests to a server that ended two runs ago.
 #[test]
-fn a_word_of_an_ended_run_names_no_server() {
+fn an_entry_of_an_ended_run_adds_no_server() {
     let clock = TestClock::default().clock();
     let mut world = world(&clock);
     world.apply(&[put("server/a", entry_of_run(200, "ready", 0), 1)], true);
@@ -157,7 +157,7 @@
 /// After a server's entry is overwritten with invalid data, requests must not continue to the
 /// server it named before, which may be long gone.
 #[test]
-fn an_entry_that_cannot_be_read_any_more_names_no_server() {
+fn an_entry_that_becomes_invalid_removes_its_server() {
     let clock = TestClock::default().clock();
     let mut world = world(&clock);
     let service = "gallery".into();
@@ -166,14 +166,14 @@
     for damaged in [&b"\xff\xfe"[..], b"{}", b""] {
         world.apply(&[put("server/a", damaged, 3)], true);
         let left = world.upstreams(&service);
-        assert_eq!(left.len(), 1, "the others hold");
+        assert_eq!(left.len(), 1, "the other server stays");
         assert_eq!(left[0].id.as_str(), "b");
     }
     world.apply(&[put("server/a", entry("ready", 0, 2), 4)], true);
     assert_eq!(
         world.upstreams(&service).len(),
         1,
-        "an entry without its start"
+        "an entry without its start time is ignored"
     );
     world.apply(&[put("server/a", entry_of_run(100, "ready", 0), 5)], true);
     assert_eq!(world.upstreams(&service).len(), 2);
