--- a/crates/edge/src/quota/totals.rs
+++ b/crates/edge/src/quota/totals.rs
@@ -300,7 +300,7 @@
         };
         let allowed_rate = per_second + self.level / BURST_SPREAD_S;
         // What VMs still admit by an older, larger fraction. With this correction a surge of seven
-        // times the usual rate exceeds the limit for 0.5 s instead of 0.75 s. Less than one request
+        // times the usual rate is contained within 0.5 s instead of 0.75 s. Less than one request
         // is ignored, or small accounts would be refused for no reason.
         let still_admitted = asked
             * (self.applied_fraction - fraction_for(allowed_rate)).max(0.0)
--- a/crates/edge/src/quota/usage.rs
+++ b/crates/edge/src/quota/usage.rs
@@ -6,7 +6,7 @@
 use serde::{Deserialize, Serialize};
 
 /// How long counts wait for an unreachable peer. By then the peer considers the VMs behind them
-/// silent and has set their share aside, so the counts would be subtracted twice.
+/// silent and has set their share aside, so the counts would be counted twice.
 const REPORT_EXPIRES_AFTER: Millis = Millis(1_500);
 /// Number of consecutive unanswered reports from which a peer is avoided.
 const AVOID_AFTER_FAILURES: u32 = 2;
