--- a/crates/edge/tests/relay.rs
+++ b/crates/edge/tests/relay.rs
@@ -1,4 +1,4 @@
-//! Which VMs read the store, and whom the others ask.
+//! Tests of which VMs read the store, and which VMs the others ask.
 
 use std::collections::BTreeSet;
 
@@ -6,7 +6,7 @@
 use heatherknot_edge::relay::Relay;
 use heatherknot_types::prelude::*;
 
-fn vm(name: &str, domain: &str, region: &str, store_way: Option<u64>) -> VmEntry {
+fn vm(name: &str, domain: &str, region: &str, store_rtt: Option<u64>) -> VmEntry {
     VmEntry {
         name: name.into(),
         domain: domain.into(),
@@ -17,7 +17,7 @@
         link_mbps: 100,
         cpu_permille: 200,
         handed: None,
-        store_rtt: store_way.map(Millis),
+        store_rtt: store_rtt.map(Millis),
     }
 }
 
@@ -29,8 +29,8 @@
         ("s1", "south", 118),
         ("s2", "south", 121),
     ];
-    let of = |(domain, region, way): (&str, &str, u64)| {
-        let make = |i| vm(&format!("{domain}-{i}"), domain, region, Some(way + i));
+    let of = |(domain, region, rtt): (&str, &str, u64)| {
+        let make = |i| vm(&format!("{domain}-{i}"), domain, region, Some(rtt + i));
         (0..3).map(make).collect::<Vec<_>>()
     };
     domains.into_iter().flat_map(of).collect()
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn a_domain_reads_for_itself_while_nobody_has_measured_the_way() {
+fn every_domain_reads_the_store_while_response_times_are_unknown() {
     let mut vms = vms();
     vms.iter_mut().for_each(|vm| vm.store_rtt = None);
 
@@ -62,14 +62,14 @@
 }
 
 #[test]
-fn every_vm_hears_from_its_domain_and_that_from_a_reader() {
+fn vms_ask_their_own_domain_or_a_reader_of_the_store() {
     let vms = vms();
     let relay = Relay::new(&vms);
     let readers: BTreeSet<VmName> = readers(&vms).iter().map(|vm| vm.name.clone()).collect();
 
     for vm in &vms {
         let first = relay.sources(&vm.name, &vm.domain).first().cloned();
-        let first = first.expect("somebody else reads the store");
+        let first = first.expect("another VM reads the store");
         let of = vms.iter().find(|vm| vm.name == first).expect("it is known");
         let is_in_domain = of.domain == vm.domain;
         assert!(
@@ -81,9 +81,8 @@
     }
 }
 
-/// Story: the region next to the store loses power. Nobody there reads the store any more, and
-/// the VMs that are left would wait for each other. Those of the next region take over as soon
-/// as the entries of the first are gone.
+/// If the region next to the store loses power, the remaining VMs must not wait for each other:
+/// those of the next region take over once the entries of the first are gone.
 #[test]
 fn the_next_region_reads_the_store_once_the_nearest_is_gone() {
     let mut vms = vms();
@@ -95,11 +94,11 @@
     assert!(readers.iter().all(|vm| vm.region == "south".into()));
 }
 
-/// Story: the VM that a domain hears from is cut off from the store and answers on. The others
-/// of its domain need somebody else to ask, and nobody in another region: a copy of everything
-/// for each of them would fill the way between regions.
+/// A domain's head that is cut off from the store still answers. The other VMs of the domain need
+/// an alternative to ask, but not in another region: a full copy for each of them would saturate
+/// the link between regions.
 #[test]
-fn there_is_somebody_else_to_ask_in_the_same_domain() {
+fn vms_have_a_second_source_in_their_own_domain() {
     let vms = vms();
     let relay = Relay::new(&vms);
 
@@ -134,32 +133,35 @@
 }
 
 #[test]
-fn the_head_of_a_domain_keeps_its_entries_and_a_reader_those_of_a_lost_domain() {
+fn the_head_deletes_its_domains_entries_and_a_reader_those_of_a_lost_domain() {
     let mut vms = vms();
     vms.retain(|vm| vm.domain.as_str() != "s2");
     let relay = Relay::new(&vms);
-    let keepers = |domain: &str| {
+    let deleters = |domain: &str| {
         let domain = domain.into();
-        let keeps = vms
+        let deleting = vms
             .iter()
-            .filter(|vm| relay.keeps_entries_of(&vm.name, &domain));
-        keeps.map(|vm| vm.domain.clone()).collect::<Vec<_>>()
+            .filter(|vm| relay.deletes_entries_of(&vm.name, &domain));
+        deleting.map(|vm| vm.domain.clone()).collect::<Vec<_>>()
     };
-    assert_eq!(keepers("s1"), ["s1".into()]);
-    let of_lost = keepers("s2");
-    assert_eq!(of_lost.len(), 1, "one and no more");
-    assert!(of_lost[0].as_str().starts_with('n'), "it reads the store");
+    assert_eq!(deleters("s1"), ["s1".into()]);
+    let deleters_of_lost = deleters("s2");
+    assert_eq!(deleters_of_lost.len(), 1, "exactly one VM");
+    assert!(
+        deleters_of_lost[0].as_str().starts_with('n'),
+        "it reads the store"
+    );
 }
 
-/// Story: all VMs restart where they were. Each finds its own entry and writes nothing: three
-/// hundred writes at once would hold up the readings of those that are to serve again.
+/// When all VMs restart in place, each must recognize its own entry and write nothing: three
+/// hundred simultaneous writes would delay the reads of VMs that are about to serve again.
 #[test]
-fn an_entry_of_an_earlier_run_says_the_same_unless_an_address_differs() {
+fn an_entry_of_an_earlier_run_is_up_to_date_unless_an_address_differs() {
     let before = vm("n1-1", "n1", "north", Some(9));
     let mut after = vm("n1-1", "n1", "north", None);
     after.incarnation = Incarnation(7);
-    assert!(before.says_the_same(&after));
+    assert!(before.advertises_same(&after));
 
     after.requests = "127.0.0.1:9".parse().expect("an address");
-    assert!(!before.says_the_same(&after));
+    assert!(!before.advertises_same(&after));
 }
