--- a/crates/cli/tests/rejected.rs
+++ b/crates/cli/tests/rejected.rs
@@ -96,5 +96,5 @@
     let finished = cli(&[], &["release", "abc", "127.0.0.1:9"]);
 
     assert_eq!(finished.exit, Exit::Usage);
-    assert!(finished.err.contains("'abc' is no fingerprint"));
+    assert!(finished.err.contains("'abc' is not a valid fingerprint"));
 }
--- a/crates/edge/src/poison/fingerprint.rs
+++ b/crates/edge/src/poison/fingerprint.rs
@@ -1,4 +1,4 @@
-//! Which request it is, whatever attempt brings it.
+//! Identifies a request across all its attempts.
 
 use std::fmt;
 use std::str::FromStr;
@@ -12,41 +12,41 @@
 use sha2::{Digest, Sha256};
 use snafu::Snafu;
 
-/// The bytes of the digest that are kept. Finding another request with a given fingerprint takes
-/// 2^128 tries.
-const KEPT: usize = 16;
+/// Length of a fingerprint in bytes, to which the digest is truncated. Finding another request
+/// with a given fingerprint takes about 2^128 tries.
+const LEN: usize = 16;
 
-/// Tells a request from all others by what a backend server makes of it: method, host, path and
-/// query, who sends it, its object and its body.
+/// A digest of everything that may change how a backend server handles a request: method, host,
+/// path and query, credentials and client account, object and body.
 ///
-/// What differs between two attempts of the same request is left out: its identifier, the time
-/// left, where it came in, and headers about the caller's program.
+/// Whatever differs between two attempts of the same request is left out: its identifier, the time
+/// left, the VM that received it, and headers about the caller's program.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct Fingerprint([u8; KEPT]);
+pub struct Fingerprint([u8; LEN]);
 
-/// A request's body, as far as it is known.
+/// What is known of a request's body.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum KnownBody {
-    /// All of it.
+    /// The whole body, in chunks.
     Whole(Vec<Bytes>),
-    /// Its length at most, as it is too long to be held.
+    /// Only the length, if known: the body is too long to be held or has not been read yet.
     Length(Option<u64>),
 }
 
-/// What a fingerprint is made of.
+/// The parts of a request that make up its fingerprint.
 pub struct Identity<'a> {
     /// The request's head.
     pub head: &'a RequestHead,
-    /// The client account that it is of, where it is of one.
+    /// Its client account, if it has one.
     pub account: Option<&'a str>,
-    /// Its object, where it has one.
+    /// Its object, if it has one.
     pub object: Option<&'a str>,
     /// Its body.
     pub body: &'a KnownBody,
 }
 
 impl Fingerprint {
-    /// Makes the fingerprint of a request.
+    /// Computes the fingerprint of a request.
     pub fn of(identity: &Identity<'_>) -> Self {
         let mut digest = Sha256::new();
         let mut field = |bytes: Option<&[u8]>| {
@@ -74,30 +74,32 @@
                 digest.update(len.unwrap_or(u64::MAX).to_le_bytes());
             }
         }
-        let whole = digest.finalize();
-        Self(std::array::from_fn(|n| whole[n]))
+        let full = digest.finalize();
+        Self(std::array::from_fn(|n| full[n]))
     }
 
-    /// Gives its bytes.
+    /// Returns the bytes of the fingerprint.
     pub fn as_bytes(&self) -> &[u8] {
         &self.0
     }
 }
 
-/// A text that is no fingerprint.
+/// The error for a text that is not a valid fingerprint.
 #[derive(Debug, Snafu)]
-#[snafu(display("'{text}' is no fingerprint: {KEPT} bytes as hexadecimal digits are expected"))]
-pub struct NoFingerprint {
+#[snafu(display(
+    "'{text}' is not a valid fingerprint: expected {LEN} bytes as hexadecimal digits"
+))]
+pub struct ParseFingerprintError {
     text: String,
 }
 
 impl FromStr for Fingerprint {
-    type Err = NoFingerprint;
+    type Err = ParseFingerprintError;
 
-    fn from_str(text: &str) -> Result<Self, NoFingerprint> {
-        let digits = text.len() == 2 * KEPT && text.bytes().all(|b| b.is_ascii_hexdigit());
-        let number = u128::from_str_radix(text, 16).ok().filter(|_| digits);
-        let number = number.ok_or_else(|| NoFingerprint { text: text.into() })?;
+    fn from_str(text: &str) -> Result<Self, ParseFingerprintError> {
+        let is_valid = text.len() == 2 * LEN && text.bytes().all(|b| b.is_ascii_hexdigit());
+        let number = u128::from_str_radix(text, 16).ok().filter(|_| is_valid);
+        let number = number.ok_or_else(|| ParseFingerprintError { text: text.into() })?;
         Ok(Self(number.to_be_bytes()))
     }
 }
@@ -115,8 +117,8 @@
     }
 }
 
-/// Gives a number for the same as a fingerprint, at hardly any cost. Whoever doesn't know `key`
-/// can't make two requests with the same one.
+/// Hashes the same parts as a fingerprint at a far lower cost. Nobody who doesn't know `key` can
+/// make two requests collide.
 pub fn quick_hash(identity: &Identity<'_>, key: u64) -> u64 {
     let head = identity.head;
     let target = head.uri.path_and_query();
--- a/crates/edge/tests/fingerprint.rs
+++ b/crates/edge/tests/fingerprint.rs
@@ -1,4 +1,4 @@
-//! What makes two attempts the same request.
+//! Which attempts have the same fingerprint.
 
 use bytes::Bytes;
 use heatherknot_edge::poison::fingerprint::{Fingerprint, Identity, KnownBody};
@@ -45,6 +45,7 @@
     }
 }
 
+/// A retry is not recognized, because its identifier, headers or body chunks differ.
 #[test]
 fn another_attempt_is_the_same_request() {
     let again = Attempt {
@@ -61,9 +62,9 @@
     assert_eq!(again.fingerprint(), attempt().fingerprint());
 }
 
-/// A request that differs in what the server makes of it is taken for one that ends servers.
+/// A request that a server handles differently is taken for a poison request.
 #[test]
-fn what_a_server_tells_apart_is_another_request() {
+fn requests_that_a_server_tells_apart_have_different_fingerprints() {
     let whole = |text: &'static str| KnownBody::Whole(vec![Bytes::from_static(text.as_bytes())]);
     let others = [
         Attempt {
@@ -98,7 +99,7 @@
             object: None,
             ..attempt()
         },
-        // A field must not be able to stand for the end of the one before it.
+        // Moving bytes from one field to the next must change the fingerprint.
         Attempt {
             account: Some("north1"),
             object: Some("7"),
@@ -113,11 +114,11 @@
             ..attempt()
         },
     ];
-    let mut all: Vec<Fingerprint> = others.iter().map(Attempt::fingerprint).collect();
-    all.push(attempt().fingerprint());
-    let count = all.len();
-    all.sort();
-    all.dedup();
+    let mut fingerprints: Vec<Fingerprint> = others.iter().map(Attempt::fingerprint).collect();
+    fingerprints.push(attempt().fingerprint());
+    let count = fingerprints.len();
+    fingerprints.sort();
+    fingerprints.dedup();
 
-    assert_eq!(all.len(), count);
+    assert_eq!(fingerprints.len(), count);
 }
