--- a/crates/edge/src/attempt.rs
+++ b/crates/edge/src/attempt.rs
@@ -113,6 +113,7 @@
     }
 }
 
+/// Sends the request and receives the response, and records what both show about the server.
 async fn exchange(cx: &EdgeContext, call: &Call, body: Body, candidate: &Candidate) -> SendOutcome {
     let upstream = &candidate.upstream;
     let sent = cx.now();
@@ -263,6 +264,7 @@
     signed || !response.status.is_success()
 }
 
+/// Records the load that a response's headers state.
 fn record_load(
     cx: &EdgeContext,
     call: &Call,
@@ -283,6 +285,7 @@
     }
 }
 
+/// Turns a send error into an outcome, by whether the server may have received the request.
 fn outcome_of_error(
     cx: &EdgeContext,
     call: &Call,
--- a/crates/edge/src/daemon.rs
+++ b/crates/edge/src/daemon.rs
@@ -251,6 +251,7 @@
     Secret::new(cfg.secret.as_bytes()).token(purpose)
 }
 
+/// Returns the region of this VM's failure domain.
 fn own_region(cfg: &EdgeConfig) -> Result<RegionName, StartError> {
     let domain = &cfg.domain;
     let region = cfg.domains.get(domain).cloned();
@@ -415,6 +416,8 @@
     Millis(cx.rng.borrow_mut().u64(longest / 2..=longest.max(1)))
 }
 
+/// Runs the periodic maintenance: drops backend servers whose store entries stay missing, refreshes
+/// the live VMs, adjusts the spillover, and sweeps idle connections.
 async fn tick(cx: Rc<EdgeContext>) {
     for round in 1_u64.. {
         cx.timer.wait(TICK_INTERVAL).await;
--- a/crates/edge/src/forward.rs
+++ b/crates/edge/src/forward.rs
@@ -42,6 +42,7 @@
     not_delivered: u32,
     /// The latest error response of a server, unless a later send ended without a usable response.
     failure: Option<Response>,
+    /// Cause of the latest failed send or of the refusal, for the response and the log.
     pub(crate) cause: &'static str,
     /// The best server at the time the request was refused.
     pub(crate) best_when_refused: Option<Candidate>,
@@ -109,6 +110,7 @@
     response
 }
 
+/// Sends a request to one server after another until one answers or no further send is allowed.
 async fn send_until_answered(
     cx: &Rc<EdgeContext>,
     call: &mut Call,
--- a/crates/edge/src/hand_over.rs
+++ b/crates/edge/src/hand_over.rs
@@ -232,6 +232,7 @@
     }
 }
 
+/// Builds the head of a request to hand over, or `None` if a name can't be represented in it.
 fn outgoing_head(cx: &EdgeContext, call: &Call, to: &Upstream) -> Option<RequestHead> {
     let header = HandOverHeader {
         version: call.catalog.version,
@@ -247,6 +248,7 @@
     Some(head)
 }
 
+/// Turns the home VM's response into an outcome, and records the load and size that it tells.
 async fn process_response(
     cx: &EdgeContext,
     call: &Call,
@@ -281,6 +283,7 @@
     }
 }
 
+/// Turns a send error into an outcome, by whether the home VM may have received the request.
 fn outcome_of_error(
     cx: &EdgeContext,
     call: &Call,
--- a/crates/edge/src/pick.rs
+++ b/crates/edge/src/pick.rs
@@ -123,6 +123,7 @@
     }
 }
 
+/// Returns whether this VM is the home VM of a server.
 fn is_home(cx: &EdgeContext, upstream: &Upstream) -> bool {
     let is_here = upstream.domain == cx.cfg.domain;
     is_here
@@ -237,6 +238,8 @@
     true
 }
 
+/// Returns whether this VM ranks first among the live VMs, so that it is the one that sends
+/// requests to the cold server `id`.
 fn is_cold_sender(cx: &EdgeContext, id: &UpstreamName) -> bool {
     let me = &cx.cfg.vm;
     let rank = |vm: &VmName| hash::rendezvous(&[id.as_str().as_bytes()], vm.as_str());
