--- a/crates/edge/src/attempt.rs
+++ b/crates/edge/src/attempt.rs
@@ -23,8 +23,8 @@
 /// caller that disconnects earlier tells nothing about the server.
 const SLOW_FACTOR: f64 = 2.0;
 /// Multiple of the usual latency after which a server that has answered nothing is considered hung.
-/// Work on an object that the server doesn't have cached takes four times as long as usual, and a
-/// few requests may be queued before it.
+/// Work on an object that the server doesn't have cached takes four times as long as on a cached
+/// one, and a few requests may be queued before it.
 const HANG_FACTOR: f64 = 5.0;
 
 /// Outcome of one send.
