--- a/crates/daemon/src/ports/claims.rs
+++ b/crates/daemon/src/ports/claims.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-use heatherknot_gateway::once::{ClaimError, ClaimPort, ClaimRequest, Claimed};
+use heatherknot_gateway::once::{ClaimError, ClaimOutcome, ClaimPort, ClaimRequest};
 use heatherknot_gateway::slots::Member;
 use heatherknot_store::claim::{Claim, ClaimConfig, ClaimKey, ClaimOwner, Claims};
 use heatherknot_store::port::Store;
@@ -30,7 +30,7 @@
     clock: &Clock,
     address: SocketAddr,
     req: ClaimRequest,
-) -> Result<Claimed, ClaimError> {
+) -> Result<ClaimOutcome, ClaimError> {
     let key = ClaimKey::new(&req.account, &req.service, &req.key);
     let (vm, incarnation) = (req.owner.vm, req.owner.incarnation);
     let owner = ClaimOwner {
@@ -49,8 +49,8 @@
             let cause = "the claim ended before the request could start".to_owned();
             Err(ClaimError { step: STEP, cause })
         }
-        Claim::Won { start_by } => Ok(Claimed::New { start_by }),
-        Claim::Held(owner) => Ok(Claimed::Held(Member {
+        Claim::Won { start_by } => Ok(ClaimOutcome::New { start_by }),
+        Claim::Held(owner) => Ok(ClaimOutcome::Held(Member {
             vm: owner.vm,
             incarnation: owner.incarnation,
         })),
--- a/crates/daemon/src/ports/slots.rs
+++ b/crates/daemon/src/ports/slots.rs
@@ -3,7 +3,8 @@
 use std::rc::Rc;
 
 use heatherknot_gateway::slots::{
-    AdoptReply, AdoptSlots, GiveSlot, KeepSlot, PeerCall, PeerError, SlotPort, TakeReply, TakeSlot,
+    AcquireReply, AcquireSlot, AdoptReply, AdoptSlots, ExtendSlot, PeerCall, PeerError,
+    ReleaseSlot, SlotPort,
 };
 use heatherknot_peer::{CallOptions, MethodTable, PeerNet, not_run};
 use heatherknot_types::prelude::*;
@@ -24,13 +25,13 @@
 pub fn port(net: &PeerNet) -> SlotPort {
     let take_net = net.clone();
     SlotPort {
-        take: Rc::new(move |vm, take: TakeSlot| {
+        acquire: Rc::new(move |vm, take: AcquireSlot| {
             let opts = CallOptions::once(take.wait + CALL_TIMEOUT);
             let call = call(take_net.clone(), TAKE, vm.clone(), take, opts);
             Box::pin(call)
         }),
-        give: caller::<GiveSlot, ()>(net, GIVE),
-        keep: caller::<KeepSlot, ()>(net, KEEP),
+        release: caller::<ReleaseSlot, ()>(net, GIVE),
+        extend: caller::<ExtendSlot, ()>(net, KEEP),
         adopt: caller::<AdoptSlots, AdoptReply>(net, ADOPT),
     }
 }
@@ -66,32 +67,32 @@
 /// Registers the methods that other VMs of the failure domain call.
 pub fn register(methods: &mut MethodTable, cell: &ContextCell) {
     let cx = cell.clone();
-    methods.register(TAKE, move |_, take: TakeSlot| {
+    methods.register(TAKE, move |_, take: AcquireSlot| {
         let cx = cx.get();
         async move {
             let cx = cx.ok_or_else(|| not_run(STARTING))?;
-            Ok::<TakeReply, _>(cx.gateway.slots().serve_take(take).await)
+            Ok::<AcquireReply, _>(cx.gateway.slots().serve_acquire(take).await)
         }
     });
     let cx = cell.clone();
-    methods.register(GIVE, move |_, give: GiveSlot| {
+    methods.register(GIVE, move |_, give: ReleaseSlot| {
         let cx = cx.get();
         async move {
             cx.ok_or_else(|| not_run(STARTING))?
                 .gateway
                 .slots()
-                .serve_give(&give);
+                .serve_release(&give);
             Ok(())
         }
     });
     let cx = cell.clone();
-    methods.register(KEEP, move |_, keep: KeepSlot| {
+    methods.register(KEEP, move |_, keep: ExtendSlot| {
         let cx = cx.get();
         async move {
             cx.ok_or_else(|| not_run(STARTING))?
                 .gateway
                 .slots()
-                .serve_keep(keep);
+                .serve_extend(keep);
             Ok(())
         }
     });
--- a/crates/gateway/examples/at_most_once.rs
+++ b/crates/gateway/examples/at_most_once.rs
@@ -19,7 +19,7 @@
 use common::time::ManualTime;
 use common::wires::Wires;
 use common::{Ask, SERVICE, Vm, backend, members, plan_of};
-use heatherknot_gateway::once::{ClaimError, ClaimPort, Claimed};
+use heatherknot_gateway::once::{ClaimError, ClaimOutcome, ClaimPort};
 use heatherknot_gateway::slots::Member;
 use heatherknot_http::{Body, Pool, PoolConfig, SendOptions};
 use heatherknot_store::claim::{Claim, ClaimConfig, ClaimKey, ClaimOwner, Claims};
@@ -161,8 +161,8 @@
                     address,
                 };
                 match claims.claim(key, owner).await {
-                    Ok(Claim::Won { start_by }) => Ok(Claimed::New { start_by }),
-                    Ok(Claim::Held(owner)) => Ok(Claimed::Held(Member {
+                    Ok(Claim::Won { start_by }) => Ok(ClaimOutcome::New { start_by }),
+                    Ok(Claim::Held(owner)) => Ok(ClaimOutcome::Held(Member {
                         vm: owner.vm,
                         incarnation: owner.incarnation,
                     })),
--- a/crates/gateway/src/admit.rs
+++ b/crates/gateway/src/admit.rs
@@ -63,9 +63,9 @@
         drop(steering);
         if self.end.get() == RequestOutcome::Good {
             let span = now.since(self.admitted);
-            self.gateway.pace.note(&self.service, span);
+            self.gateway.wait_estimator.record(&self.service, span);
         }
-        self.gateway.lines.wake_all();
+        self.gateway.queues.wake_all();
     }
 }
 
@@ -86,7 +86,7 @@
         call: &Call,
         attempt: u8,
     ) -> Result<Admitted, Refusal> {
-        if !self.lines.has_before(&call.service, call.class) {
+        if !self.queues.has_waiting_ahead(&call.service, call.class) {
             match self.decide(call, attempt, false) {
                 Decision::Go(admitted) => return Ok(admitted),
                 Decision::Refuse(refusal) => return Err(refusal),
@@ -97,24 +97,24 @@
         }
         self.check_queue(call)?;
         let max = call.settings().queue_len as usize;
-        let Some(mut spot) = self.lines.join(&call.service, call.class, max) else {
+        let Some(mut spot) = self.queues.enqueue(&call.service, call.class, max) else {
             let detail = format!("{max} requests wait for {} already", call.service);
             let refusal = Refusal::not_run(Reason::QueueFull, detail);
             return Err(refusal.retry_after(QUEUE_FULL_RETRY_AFTER));
         };
         loop {
-            let look = spot.next_look();
+            let look = spot.next_wakeup();
             let mut until = call.deadline;
             if spot.is_next() {
                 match self.decide(call, attempt, true) {
                     Decision::Go(admitted) => {
-                        spot.take_turn();
+                        spot.dequeue();
                         return Ok(admitted);
                     }
                     Decision::Refuse(refusal) => return Err(refusal),
                     Decision::Wait(again) => until = until.min(again),
                 }
-                spot.pass_turn();
+                spot.yield_turn();
             }
             let now = self.cx.clock.now();
             if now >= call.deadline {
@@ -130,13 +130,15 @@
     fn check_queue(&self, call: &Call) -> Result<(), Refusal> {
         let before = Class::ALL.into_iter().filter(|other| *other <= call.class);
         let ahead = before
-            .map(|class| self.lines.len(&call.service, class))
+            .map(|class| self.queues.len(&call.service, class))
             .sum();
         let upstreams = call.settings().upstreams.iter();
         let own = upstreams.filter(|u| self.is_own(&call.plan, u));
         let keys = own.map(|u| UpstreamKey::new(call.service.clone(), u.name.clone()));
         let slots = keys.map(|key| self.slot_limit(&key)).sum();
-        let wait = self.pace.wait_behind(&call.service, ahead, slots);
+        let wait = self
+            .wait_estimator
+            .estimate_wait(&call.service, ahead, slots);
         if wait <= call.time_left(self.cx.clock.now()) {
             return Ok(());
         }
--- a/crates/gateway/src/deliver.rs
+++ b/crates/gateway/src/deliver.rs
@@ -46,7 +46,7 @@
 
     fn keep(&self, slot: Option<&Slot>) {
         if let Some(slot) = slot {
-            slot.keep(Millis(self.every.0 * KEEP_TERMS));
+            slot.extend(Millis(self.every.0 * KEEP_TERMS));
         }
     }
 }
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -20,14 +20,14 @@
 use crate::context::GatewayContext;
 use crate::hop::{Hop, HopReason};
 use crate::leaving::{Leaving, LeavingSource};
-use crate::line::Lines;
 use crate::mac::TokenKey;
 use crate::metrics::GatewayMetrics;
-use crate::once::{Memory, Ticket};
-use crate::pace::Pace;
+use crate::once::{RecordTable, Ticket};
 use crate::payload::Payload;
 use crate::probe::Probes;
+use crate::queues::RequestQueues;
 use crate::slots::{Members, SlotContext, Slots, UpstreamKey};
+use crate::wait_estimator::WaitEstimator;
 
 /// The status of an answer that nobody waits for.
 const CLIENT_CLOSED: u16 = 499;
@@ -36,13 +36,13 @@
 pub struct Gateway {
     pub(crate) cx: GatewayContext,
     pub(crate) slots: Rc<Slots>,
-    pub(crate) lines: Rc<Lines>,
-    pub(crate) memory: Rc<Memory>,
+    pub(crate) queues: Rc<RequestQueues>,
+    pub(crate) records: Rc<RecordTable>,
     pub(crate) tokens: TokenKey,
     pub(crate) metrics: GatewayMetrics,
     pub(crate) pools: RefCell<HashMap<UpstreamKey, UpstreamPool>>,
     pub(crate) probes: Probes,
-    pub(crate) pace: Pace,
+    pub(crate) wait_estimator: WaitEstimator,
     leaving: Rc<Leaving>,
     in_flight: Rc<InFlight>,
 }
@@ -104,13 +104,13 @@
         let leaving = Rc::new(Leaving::default());
         let make = |weak: &Weak<Self>| Self {
             slots: Slots::new(slot_context(&cx, weak)),
-            lines: Lines::new(),
-            memory: Memory::new(cx.settings.memory, cx.clock.clone()),
+            queues: RequestQueues::new(),
+            records: RecordTable::new(cx.settings.records, cx.clock.clone()),
             tokens: TokenKey::new(&cx.secret),
             metrics,
             pools: RefCell::default(),
             probes: Probes::default(),
-            pace: Pace::default(),
+            wait_estimator: WaitEstimator::default(),
             leaving,
             in_flight: Rc::default(),
             cx,
@@ -175,11 +175,11 @@
             for class in Class::ALL {
                 let labels = [service.as_str(), class.as_str()];
                 let gauge = self.metrics.queued.with_label_values(&labels);
-                gauge.set(self.lines.len(service, class) as i64);
+                gauge.set(self.queues.len(service, class) as i64);
             }
         }
         let remembered = self.metrics.remembered.with_label_values(&[] as &[&str]);
-        remembered.set(self.memory.len() as i64);
+        remembered.set(self.records.len() as i64);
     }
 
     /// Makes a ticket for a look-up answer: the bearer's request to `service` runs here, once.
--- a/crates/gateway/src/hop.rs
+++ b/crates/gateway/src/hop.rs
@@ -54,7 +54,7 @@
 impl Hop {
     /// Gives the value of the [`HOP_HEADER`].
     pub fn to_header(&self, key: &TokenKey) -> HeaderValue {
-        let token = key.seal(PREFIX, self);
+        let token = key.sign(PREFIX, self);
         HeaderValue::try_from(token).expect("a token is header-safe text")
     }
 
@@ -73,7 +73,7 @@
             return Ok(None);
         };
         let token = value.to_str().map_err(|_| TokenError::Malformed)?;
-        let hop: Hop = key.open(PREFIX, token)?;
+        let hop: Hop = key.verify(PREFIX, token)?;
         if hop.to != *own || hop.target != target_digest(head) {
             return Err(TokenError::Forged);
         }
--- a/crates/gateway/src/local.rs
+++ b/crates/gateway/src/local.rs
@@ -20,8 +20,8 @@
 use crate::deliver::InUse;
 use crate::gateway::{Exchange, FlightGuard, Gateway, UpstreamPool};
 use crate::leaving::LeavingSource;
-use crate::run::{Failure, Tries};
-use crate::slots::{Slot, TakeError, UpstreamKey, Want};
+use crate::run::{AttemptFailure, Attempts};
+use crate::slots::{AcquireError, Slot, SlotRequest, UpstreamKey};
 
 /// How soon to ask again for slots whose homes were not ready.
 const HOME_PAUSE: Millis = Millis(20);
@@ -38,16 +38,16 @@
         self: &Rc<Self>,
         call: &Call,
         exchange: &mut Exchange,
-        tries: &Tries,
+        tries: &Attempts,
         admission: AdmissionGuard,
         chosen: (PlaceName, UpstreamName),
         flight: &mut Option<FlightGuard>,
-    ) -> Result<Response, Failure> {
+    ) -> Result<Response, AttemptFailure> {
         let candidates = self.candidates(call, tries, &chosen);
         let (upstream, slot) = self
             .take_slot(call, exchange.started, &candidates)
             .await
-            .map_err(not_tried)?;
+            .map_err(not_attempted)?;
         if upstream.name != chosen.1 {
             let mut steering = self.cx.steering.borrow_mut();
             steering.reassign(admission.ticket(), &upstream.name);
@@ -55,23 +55,23 @@
         let now = self.cx.clock.now();
         // The wait may have used up the time, or the upstream may have begun to leave.
         if now >= call.deadline {
-            return Err(not_tried(out_of_time()));
+            return Err(not_attempted(out_of_time()));
         }
         let left = call.time_left(now);
         let ticket = admission.ticket();
         let enough = self.cx.steering.borrow_mut().begin_send(ticket, left, now);
         if !enough {
-            return Err(not_tried(out_of_time()));
+            return Err(not_attempted(out_of_time()));
         }
         let Some(body) = exchange.payload.take() else {
-            return Err(not_tried(body_gone()));
+            return Err(not_attempted(body_consumed()));
         };
         let options = SendOptions {
             deadline: Some(call.deadline),
             idempotent: !call.at_most_once,
             new_connection: tries.new_connection,
         };
-        let head = self.head_for(call, &exchange.head, tries, now);
+        let head = self.forwarded_head(call, &exchange.head, tries, now);
         let pool = self.pool_of(slot.key(), &upstream);
         let sent = pool.send(head, body, options).await;
         let in_use = InUse {
@@ -85,11 +85,11 @@
         };
         self.deliver(response, in_use, flight, &exchange.cancelled)
             .await
-            .map_err(|refusal| Failure {
+            .map_err(|refusal| AttemptFailure {
                 refusal,
                 avoid: Some(upstream.name),
                 stale_connection: false,
-                may_help: true,
+                retryable: true,
             })
     }
 
@@ -97,7 +97,7 @@
     fn candidates(
         &self,
         call: &Call,
-        tries: &Tries,
+        tries: &Attempts,
         chosen: &(PlaceName, UpstreamName),
     ) -> Vec<UpstreamPlan> {
         let (place, first) = chosen;
@@ -123,7 +123,7 @@
             if now >= call.deadline {
                 return Err(out_of_time());
             }
-            let want = Want {
+            let want = SlotRequest {
                 class: call.class,
                 waited: now.since(started),
                 wait,
@@ -139,8 +139,8 @@
             };
             let now = self.cx.clock.now();
             match error {
-                Some(TakeError::Busy { .. }) => {}
-                Some(TakeError::NoHome { .. } | TakeError::Unreachable { .. })
+                Some(AcquireError::Busy { .. }) => {}
+                Some(AcquireError::NoHome { .. } | AcquireError::Unreachable { .. })
                     if now.since(first_ask) < HOME_PATIENCE =>
                 {
                     self.cx.timer.wait(HOME_PAUSE).await;
@@ -156,8 +156,8 @@
         &self,
         call: &Call,
         candidates: &[UpstreamPlan],
-        want: Want,
-    ) -> Result<(UpstreamPlan, Slot), Option<TakeError>> {
+        want: SlotRequest,
+    ) -> Result<(UpstreamPlan, Slot), Option<AcquireError>> {
         let mut error = None;
         for upstream in candidates {
             match self.take_one(call, upstream, want).await {
@@ -172,8 +172,8 @@
         &self,
         call: &Call,
         candidates: &[UpstreamPlan],
-        want: Want,
-    ) -> Result<(UpstreamPlan, Slot), Option<TakeError>> {
+        want: SlotRequest,
+    ) -> Result<(UpstreamPlan, Slot), Option<AcquireError>> {
         if candidates.is_empty() {
             return Err(None);
         }
@@ -190,16 +190,16 @@
         &self,
         call: &Call,
         upstream: &UpstreamPlan,
-        want: Want,
-    ) -> Result<(UpstreamPlan, Slot), TakeError> {
+        want: SlotRequest,
+    ) -> Result<(UpstreamPlan, Slot), AcquireError> {
         let key = UpstreamKey::new(call.service.clone(), upstream.name.clone());
         if self.slot_limit(&key) == 0 {
-            return Err(TakeError::Leaving { key });
+            return Err(AcquireError::Leaving { key });
         }
-        let slot = match self.slots.take(&key, want).await {
+        let slot = match self.slots.acquire(&key, want).await {
             Ok(slot) => slot,
             Err(error) => {
-                if matches!(error, TakeError::Leaving { .. }) {
+                if matches!(error, AcquireError::Leaving { .. }) {
                     // Spares the next requests the way to the home in vain.
                     let until = self.cx.clock.now() + HOME_WORD;
                     self.mark_leaving(&key, LeavingSource::Home, Some(until));
@@ -209,17 +209,17 @@
         };
         if self.slot_limit(&key) == 0 {
             // It began to leave while the request waited.
-            return Err(TakeError::Leaving { key });
+            return Err(AcquireError::Leaving { key });
         }
         Ok((upstream.clone(), slot))
     }
 
     /// Makes the head that the next server gets, with the time left and the attempt.
-    pub(crate) fn head_for(
+    pub(crate) fn forwarded_head(
         &self,
         call: &Call,
         head: &RequestHead,
-        tries: &Tries,
+        tries: &Attempts,
         now: Millis,
     ) -> RequestHead {
         let mut head = head.clone();
@@ -265,7 +265,7 @@
         mut response: Response,
         in_use: &InUse,
         upstream: &UpstreamPlan,
-    ) -> Result<Response, Failure> {
+    ) -> Result<Response, AttemptFailure> {
         let settings = &self.cx.settings;
         let leaving = is_set(&response.headers, &settings.draining_header);
         if leaving && let Some(slot) = &in_use.slot {
@@ -288,11 +288,11 @@
         });
         let detail = format!("{} refused the request before it ran it", upstream.name);
         let after = retry_after_of(&response.headers).unwrap_or(RETRY_AFTER_FAILURE);
-        Err(Failure {
+        Err(AttemptFailure {
             refusal: Refusal::not_run(Reason::RefusedByBackend, detail).retry_after(after),
             avoid: Some(upstream.name.clone()),
             stale_connection: false,
-            may_help: true,
+            retryable: true,
         })
     }
 }
@@ -309,11 +309,11 @@
 
 /// Gives the error that best tells what to do next: where one upstream is merely busy, waiting
 /// helps.
-fn mildest(error: Option<TakeError>, other: TakeError) -> TakeError {
-    let rank = |error: &TakeError| match error {
-        TakeError::Busy { .. } => 0,
-        TakeError::NoHome { .. } | TakeError::Unreachable { .. } => 1,
-        TakeError::Leaving { .. } => 2,
+fn mildest(error: Option<AcquireError>, other: AcquireError) -> AcquireError {
+    let rank = |error: &AcquireError| match error {
+        AcquireError::Busy { .. } => 0,
+        AcquireError::NoHome { .. } | AcquireError::Unreachable { .. } => 1,
+        AcquireError::Leaving { .. } => 2,
     };
     match error {
         Some(error) if rank(&error) <= rank(&other) => error,
@@ -321,7 +321,7 @@
     }
 }
 
-fn failed(error: SendError, in_use: &InUse, upstream: UpstreamName) -> Failure {
+fn failed(error: SendError, in_use: &InUse, upstream: UpstreamName) -> AttemptFailure {
     let expired = matches!(error, SendError::Expired { .. });
     let own_fault = matches!(error, SendError::RequestBody { .. });
     // A pool that is full says nothing of the upstream behind it.
@@ -340,26 +340,26 @@
         (Handed::MaySent, _, true) => Refusal::unknown(Reason::BodyBroken, detail),
         (Handed::MaySent, _, _) => Refusal::unknown(Reason::ConnectionLost, detail),
     };
-    Failure {
+    AttemptFailure {
         refusal: refusal.retry_after(RETRY_AFTER_FAILURE),
         avoid: (!error.is_stale_connection()).then_some(upstream),
         stale_connection: error.is_stale_connection(),
-        may_help: !expired && !own_fault,
+        retryable: !expired && !own_fault,
     }
 }
 
 /// Wraps the answer to a request of which nothing was sent, and for which there is nothing left
 /// to try.
-pub(crate) fn not_tried(refusal: Refusal) -> Failure {
-    Failure {
+pub(crate) fn not_attempted(refusal: Refusal) -> AttemptFailure {
+    AttemptFailure {
         refusal,
         avoid: None,
         stale_connection: false,
-        may_help: false,
+        retryable: false,
     }
 }
 
-pub(crate) fn body_gone() -> Refusal {
+pub(crate) fn body_consumed() -> Refusal {
     let detail = "the body was sent once and is too large to be held for a further attempt";
     Refusal::not_run(Reason::ConnectFailed, detail).retry_after(RETRY_AFTER_FAILURE)
 }
--- a/crates/gateway/src/mac.rs
+++ b/crates/gateway/src/mac.rs
@@ -45,7 +45,7 @@
     /// # Panics
     ///
     /// Panics where the payload has no JSON form, which no payload of this package lacks.
-    pub fn seal<T: Serialize>(&self, prefix: &str, payload: &T) -> String {
+    pub fn sign<T: Serialize>(&self, prefix: &str, payload: &T) -> String {
         let body = serde_json::to_vec(payload).expect("payloads have a JSON form");
         let body = URL_SAFE_NO_PAD.encode(body);
         let code = self.mac(prefix, &body).finalize().into_bytes();
@@ -53,12 +53,12 @@
         format!("{prefix}.{body}.{code}")
     }
 
-    /// Gives the payload of a token made by [`TokenKey::seal`] with the same prefix.
+    /// Gives the payload of a token made by [`TokenKey::sign`] with the same prefix.
     ///
     /// # Errors
     ///
     /// Returns an error where the text is no such token or was not made with this key.
-    pub fn open<T: DeserializeOwned>(&self, prefix: &str, token: &str) -> Result<T, TokenError> {
+    pub fn verify<T: DeserializeOwned>(&self, prefix: &str, token: &str) -> Result<T, TokenError> {
         if token.len() > MAX_TOKEN_LEN {
             return Err(TokenError::Malformed);
         }
--- a/crates/gateway/src/once/claim.rs
+++ b/crates/gateway/src/once/claim.rs
@@ -24,7 +24,7 @@
 
 /// Who may run the request.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Claimed {
+pub enum ClaimOutcome {
     /// The asker: the claim was made by this very call.
     New {
         /// The point on the asker's clock by which the request must have been sent. Later the
@@ -47,7 +47,7 @@
 
 /// Makes a claim.
 pub type MakeClaim =
-    Rc<dyn Fn(ClaimRequest) -> LocalBoxFuture<'static, Result<Claimed, ClaimError>>>;
+    Rc<dyn Fn(ClaimRequest) -> LocalBoxFuture<'static, Result<ClaimOutcome, ClaimError>>>;
 
 /// Claims in the platform's store, by create-if-absent.
 #[derive(Clone)]
--- a/crates/gateway/src/once/memory.rs
+++ b/crates/gateway/src/once/memory.rs
@@ -73,9 +73,9 @@
     until: Millis,
 }
 
-/// Bounds of a [`Memory`].
+/// Bounds of a [`RecordTable`].
 #[derive(Clone, Copy, Debug)]
-pub struct MemoryLimits {
+pub struct RecordLimits {
     /// Records held at once.
     pub records: usize,
     /// Bytes of answers held at once.
@@ -96,8 +96,8 @@
 }
 
 /// The records of one incarnation.
-pub struct Memory {
-    limits: MemoryLimits,
+pub struct RecordTable {
+    limits: RecordLimits,
     clock: Clock,
     inner: RefCell<Inner>,
 }
@@ -113,16 +113,16 @@
 /// The right to run one request now. Dropping it counts as "may have run".
 #[derive(Debug)]
 pub struct Run {
-    memory: Rc<Memory>,
+    memory: Rc<RecordTable>,
     key: RecordKey,
     /// Whether this incarnation knows that the request has not run here before.
     pub known_unrun: bool,
     ended: bool,
 }
 
-impl Memory {
+impl RecordTable {
     /// Makes an empty memory.
-    pub fn new(limits: MemoryLimits, clock: Clock) -> Rc<Self> {
+    pub fn new(limits: RecordLimits, clock: Clock) -> Rc<Self> {
         Rc::new(Self {
             limits,
             clock,
@@ -290,7 +290,7 @@
     }
 }
 
-impl fmt::Debug for Memory {
+impl fmt::Debug for RecordTable {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "Memory({} records)", self.len())
     }
--- a/crates/gateway/src/once/mod.rs
+++ b/crates/gateway/src/once/mod.rs
@@ -11,6 +11,6 @@
 mod run;
 mod ticket;
 
-pub use claim::{ClaimError, ClaimPort, ClaimRequest, Claimed, MakeClaim};
-pub use memory::{Begin, Ended, KeptAnswer, Memory, MemoryLimits, RecordKey, Run};
+pub use claim::{ClaimError, ClaimOutcome, ClaimPort, ClaimRequest, MakeClaim};
+pub use memory::{Begin, Ended, KeptAnswer, RecordKey, RecordLimits, RecordTable, Run};
 pub use ticket::{TICKET_PREFIX, Ticket};
--- a/crates/gateway/src/once/run.rs
+++ b/crates/gateway/src/once/run.rs
@@ -7,7 +7,7 @@
 use heatherknot_types::prelude::*;
 use local_sync::oneshot;
 
-use super::claim::{ClaimRequest, Claimed};
+use super::claim::{ClaimOutcome, ClaimRequest};
 use super::keep::keep;
 use super::memory::{Begin, Ended, RecordKey, Run};
 use super::ticket::Ticket;
@@ -74,7 +74,7 @@
             let detail = "the ticket has ended; whether it was used is no longer known";
             return Err(Refusal::unknown(Reason::TicketExpired, detail));
         }
-        match self.memory.begin(&record, ticket.expires) {
+        match self.records.begin(&record, ticket.expires) {
             Begin::Run(run) => self.run_here(call, exchange, run, flight).await,
             other => self.repeat(&call, other).await,
         }
@@ -89,12 +89,12 @@
     ) -> Result<Response, Refusal> {
         if let Some(incarnation) = call.owner_hop() {
             let is_here = incarnation == self.cx.own.incarnation;
-            if !is_here || !self.memory.knows(&record) {
+            if !is_here || !self.records.knows(&record) {
                 return Err(owner_gone("no record of the request is left here"));
             }
         }
         let until = (self.cx.clock.now() + self.cx.settings.remember).max(call.deadline);
-        let run = match self.memory.begin(&record, until) {
+        let run = match self.records.begin(&record, until) {
             Begin::Run(run) => run,
             other => return self.repeat(&call, other).await,
         };
@@ -113,16 +113,18 @@
             .timer
             .limit(call.time_left(self.cx.clock.now()), claim);
         match claimed.await {
-            Some(Ok(Claimed::New { start_by })) => {
+            Some(Ok(ClaimOutcome::New { start_by })) => {
                 // Nothing is sent past the deadline, so a daemon that was paused past the end
                 // of its claim sends nothing either.
                 call.deadline = call.deadline.min(start_by);
                 self.run_here(call, exchange, run, flight).await
             }
-            Some(Ok(Claimed::Held(owner))) if owner == self.cx.own => {
+            Some(Ok(ClaimOutcome::Held(owner))) if owner == self.cx.own => {
                 self.run_again(call, exchange, run, flight).await
             }
-            Some(Ok(Claimed::Held(owner))) => self.ask_owner(&call, exchange, run, &owner).await,
+            Some(Ok(ClaimOutcome::Held(owner))) => {
+                self.ask_owner(&call, exchange, run, &owner).await
+            }
             Some(Err(error)) => Err(unclaimed(&call, run, &error.to_string())),
             None => Err(unclaimed(&call, run, "the store did not answer in time")),
         }
--- a/crates/gateway/src/once/ticket.rs
+++ b/crates/gateway/src/once/ticket.rs
@@ -29,7 +29,7 @@
 impl Ticket {
     /// Gives the text that a caller sends as its idempotency key.
     pub fn to_text(&self, key: &TokenKey) -> String {
-        key.seal(TICKET_PREFIX, self)
+        key.sign(TICKET_PREFIX, self)
     }
 
     /// Reads a ticket; gives nothing where the text is a caller's own key.
@@ -44,6 +44,6 @@
         if !is_ticket {
             return Ok(None);
         }
-        key.open(TICKET_PREFIX, text).map(Some)
+        key.verify(TICKET_PREFIX, text).map(Some)
     }
 }
--- a/crates/gateway/src/probe.rs
+++ b/crates/gateway/src/probe.rs
@@ -60,7 +60,7 @@
     /// Says whether this VM is one of the few of its failure domain that read the platform's list
     /// of VMs for backend servers that leave, and pass it to [`Gateway::on_leaving_servers`].
     pub fn reads_vm_list(&self) -> bool {
-        self.slots().is_among(LIST_READERS, "vm-list")
+        self.slots().is_among_top(LIST_READERS, "vm-list")
     }
 
     /// Notes which servers the platform's list of VMs says are leaving or gone. An address with
@@ -76,7 +76,7 @@
             let leaves = leaving.contains(&upstream.address) || leaving.contains(&whole_vm);
             self.set_leaving(&key, LeavingSource::VmList, leaves);
             if leaves && !self.slots().is_home(&key) {
-                self.slots().tell_leaving(&key);
+                self.slots().report_leaving(&key);
             }
         }
     }
--- a/crates/gateway/src/line.rs
+++ b/crates/gateway/src/queues.rs
@@ -17,7 +17,7 @@
 
 /// The queues of every service of one daemon.
 #[derive(Debug, Default)]
-pub struct Lines {
+pub struct RequestQueues {
     lines: RefCell<HashMap<ServiceName, Line>>,
 }
 
@@ -30,15 +30,15 @@
 
 /// A request's position in a queue. Dropping it leaves the queue.
 #[derive(Debug)]
-pub struct InLine {
-    lines: Rc<Lines>,
+pub struct QueueEntry {
+    lines: Rc<RequestQueues>,
     service: ServiceName,
     class: Class,
     position: Position,
     turn: Flag,
 }
 
-impl Lines {
+impl RequestQueues {
     /// Makes empty queues.
     pub fn new() -> Rc<Self> {
         Rc::default()
@@ -51,7 +51,7 @@
     }
 
     /// Says whether a new request of `class` has to wait behind others.
-    pub fn has_before(&self, service: &ServiceName, class: Class) -> bool {
+    pub fn has_waiting_ahead(&self, service: &ServiceName, class: Class) -> bool {
         let lines = self.lines.borrow();
         let Some(line) = lines.get(service) else {
             return false;
@@ -62,12 +62,12 @@
     }
 
     /// Joins the end of a queue, unless `max` requests wait there.
-    pub fn join(
+    pub fn enqueue(
         self: &Rc<Self>,
         service: &ServiceName,
         class: Class,
         max: usize,
-    ) -> Option<InLine> {
+    ) -> Option<QueueEntry> {
         let mut lines = self.lines.borrow_mut();
         let line = lines.entry(service.clone()).or_default();
         if line.queue(class).len() >= max {
@@ -76,7 +76,7 @@
         let turn = Flag::new();
         let position = line.waiting.insert(turn.clone());
         line.order[index(class)].push_back(position);
-        Some(InLine {
+        Some(QueueEntry {
             lines: Rc::clone(self),
             service: service.clone(),
             class,
@@ -137,7 +137,7 @@
     }
 }
 
-impl InLine {
+impl QueueEntry {
     /// Says whether it is this request's turn.
     pub fn is_next(&self) -> bool {
         let lines = self.lines.lines.borrow();
@@ -147,7 +147,7 @@
     }
 
     /// Gives the event at which this request is to look again, and forgets earlier ones.
-    pub fn next_look(&mut self) -> Flag {
+    pub fn next_wakeup(&mut self) -> Flag {
         if self.turn.is_fired() {
             self.turn = Flag::new();
             let mut lines = self.lines.lines.borrow_mut();
@@ -161,7 +161,7 @@
 
     /// Gives up a turn that found no room. A bulk request waits until two slots are free, and
     /// interactive ones need only one, so it must not hold them up.
-    pub fn pass_turn(&self) {
+    pub fn yield_turn(&self) {
         if self.class != Class::Bulk {
             return;
         }
@@ -176,7 +176,7 @@
     }
 
     /// Leaves the queue because it was this request's turn.
-    pub fn take_turn(self) {
+    pub fn dequeue(self) {
         let mut lines = self.lines.lines.borrow_mut();
         if let Some(line) = lines.get_mut(&self.service) {
             line.count_turn(self.class);
@@ -184,7 +184,7 @@
     }
 }
 
-impl Drop for InLine {
+impl Drop for QueueEntry {
     fn drop(&mut self) {
         self.lines.leave(&self.service, self.class, self.position);
     }
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -16,8 +16,8 @@
 use crate::deliver::InUse;
 use crate::gateway::{Exchange, FlightGuard, Gateway};
 use crate::hop::{HOP_HEADER, Hop, HopReason, target_digest};
-use crate::local::{body_gone, not_tried};
-use crate::run::{Failure, Tries};
+use crate::local::{body_consumed, not_attempted};
+use crate::run::{AttemptFailure, Attempts};
 use crate::slots::Member;
 
 /// When a caller may come back after another daemon failed.
@@ -33,17 +33,17 @@
         self: &Rc<Self>,
         call: &Call,
         exchange: &mut Exchange,
-        tries: &Tries,
+        tries: &Attempts,
         admission: AdmissionGuard,
         vm: VmName,
         token: GrantToken,
         flight: &mut Option<FlightGuard>,
-    ) -> Result<Response, Failure> {
+    ) -> Result<Response, AttemptFailure> {
         let Some(body) = exchange.payload.take() else {
-            return Err(not_tried(body_gone()));
+            return Err(not_attempted(body_consumed()));
         };
         let now = self.cx.clock.now();
-        let mut head = self.head_for(call, &exchange.head, tries, now);
+        let mut head = self.forwarded_head(call, &exchange.head, tries, now);
         self.add_hop(&mut head, call, &vm, HopReason::Grant(token));
         self.metrics.hand_over(&call.service, "grant");
         let sent = (self.cx.hand_over)(HandOver {
@@ -69,11 +69,11 @@
             return Err(failure);
         }
         let delivered = self.deliver(response, in_use, flight, &exchange.cancelled);
-        delivered.await.map_err(|refusal| Failure {
+        delivered.await.map_err(|refusal| AttemptFailure {
             refusal,
             avoid: None,
             stale_connection: false,
-            may_help: true,
+            retryable: true,
         })
     }
 
@@ -89,10 +89,10 @@
         mut exchange: Exchange,
         owner: &Member,
     ) -> Result<Response, Refusal> {
-        let body = exchange.payload.take().ok_or_else(body_gone)?;
+        let body = exchange.payload.take().ok_or_else(body_consumed)?;
         let now = self.cx.clock.now();
-        let tries = Tries::first();
-        let mut head = self.head_for(call, &exchange.head, &tries, now);
+        let tries = Attempts::new();
+        let mut head = self.forwarded_head(call, &exchange.head, &tries, now);
         let reason = HopReason::Owner(owner.incarnation);
         self.add_hop(&mut head, call, &owner.vm, reason);
         self.metrics.hand_over(&call.service, "owner");
@@ -121,22 +121,22 @@
     }
 }
 
-fn lost(error: &HandOverError) -> Failure {
+fn lost(error: &HandOverError) -> AttemptFailure {
     let detail = error.to_string();
     let refusal = match error.may_have_run {
         true => Refusal::unknown(Reason::ConnectionLost, detail),
         false => Refusal::not_run(Reason::PeerFailed, detail),
     };
-    Failure {
+    AttemptFailure {
         refusal: refusal.retry_after(RETRY_AFTER_FAILURE),
         avoid: None,
         stale_connection: true,
-        may_help: true,
+        retryable: true,
     }
 }
 
 /// Reads another daemon's word that it did not run the request, or doesn't know.
-fn refused_there(response: &Response, in_use: &InUse) -> Option<Failure> {
+fn refused_there(response: &Response, in_use: &InUse) -> Option<AttemptFailure> {
     let header = |name: &str| response.headers.get(name).and_then(|v| v.to_str().ok());
     let outcome = header(OUTCOME_HEADER).unwrap_or("");
     if outcome == Outcome::Answered.as_str() {
@@ -156,10 +156,10 @@
         true => RequestOutcome::Cancelled,
         false => RequestOutcome::Failed,
     });
-    Some(Failure {
+    Some(AttemptFailure {
         refusal: refusal.retry_after(after),
         avoid: None,
         stale_connection: false,
-        may_help: true,
+        retryable: true,
     })
 }
--- a/crates/gateway/src/run.rs
+++ b/crates/gateway/src/run.rs
@@ -12,7 +12,7 @@
 
 /// An attempt that gave no answer.
 #[derive(Debug)]
-pub(crate) struct Failure {
+pub(crate) struct AttemptFailure {
     /// What the caller gets where there is no further attempt. Its outcome says whether the
     /// request may have run.
     pub(crate) refusal: Refusal,
@@ -21,12 +21,12 @@
     /// Whether an open connection may be the cause, so that the next attempt opens a new one.
     pub(crate) stale_connection: bool,
     /// Whether another attempt can help at all.
-    pub(crate) may_help: bool,
+    pub(crate) retryable: bool,
 }
 
 /// What the attempts of one request have in common.
 #[derive(Debug)]
-pub(crate) struct Tries {
+pub(crate) struct Attempts {
     /// Attempts made here before the present one.
     pub(crate) made: u8,
     /// The upstreams that failed.
@@ -35,9 +35,9 @@
     pub(crate) new_connection: bool,
 }
 
-impl Tries {
+impl Attempts {
     /// Makes the state before the first attempt.
-    pub(crate) fn first() -> Self {
+    pub(crate) fn new() -> Self {
         Self {
             made: 0,
             avoid: Vec::new(),
@@ -58,7 +58,7 @@
         mut exchange: Exchange,
         flight: FlightGuard,
     ) -> Result<Response, Refusal> {
-        let mut tries = Tries::first();
+        let mut tries = Attempts::new();
         let mut flight = Some(flight);
         let mut last: Option<Refusal> = None;
         loop {
@@ -114,13 +114,13 @@
         &self,
         call: &Call,
         exchange: &Exchange,
-        tries: &Tries,
-        failure: &Failure,
+        tries: &Attempts,
+        failure: &AttemptFailure,
     ) -> bool {
         let ran_surely_not = failure.refusal.outcome == Outcome::NotRun;
         let is_safe = ran_surely_not || !call.at_most_once;
         let has_time = self.cx.clock.now() < call.deadline;
-        failure.may_help
+        failure.retryable
             && is_safe
             && has_time
             && exchange.payload.is_here()
--- a/crates/gateway/src/settings.rs
+++ b/crates/gateway/src/settings.rs
@@ -4,7 +4,7 @@
 use heatherknot_types::prelude::*;
 use http::HeaderName;
 
-use crate::once::MemoryLimits;
+use crate::once::RecordLimits;
 use crate::slots::SlotTiming;
 
 /// Bounds and signals of the request path. They are the same on every daemon.
@@ -27,7 +27,7 @@
     /// Largest response body that is held for repeats, in bytes.
     pub kept_answer: usize,
     /// Bounds of the records of requests that run at most once.
-    pub memory: MemoryLimits,
+    pub records: RecordLimits,
     /// How long a ticket lasts.
     pub ticket_term: Millis,
     /// How long a request with a caller's own key is remembered by the daemon that ran it.
@@ -56,7 +56,7 @@
             replay_body: 64 * 1024,
             whole_answer: 16 * 1024,
             kept_answer: 64 * 1024,
-            memory: MemoryLimits {
+            records: RecordLimits {
                 records: 50_000,
                 answer_bytes: 8 << 20,
             },
--- a/crates/gateway/src/slots/home.rs
+++ b/crates/gateway/src/slots/home.rs
@@ -5,7 +5,7 @@
 use heatherknot_types::prelude::*;
 use local_sync::oneshot;
 
-use super::message::{LoanId, LoanLeft, TakeSlot, Tenure};
+use super::message::{AcquireSlot, LoanId, LoanLeft, Tenure};
 
 /// Slots that bulk requests leave free for interactive ones.
 const RESERVED_FROM_BULK: usize = 1;
@@ -74,7 +74,7 @@
         &mut self,
         now: Millis,
         slots: usize,
-        take: &TakeSlot,
+        take: &AcquireSlot,
         margin: Millis,
     ) -> Option<Tenure> {
         self.reclaim(now);
@@ -94,7 +94,7 @@
     }
 
     /// Adds a request to those that wait; the receiver gets the tenure once a slot is lent.
-    pub fn wait(&mut self, now: Millis, take: &TakeSlot) -> oneshot::Receiver<Tenure> {
+    pub fn wait(&mut self, now: Millis, take: &AcquireSlot) -> oneshot::Receiver<Tenure> {
         let (tx, rx) = oneshot::channel();
         self.waiting.push(Waiting {
             loan: take.loan.clone(),
--- a/crates/gateway/src/slots/members.rs
+++ b/crates/gateway/src/slots/members.rs
@@ -24,7 +24,7 @@
 
     /// Says whether a VM is one of the `count` that win `key`, for tasks that a few VMs do for
     /// all.
-    pub fn is_among(&self, count: usize, key: &str, member: &Member) -> bool {
+    pub fn is_among_top(&self, count: usize, key: &str, member: &Member) -> bool {
         let own = score(key, &member.vm);
         let above = |other: &&Member| score(key, &other.vm) > own;
         self.contains(member) && self.list.iter().filter(above).count() < count
--- a/crates/gateway/src/slots/message.rs
+++ b/crates/gateway/src/slots/message.rs
@@ -66,7 +66,7 @@
 
 /// Asks the home of an upstream for one of its slots.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct TakeSlot {
+pub struct AcquireSlot {
     /// The upstream.
     #[serde(rename = "u")]
     pub key: UpstreamKey,
@@ -90,9 +90,9 @@
     pub known: Option<Tenure>,
 }
 
-/// The answer to [`TakeSlot`].
+/// The answer to [`AcquireSlot`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum TakeReply {
+pub enum AcquireReply {
     /// The slot is lent under this tenure.
     #[serde(rename = "l")]
     Lent(Tenure),
@@ -109,7 +109,7 @@
 
 /// Gives a slot back.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct GiveSlot {
+pub struct ReleaseSlot {
     /// The upstream.
     #[serde(rename = "u")]
     pub key: UpstreamKey,
@@ -123,7 +123,7 @@
 
 /// Prolongs the use of a slot whose answer is still being streamed.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct KeepSlot {
+pub struct ExtendSlot {
     /// The upstream.
     #[serde(rename = "u")]
     pub key: UpstreamKey,
--- a/crates/gateway/src/slots/mod.rs
+++ b/crates/gateway/src/slots/mod.rs
@@ -26,11 +26,11 @@
 
 pub use home::Home;
 pub use message::{
-    AdoptReply, AdoptSlots, GiveSlot, KeepSlot, KeyState, LoanId, LoanLeft, Member, Members,
-    TakeReply, TakeSlot, Tenure, UpstreamKey,
+    AcquireReply, AcquireSlot, AdoptReply, AdoptSlots, ExtendSlot, KeyState, LoanId, LoanLeft,
+    Member, Members, ReleaseSlot, Tenure, UpstreamKey,
 };
 pub use port::{PeerCall, PeerError, SlotPort};
-pub use take::{Slot, TakeError, Want};
+pub use take::{AcquireError, Slot, SlotRequest};
 
 /// Spans that the sharing of slots uses.
 #[derive(Clone, Copy, Debug)]
@@ -142,8 +142,8 @@
     }
 
     /// Says whether this VM is one of the `count` that win `key` among the members in force.
-    pub fn is_among(&self, count: usize, key: &str) -> bool {
-        self.members.borrow().is_among(count, key, &self.cx.own)
+    pub fn is_among_top(&self, count: usize, key: &str) -> bool {
+        self.members.borrow().is_among_top(count, key, &self.cx.own)
     }
 
     /// Gives the number of members in force.
--- a/crates/gateway/src/slots/port.rs
+++ b/crates/gateway/src/slots/port.rs
@@ -7,7 +7,7 @@
 use heatherknot_types::prelude::*;
 use snafu::Snafu;
 
-use super::message::{AdoptReply, AdoptSlots, GiveSlot, KeepSlot, TakeReply, TakeSlot};
+use super::message::{AcquireReply, AcquireSlot, AdoptReply, AdoptSlots, ExtendSlot, ReleaseSlot};
 
 /// A call to another VM failed or got no answer. The other VM may have acted on it.
 #[derive(Clone, Debug, Snafu)]
@@ -29,11 +29,11 @@
 #[derive(Clone)]
 pub struct SlotPort {
     /// Asks for a slot.
-    pub take: PeerCall<TakeSlot, TakeReply>,
+    pub acquire: PeerCall<AcquireSlot, AcquireReply>,
     /// Gives a slot back.
-    pub give: PeerCall<GiveSlot, ()>,
+    pub release: PeerCall<ReleaseSlot, ()>,
     /// Prolongs the use of a slot.
-    pub keep: PeerCall<KeepSlot, ()>,
+    pub extend: PeerCall<ExtendSlot, ()>,
     /// Becomes the home of upstreams.
     pub adopt: PeerCall<AdoptSlots, AdoptReply>,
 }
@@ -42,9 +42,9 @@
     /// Makes a port for a VM that has no peers: every call fails.
     pub fn none() -> Self {
         Self {
-            take: refuse("take a slot"),
-            give: refuse("give a slot back"),
-            keep: refuse("keep a slot"),
+            acquire: refuse("take a slot"),
+            release: refuse("give a slot back"),
+            extend: refuse("keep a slot"),
             adopt: refuse("adopt slots"),
         }
     }
--- a/crates/gateway/src/slots/serve.rs
+++ b/crates/gateway/src/slots/serve.rs
@@ -7,32 +7,32 @@
 
 use super::Slots;
 use super::message::{
-    AdoptReply, AdoptSlots, GiveSlot, KeepSlot, KeyState, LoanId, LoanLeft, Members, TakeReply,
-    TakeSlot, Tenure, UpstreamKey,
+    AcquireReply, AcquireSlot, AdoptReply, AdoptSlots, ExtendSlot, KeyState, LoanId, LoanLeft,
+    Members, ReleaseSlot, Tenure, UpstreamKey,
 };
-use super::take::TakeError;
+use super::take::AcquireError;
 
 /// Takes a loan back where the message that lends it is never sent: the connection to the
 /// borrower broke while it waited, so the borrower does not know of the loan.
 struct Undelivered<'a> {
     slots: &'a Rc<Slots>,
-    give: Option<GiveSlot>,
+    give: Option<ReleaseSlot>,
 }
 
 impl Drop for Undelivered<'_> {
     fn drop(&mut self) {
         if let Some(give) = self.give.take() {
-            self.slots.serve_give(&give);
+            self.slots.serve_release(&give);
         }
     }
 }
 
 impl Slots {
     /// Answers a VM that asks for a slot.
-    pub async fn serve_take(self: &Rc<Self>, take: TakeSlot) -> TakeReply {
+    pub async fn serve_acquire(self: &Rc<Self>, take: AcquireSlot) -> AcquireReply {
         let mut undelivered = Undelivered {
             slots: self,
-            give: Some(GiveSlot {
+            give: Some(ReleaseSlot {
                 key: take.key.clone(),
                 loan: take.loan.clone(),
                 leaving: false,
@@ -40,16 +40,18 @@
         };
         if self.differs(&take) {
             self.readopt(&take.key);
-            return TakeReply::NotHome;
+            return AcquireReply::NotHome;
         }
         match self.take_here(&take).await {
             Ok(tenure) => {
                 undelivered.give = None;
-                TakeReply::Lent(tenure)
+                AcquireReply::Lent(tenure)
+            }
+            Err(AcquireError::Busy { .. }) => AcquireReply::Busy,
+            Err(AcquireError::Leaving { .. }) => AcquireReply::Leaving,
+            Err(AcquireError::NoHome { .. } | AcquireError::Unreachable { .. }) => {
+                AcquireReply::NotHome
             }
-            Err(TakeError::Busy { .. }) => TakeReply::Busy,
-            Err(TakeError::Leaving { .. }) => TakeReply::Leaving,
-            Err(TakeError::NoHome { .. } | TakeError::Unreachable { .. }) => TakeReply::NotHome,
         }
     }
 
@@ -57,7 +59,7 @@
     ///
     /// It does where a VM began to become the home, got the borrower's word, and was overtaken
     /// by further changes that this VM never saw. The borrower would refuse every loan.
-    fn differs(&self, take: &TakeSlot) -> bool {
+    fn differs(&self, take: &AcquireSlot) -> bool {
         let homes = self.homes.borrow();
         match (&take.known, homes.get(&take.key)) {
             (Some(known), Some(home)) => home.lending && *known != home.tenure,
@@ -71,7 +73,7 @@
     }
 
     /// Takes a slot back.
-    pub fn serve_give(&self, give: &GiveSlot) {
+    pub fn serve_release(&self, give: &ReleaseSlot) {
         if give.leaving {
             (self.cx.on_leaving)(&give.key);
         }
@@ -83,7 +85,7 @@
     }
 
     /// Prolongs the use of a slot.
-    pub fn serve_keep(&self, keep: KeepSlot) {
+    pub fn serve_extend(&self, keep: ExtendSlot) {
         let until = self.cx.clock.now() + keep.term + self.cx.timing.margin;
         self.with_home(&keep.key, |home| home.keep(keep.loan, until));
     }
--- a/crates/gateway/src/slots/take.rs
+++ b/crates/gateway/src/slots/take.rs
@@ -9,13 +9,13 @@
 use snafu::Snafu;
 
 use super::message::{
-    GiveSlot, KeepSlot, LoanId, Member, TakeReply, TakeSlot, Tenure, UpstreamKey,
+    AcquireReply, AcquireSlot, ExtendSlot, LoanId, Member, ReleaseSlot, Tenure, UpstreamKey,
 };
 use super::{PeerError, Slots};
 
 /// What a request wants of an upstream.
 #[derive(Clone, Copy, Debug)]
-pub struct Want {
+pub struct SlotRequest {
     /// The class of the request.
     pub class: Class,
     /// How long the request has waited already.
@@ -29,7 +29,7 @@
 /// Why a slot could not be taken. Nothing has been sent to the upstream.
 #[derive(Clone, Debug, Snafu)]
 #[snafu(visibility(pub(super)))]
-pub enum TakeError {
+pub enum AcquireError {
     /// No slot came free in the time given.
     #[snafu(display("{} of {} has no free slot", key.upstream, key.service))]
     Busy {
@@ -75,15 +75,19 @@
     ///
     /// Returns an error where no slot came free in time, the upstream gets no new work, or its
     /// home can't be asked.
-    pub async fn take(self: &Rc<Self>, key: &UpstreamKey, want: Want) -> Result<Slot, TakeError> {
-        let no_home = || TakeError::NoHome { key: key.clone() };
+    pub async fn acquire(
+        self: &Rc<Self>,
+        key: &UpstreamKey,
+        want: SlotRequest,
+    ) -> Result<Slot, AcquireError> {
+        let no_home = || AcquireError::NoHome { key: key.clone() };
         // A new home asks the VMs listed for what they use. What others used would be forgotten.
         if !self.members.borrow().contains(&self.cx.own) {
             return Err(no_home());
         }
         let home = self.home_of(key).ok_or_else(no_home)?;
         let asked = self.cx.clock.now();
-        let take = TakeSlot {
+        let take = AcquireSlot {
             key: key.clone(),
             loan: self.new_loan(),
             class: want.class,
@@ -105,7 +109,9 @@
             let lent = self.take_there(&home, take).await;
             let surely_not = matches!(
                 lent,
-                Err(TakeError::Busy { .. } | TakeError::NoHome { .. } | TakeError::Leaving { .. })
+                Err(AcquireError::Busy { .. }
+                    | AcquireError::NoHome { .. }
+                    | AcquireError::Leaving { .. })
             );
             slot.held.set(!surely_not);
             lent
@@ -114,18 +120,18 @@
         Ok(slot)
     }
 
-    async fn take_there(&self, home: &Member, take: TakeSlot) -> Result<Tenure, TakeError> {
+    async fn take_there(&self, home: &Member, take: AcquireSlot) -> Result<Tenure, AcquireError> {
         let key = take.key.clone();
         if self.is_avoided(home) {
             return Err(unreachable_home(home, "it gave no answer of late"));
         }
         let limit = take.wait + self.cx.timing.call_limit;
-        let call = (self.cx.port.take)(&home.vm, take);
+        let call = (self.cx.port.acquire)(&home.vm, take);
         let reply = match self.cx.timer.limit(limit, call).await {
             Some(Ok(reply)) => reply,
             Some(Err(source)) => {
                 self.avoid(home);
-                return Err(TakeError::Unreachable { source });
+                return Err(AcquireError::Unreachable { source });
             }
             None => {
                 self.avoid(home);
@@ -133,10 +139,10 @@
             }
         };
         match reply {
-            TakeReply::Lent(tenure) => Ok(tenure),
-            TakeReply::Busy => Err(TakeError::Busy { key }),
-            TakeReply::NotHome => Err(TakeError::NoHome { key }),
-            TakeReply::Leaving => Err(TakeError::Leaving { key }),
+            AcquireReply::Lent(tenure) => Ok(tenure),
+            AcquireReply::Busy => Err(AcquireError::Busy { key }),
+            AcquireReply::NotHome => Err(AcquireError::NoHome { key }),
+            AcquireReply::Leaving => Err(AcquireError::Leaving { key }),
         }
     }
 
@@ -157,12 +163,12 @@
     }
 
     /// Waits for a slot at this VM, whoever borrows it.
-    pub(super) async fn take_here(&self, take: &TakeSlot) -> Result<Tenure, TakeError> {
+    pub(super) async fn take_here(&self, take: &AcquireSlot) -> Result<Tenure, AcquireError> {
         let key = &take.key;
-        let no_home = || TakeError::NoHome { key: key.clone() };
+        let no_home = || AcquireError::NoHome { key: key.clone() };
         let limit = (self.cx.limit)(key);
         if limit == 0 {
-            return Err(TakeError::Leaving { key: key.clone() });
+            return Err(AcquireError::Leaving { key: key.clone() });
         }
         if !self.is_home(key) {
             return Err(no_home());
@@ -176,7 +182,7 @@
             return Ok(tenure);
         }
         if take.wait == Millis::default() {
-            return Err(TakeError::Busy { key: key.clone() });
+            return Err(AcquireError::Busy { key: key.clone() });
         }
         let rx = self
             .with_home(key, |home| home.wait(now, take))
@@ -186,16 +192,16 @@
 
     async fn wait_here(
         &self,
-        take: &TakeSlot,
+        take: &AcquireSlot,
         mut rx: local_sync::oneshot::Receiver<Tenure>,
         end: Millis,
-    ) -> Result<Tenure, TakeError> {
+    ) -> Result<Tenure, AcquireError> {
         let key = &take.key;
         loop {
             self.lend(key);
             let now = self.cx.clock.now();
             if now >= end {
-                return Err(TakeError::Busy { key: key.clone() });
+                return Err(AcquireError::Busy { key: key.clone() });
             }
             // A slot that is never given back comes free by time alone, so no message wakes
             // the wait; it looks again at that point.
@@ -203,7 +209,7 @@
             let wake = reclaim.filter(|at| *at > now).map_or(end, |at| at.min(end));
             match self.cx.timer.limit(wake.since(now), &mut rx).await {
                 Some(Ok(tenure)) => return Ok(tenure),
-                Some(Err(_)) => return Err(TakeError::NoHome { key: key.clone() }),
+                Some(Err(_)) => return Err(AcquireError::NoHome { key: key.clone() }),
                 None => {}
             }
         }
@@ -217,9 +223,9 @@
     /// the slot would be lent twice. The tenure was recorded in that answer, so the late loan
     /// differs from it and is given back unused. A loan whose term passed meanwhile (a paused
     /// process) is given back as well.
-    fn accept(&self, slot: &Slot, tenure: Tenure, until: Millis) -> Result<(), TakeError> {
+    fn accept(&self, slot: &Slot, tenure: Tenure, until: Millis) -> Result<(), AcquireError> {
         let key = &slot.key;
-        let no_home = TakeError::NoHome { key: key.clone() };
+        let no_home = AcquireError::NoHome { key: key.clone() };
         let known = self.tenures.borrow().get(key).cloned();
         match known {
             Some(known) if known != tenure => return Err(no_home),
@@ -233,7 +239,7 @@
         }
         self.note_lent(key, &tenure);
         if self.cx.clock.now() >= until {
-            return Err(TakeError::Busy { key: key.clone() });
+            return Err(AcquireError::Busy { key: key.clone() });
         }
         let mut uses = self.uses.borrow_mut();
         let of_key = uses.entry(key.clone()).or_default();
@@ -253,14 +259,14 @@
     }
 
     /// Tells the home of `key` that the upstream is leaving.
-    pub fn tell_leaving(self: &Rc<Self>, key: &UpstreamKey) {
+    pub fn report_leaving(self: &Rc<Self>, key: &UpstreamKey) {
         let none = self.new_loan();
         self.release(key, &none, true);
     }
 
     fn release(self: &Rc<Self>, key: &UpstreamKey, loan: &LoanId, leaving: bool) {
         self.forget_use(key, loan);
-        let give = GiveSlot {
+        let give = ReleaseSlot {
             key: key.clone(),
             loan: loan.clone(),
             leaving,
@@ -269,10 +275,10 @@
             return;
         };
         if home == self.cx.own {
-            self.serve_give(&give);
+            self.serve_release(&give);
             return;
         }
-        let call = (self.cx.port.give)(&home.vm, give);
+        let call = (self.cx.port.release)(&home.vm, give);
         monoio::spawn(async move {
             if let Err(error) = call.await {
                 debug!(peer = home.vm.as_str(), error:% = error; "slot not given back; the home reclaims it after its term");
@@ -281,8 +287,8 @@
     }
 }
 
-fn unreachable_home(home: &Member, cause: &str) -> TakeError {
-    TakeError::Unreachable {
+fn unreachable_home(home: &Member, cause: &str) -> AcquireError {
+    AcquireError::Unreachable {
         source: PeerError {
             step: "take a slot",
             vm: home.vm.clone(),
@@ -303,13 +309,13 @@
     }
 
     /// Prolongs the use of the slot to `term` from now, for an answer still being streamed.
-    pub fn keep(&self, term: Millis) {
+    pub fn extend(&self, term: Millis) {
         let slots = &self.slots;
         let until = slots.cx.clock.now() + term + slots.cx.timing.margin;
         if let Some(of_key) = slots.uses.borrow_mut().get_mut(&self.key) {
             of_key.insert(self.loan.clone(), until);
         }
-        let keep = KeepSlot {
+        let keep = ExtendSlot {
             key: self.key.clone(),
             loan: self.loan.clone(),
             term,
@@ -318,10 +324,10 @@
             return;
         };
         if home == slots.cx.own {
-            slots.serve_keep(keep);
+            slots.serve_extend(keep);
             return;
         }
-        let call = (slots.cx.port.keep)(&home.vm, keep);
+        let call = (slots.cx.port.extend)(&home.vm, keep);
         monoio::spawn(async move {
             if let Err(error) = call.await {
                 debug!(peer = home.vm.as_str(), error:% = error; "slot not prolonged");
--- a/crates/gateway/src/pace.rs
+++ b/crates/gateway/src/wait_estimator.rs
@@ -10,13 +10,13 @@
 
 /// The usual spans of every service.
 #[derive(Debug, Default)]
-pub(crate) struct Pace {
+pub(crate) struct WaitEstimator {
     usual: RefCell<HashMap<ServiceName, f64>>,
 }
 
-impl Pace {
+impl WaitEstimator {
     /// Notes that a request of `service` was in progress for `span`.
-    pub(crate) fn note(&self, service: &ServiceName, span: Millis) {
+    pub(crate) fn record(&self, service: &ServiceName, span: Millis) {
         let span = span.0 as f64;
         let mut usual = self.usual.borrow_mut();
         match usual.get_mut(service) {
@@ -29,7 +29,12 @@
 
     /// Gives the likely wait behind `ahead` requests for one of `slots`, or zero where nothing is
     /// known.
-    pub(crate) fn wait_behind(&self, service: &ServiceName, ahead: usize, slots: usize) -> Millis {
+    pub(crate) fn estimate_wait(
+        &self,
+        service: &ServiceName,
+        ahead: usize,
+        slots: usize,
+    ) -> Millis {
         let usual = self.usual.borrow().get(service).copied();
         match (usual, slots) {
             (None, _) | (_, 0) => Millis::default(),
--- a/crates/gateway/tests/common/wires.rs
+++ b/crates/gateway/tests/common/wires.rs
@@ -6,7 +6,7 @@
 use std::rc::{Rc, Weak};
 
 use futures_util::future::LocalBoxFuture;
-use heatherknot_gateway::once::{ClaimError, ClaimPort, ClaimRequest, Claimed};
+use heatherknot_gateway::once::{ClaimError, ClaimOutcome, ClaimPort, ClaimRequest};
 use heatherknot_gateway::slots::{Member, PeerCall, PeerError, SlotPort, Slots};
 use heatherknot_gateway::{Gateway, HandOverError, HandOverPort};
 use heatherknot_http::{Flag, Handed, Pool, PoolConfig, SendOptions};
@@ -111,10 +111,10 @@
 
     pub fn slot_port(self: &Rc<Self>, own: &Member) -> SlotPort {
         SlotPort {
-            take: self.call(own, |wires, slots, take| {
+            acquire: self.call(own, |wires, slots, take| {
                 wires.takes.set(wires.takes.get() + 1);
                 Box::pin(async move {
-                    let reply = slots.serve_take(take).await;
+                    let reply = slots.serve_acquire(take).await;
                     if wires.lose_lent.get() {
                         std::future::pending::<()>().await;
                     }
@@ -125,14 +125,14 @@
                     Ok(reply)
                 })
             }),
-            give: self.call(own, |wires, slots, give| {
+            release: self.call(own, |wires, slots, give| {
                 if !wires.lose_given.get() {
-                    slots.serve_give(&give);
+                    slots.serve_release(&give);
                 }
                 Box::pin(std::future::ready(Ok(())))
             }),
-            keep: self.call(own, |_, slots, keep| {
-                slots.serve_keep(keep);
+            extend: self.call(own, |_, slots, keep| {
+                slots.serve_extend(keep);
                 Box::pin(std::future::ready(Ok(())))
             }),
             adopt: self.call(own, |_, slots, adopt| {
@@ -184,7 +184,7 @@
 }
 
 impl Claims {
-    fn claim(&self, req: ClaimRequest) -> Result<Claimed, ClaimError> {
+    fn claim(&self, req: ClaimRequest) -> Result<ClaimOutcome, ClaimError> {
         self.calls.set(self.calls.get() + 1);
         let failed = |cause: &str| ClaimError {
             step: "claim",
@@ -195,12 +195,12 @@
         }
         let mut held = self.held.borrow_mut();
         if let Some(owner) = held.get(&req.key) {
-            return Ok(Claimed::Held(owner.clone()));
+            return Ok(ClaimOutcome::Held(owner.clone()));
         }
         held.insert(req.key, req.owner);
         match self.lose_answer.get() {
             true => Err(failed("the answer was lost")),
-            false => Ok(Claimed::New {
+            false => Ok(ClaimOutcome::New {
                 start_by: self.start_by.get().unwrap_or(Millis(u64::MAX)),
             }),
         }
--- a/crates/gateway/tests/drains.rs
+++ b/crates/gateway/tests/drains.rs
@@ -8,7 +8,7 @@
 use common::{Ask, backend, one_vm, plan, two_vms, until};
 use futures_util::FutureExt;
 use heatherknot_gateway::LeavingSource;
-use heatherknot_gateway::slots::{UpstreamKey, Want};
+use heatherknot_gateway::slots::{SlotRequest, UpstreamKey};
 use heatherknot_test_support::runtime::block_on;
 use heatherknot_types::prelude::*;
 
@@ -114,14 +114,14 @@
 
 /// Says whether a VM finds a free slot of `u0` at this moment.
 fn lends(home: &common::Vm) -> bool {
-    let want = Want {
+    let want = SlotRequest {
         class: Class::Interactive,
         waited: Millis(0),
         wait: Millis(0),
         term: Millis(1_000),
     };
     let key = key("u0");
-    let taking = home.gateway.slots().take(&key, want);
+    let taking = home.gateway.slots().acquire(&key, want);
     matches!(taking.now_or_never(), Some(Ok(_)))
 }
 
--- a/crates/gateway/tests/once.rs
+++ b/crates/gateway/tests/once.rs
@@ -7,7 +7,7 @@
 
 use common::{Ask, Vm, backend, members, one_vm, one_vm_with, plan, settle, two_vms, until};
 use heatherknot_gateway::GatewaySettings;
-use heatherknot_gateway::once::MemoryLimits;
+use heatherknot_gateway::once::RecordLimits;
 use heatherknot_test_support::backend::{FakeBackend, Fault};
 use heatherknot_test_support::caller::RawCaller;
 use heatherknot_test_support::runtime::block_on;
@@ -366,7 +366,7 @@
     block_on(async {
         let server = backend(3);
         let settings = GatewaySettings {
-            memory: MemoryLimits {
+            records: RecordLimits {
                 records: 2,
                 answer_bytes: 600,
             },
--- a/crates/gateway/tests/request_path.rs
+++ b/crates/gateway/tests/request_path.rs
@@ -10,7 +10,7 @@
 use common::wires::Wires;
 use common::{Ask, SERVICE, Vm, backend, one_vm, plan, plan_of, turn, until};
 use futures_util::FutureExt;
-use heatherknot_gateway::slots::{UpstreamKey, Want};
+use heatherknot_gateway::slots::{SlotRequest, UpstreamKey};
 use heatherknot_test_support::backend::Fault;
 use heatherknot_test_support::caller::RawCaller;
 use heatherknot_test_support::runtime::block_on;
@@ -278,7 +278,7 @@
             .expect("sent");
         caller.read_until("\r\n\r\n").await.expect("a head");
         let key = UpstreamKey::new(ServiceName::from(SERVICE), UpstreamName::from("u0"));
-        let lent = || vm.gateway.slots().take(&key, now_free()).now_or_never();
+        let lent = || vm.gateway.slots().acquire(&key, now_free()).now_or_never();
 
         for _ in 0..40 {
             time.advance(Millis(1_000));
@@ -292,8 +292,8 @@
     });
 }
 
-fn now_free() -> Want {
-    Want {
+fn now_free() -> SlotRequest {
+    SlotRequest {
         class: Class::Interactive,
         waited: Millis(0),
         wait: Millis(0),
--- a/crates/gateway/tests/slots.rs
+++ b/crates/gateway/tests/slots.rs
@@ -7,7 +7,7 @@
 
 use common::wires::Wires;
 use common::{Ask, Vm, backend, members, plan, settle, time::ManualTime, turn, two_vms, until};
-use heatherknot_gateway::slots::{Member, Slot, TakeError, UpstreamKey, Want};
+use heatherknot_gateway::slots::{AcquireError, Member, Slot, SlotRequest, UpstreamKey};
 use heatherknot_http::Flag;
 use heatherknot_test_support::runtime::block_on;
 use heatherknot_types::prelude::*;
@@ -19,8 +19,8 @@
     )
 }
 
-fn want(class: Class, wait: u64, term: u64) -> Want {
-    Want {
+fn want(class: Class, wait: u64, term: u64) -> SlotRequest {
+    SlotRequest {
         class,
         waited: Millis(0),
         wait: Millis(wait),
@@ -28,12 +28,12 @@
     }
 }
 
-fn now_free() -> Want {
+fn now_free() -> SlotRequest {
     want(Class::Interactive, 0, 10_000)
 }
 
-async fn take(vm: &Vm, want: Want) -> Result<Slot, TakeError> {
-    vm.gateway.slots().take(&key("u0"), want).await
+async fn take(vm: &Vm, want: SlotRequest) -> Result<Slot, AcquireError> {
+    vm.gateway.slots().acquire(&key("u0"), want).await
 }
 
 /// Gives the two VMs with the home of `u0` first.
@@ -90,8 +90,8 @@
         time.advance(Millis(600));
         let after_margin = take(&home, now_free()).await;
 
-        assert!(matches!(at_once, Err(TakeError::Busy { .. })));
-        assert!(matches!(before_margin, Err(TakeError::Busy { .. })));
+        assert!(matches!(at_once, Err(AcquireError::Busy { .. })));
+        assert!(matches!(before_margin, Err(AcquireError::Busy { .. })));
         assert!(after_margin.is_ok());
     });
 }
@@ -177,9 +177,9 @@
         time.advance(Millis(2_000));
         let later = take(&new, now_free()).await;
 
-        assert!(matches!(while_cut, Err(TakeError::NoHome { .. })));
+        assert!(matches!(while_cut, Err(AcquireError::NoHome { .. })));
         assert!(
-            matches!(just_gone, Err(TakeError::Busy { .. })),
+            matches!(just_gone, Err(AcquireError::Busy { .. })),
             "{just_gone:?}"
         );
         assert!(later.is_ok());
@@ -210,7 +210,7 @@
         time.advance(Millis(7_500));
         let after_term = take(&new, now_free()).await;
 
-        assert!(matches!(at_once, Err(TakeError::Busy { .. })));
+        assert!(matches!(at_once, Err(AcquireError::Busy { .. })));
         assert!(after_term.is_ok());
     });
 }
@@ -243,7 +243,7 @@
         let free = take(&joins, now_free()).await;
 
         assert!(!a.gateway.slots().is_home(&key("u0")));
-        assert!(matches!(full, Err(TakeError::Busy { .. })));
+        assert!(matches!(full, Err(AcquireError::Busy { .. })));
         assert!(free.is_ok());
     });
 }
@@ -308,7 +308,7 @@
         let third = take(&other, bulk).await;
         let interactive = take(&other, now_free()).await;
 
-        assert!(matches!(third, Err(TakeError::Busy { .. })));
+        assert!(matches!(third, Err(AcquireError::Busy { .. })));
         assert!(interactive.is_ok());
     });
 }
@@ -362,7 +362,7 @@
         let asked_anew = take(&other, now_free()).await;
 
         assert!(turned_away.is_err());
-        assert!(matches!(asked_anew, Err(TakeError::Leaving { .. })));
+        assert!(matches!(asked_anew, Err(AcquireError::Leaving { .. })));
     });
 }
 
@@ -417,8 +417,8 @@
         time.advance(Millis(1_000));
         let later = take(&other, now_free()).await;
 
-        assert!(matches!(first, Err(TakeError::Unreachable { .. })));
-        assert!(matches!(second, Err(TakeError::Unreachable { .. })));
+        assert!(matches!(first, Err(AcquireError::Unreachable { .. })));
+        assert!(matches!(second, Err(AcquireError::Unreachable { .. })));
         assert!(later.is_ok(), "{later:?}");
     });
 }
--- a/crates/gateway/tests/slots_property.rs
+++ b/crates/gateway/tests/slots_property.rs
@@ -11,7 +11,7 @@
 use common::time::ManualTime;
 use common::wires::Wires;
 use heatherknot_gateway::slots::{
-    Member, Members, Slot, SlotContext, SlotTiming, Slots, UpstreamKey, Want,
+    Member, Members, Slot, SlotContext, SlotRequest, SlotTiming, Slots, UpstreamKey,
 };
 use heatherknot_http::Flag;
 use heatherknot_test_support::runtime::block_on;
@@ -157,13 +157,13 @@
 
     fn take(&mut self, index: usize, wait: Millis) {
         let (member, slots) = self.vms[index].clone();
-        let want = Want {
+        let want = SlotRequest {
             class: Class::Interactive,
             waited: Millis(0),
             wait,
             term: TERM,
         };
-        let taking = monoio::spawn(async move { slots.take(&key(), want).await.ok() });
+        let taking = monoio::spawn(async move { slots.acquire(&key(), want).await.ok() });
         self.waiting.push((member, taking));
     }
 
