--- a/crates/daemon/src/stop.rs
+++ b/crates/daemon/src/stop.rs
@@ -20,8 +20,8 @@
     monoio::time::sleep(Duration::from_millis(wait.0)).await;
     cx.stop.fire();
     serving.await;
-    let report = cx.gateway.drained(Millis(cx.cfg.shutdown_grace_ms)).await;
-    log::info!(took_ms = report.took.0, left = report.left; "stopped");
+    let report = cx.gateway.wait_idle(Millis(cx.cfg.shutdown_grace_ms)).await;
+    log::info!(took_ms = report.took.0, left = report.remaining; "stopped");
     cx.net.close();
 }
 
--- a/crates/gateway/examples/at_most_once.rs
+++ b/crates/gateway/examples/at_most_once.rs
@@ -17,8 +17,8 @@
 use std::time::{Duration, Instant};
 
 use common::time::ManualTime;
-use common::wires::Wires;
-use common::{Ask, SERVICE, Vm, backend, members, plan_of};
+use common::wires::FakeNetwork;
+use common::{SERVICE, TestRequest, Vm, backend, members, plan_with_addresses};
 use heatherknot_gateway::once::{ClaimError, ClaimOutcome, ClaimPort};
 use heatherknot_gateway::slots::Member;
 use heatherknot_http::{Body, Pool, PoolConfig, SendOptions};
@@ -79,14 +79,14 @@
         platform.faults(|faults| faults.delay = STORE_DELAY);
         let server = backend(usize::from(SLOTS));
         server.change(|behavior| behavior.body_len = 1024);
-        let (time, wires) = (ManualTime::system(), Wires::new());
-        *wires.real_claims.borrow_mut() = Some(claim_port(&platform, &time.clock()));
-        let a = Vm::start("vm-a", 1, &time, &wires);
-        let b = Vm::start("vm-b", 2, &time, &wires);
+        let (time, network) = (ManualTime::system(), FakeNetwork::new());
+        *network.claim_override.borrow_mut() = Some(claim_port(&platform, &time.clock()));
+        let a = Vm::start("vm-a", 1, &time, &network);
+        let b = Vm::start("vm-b", 2, &time, &network);
         let both = members(1, &[&a.member, &b.member]);
-        let plan = std::sync::Arc::new(plan_of(&[server.address()], SLOTS));
+        let plan = std::sync::Arc::new(plan_with_addresses(&[server.address()], SLOTS));
         for vm in [&a, &b] {
-            vm.ready(&plan, &both, &time);
+            vm.configure(&plan, &both, &time);
         }
         let ticked = [Rc::clone(&a.steering), Rc::clone(&b.steering)];
         let clock = time.clock();
@@ -112,7 +112,10 @@
     /// Runs a request once, for repeats to find its answer.
     async fn begin_repeats(&self) {
         let ticket = self.a.gateway.new_ticket(&ServiceName::from(SERVICE));
-        let first = self.a.ask(Ask::post("repeated").key(&ticket)).await;
+        let first = self
+            .a
+            .send(TestRequest::post("repeated").key(&ticket))
+            .await;
         assert_eq!(first.outcome, "answered");
         *self.repeated.borrow_mut() = ticket;
     }
@@ -125,18 +128,18 @@
         let ticket = || self.a.gateway.new_ticket(&ServiceName::from(SERVICE));
         let (vm, ask) = match way {
             Way::Direct => return self.send_direct(&id).await,
-            Way::Get => (&self.a, Ask::get(&id)),
-            Way::NoKey => (&self.a, Ask::post(&id)),
-            Way::Ticket => (&self.a, Ask::post(&id).key(&ticket())),
-            Way::TicketElsewhere => (&self.b, Ask::post(&id).key(&ticket())),
-            Way::OwnKey => (&self.a, Ask::post(&id).key(&id)),
-            Way::Repeat => (&self.a, Ask::post(&id).key(&self.repeated.borrow())),
+            Way::Get => (&self.a, TestRequest::get(&id)),
+            Way::NoKey => (&self.a, TestRequest::post(&id)),
+            Way::Ticket => (&self.a, TestRequest::post(&id).key(&ticket())),
+            Way::TicketElsewhere => (&self.b, TestRequest::post(&id).key(&ticket())),
+            Way::OwnKey => (&self.a, TestRequest::post(&id).key(&id)),
+            Way::Repeat => (&self.a, TestRequest::post(&id).key(&self.repeated.borrow())),
         };
-        vm.ask(ask).await.outcome == "answered"
+        vm.send(ask).await.outcome == "answered"
     }
 
     async fn send_direct(&self, id: &str) -> bool {
-        let ask = Ask::post(id);
+        let ask = TestRequest::post(id);
         let options = SendOptions::default();
         let sent = self.direct.send(ask.head, Body::full(ask.body), options);
         let response = sent.await.expect("an answer");
--- a/crates/gateway/src/admit.rs
+++ b/crates/gateway/src/admit.rs
@@ -21,13 +21,13 @@
 /// Where an admitted request goes.
 pub(crate) enum Admitted {
     /// To a backend server of this failure domain.
-    Here {
+    Local {
         admission: AdmissionGuard,
         place: PlaceName,
         upstream: UpstreamName,
     },
     /// To another VM, under a grant.
-    There {
+    Remote {
         admission: AdmissionGuard,
         vm: VmName,
         token: GrantToken,
@@ -45,7 +45,7 @@
 
 impl AdmissionGuard {
     /// Notes how the request ended; without that it counts as given up by the caller.
-    pub(crate) fn set_end(&self, end: RequestOutcome) {
+    pub(crate) fn set_outcome(&self, end: RequestOutcome) {
         self.end.set(end);
     }
 
@@ -118,7 +118,7 @@
             }
             let now = self.cx.clock.now();
             if now >= call.deadline {
-                return Err(out_of_time());
+                return Err(deadline_passed());
             }
             let span = until.since(now).max(Millis(1));
             self.cx.timer.limit(span, look.wait()).await;
@@ -188,7 +188,7 @@
                 upstream,
             } => {
                 self.metrics.sent(&call.service, &place);
-                Decision::Go(Admitted::Here {
+                Decision::Go(Admitted::Local {
                     admission: guard(ticket),
                     place,
                     upstream,
@@ -196,7 +196,7 @@
             }
             Verdict::Relay { ticket, vm, token } => {
                 self.metrics.sent(&call.service, &token.place);
-                Decision::Go(Admitted::There {
+                Decision::Go(Admitted::Remote {
                     admission: guard(ticket),
                     vm,
                     token,
@@ -212,7 +212,7 @@
 }
 
 /// Gives the answer to a request whose deadline passed before anything of it was sent.
-pub(crate) fn out_of_time() -> Refusal {
+pub(crate) fn deadline_passed() -> Refusal {
     let detail = "the deadline passed before the request was sent";
     Refusal::not_run(Reason::Deadline, detail).retry_after(DEADLINE_RETRY_AFTER)
 }
--- a/crates/gateway/src/call.rs
+++ b/crates/gateway/src/call.rs
@@ -110,7 +110,7 @@
     }
 
     /// Says whether the daemon before handed the request to this one as its owner.
-    pub fn owner_hop(&self) -> Option<Incarnation> {
+    pub fn owner_incarnation(&self) -> Option<Incarnation> {
         match self.hop.as_ref().map(|hop| &hop.reason) {
             Some(HopReason::Owner(incarnation)) => Some(*incarnation),
             _ => None,
--- a/crates/gateway/src/deliver.rs
+++ b/crates/gateway/src/deliver.rs
@@ -10,7 +10,7 @@
 
 use crate::admit::AdmissionGuard;
 use crate::answer::{Reason, Refusal};
-use crate::gateway::{FlightGuard, Gateway};
+use crate::gateway::{Gateway, InFlightGuard};
 use crate::slots::Slot;
 
 /// How many times the interval between two prolongations a slot is kept for, so that one lost
@@ -18,10 +18,10 @@
 const KEEP_TERMS: u64 = 3;
 
 /// What a request holds while it is in progress. Dropping it gives all of it back.
-pub(crate) struct InUse {
+pub(crate) struct RequestResources {
     pub(crate) slot: Option<Slot>,
     pub(crate) admission: AdmissionGuard,
-    pub(crate) flight: Option<FlightGuard>,
+    pub(crate) flight: Option<InFlightGuard>,
 }
 
 /// Prolongs the use of a slot while an answer is streamed, which may take longer than the
@@ -61,8 +61,8 @@
     pub(crate) async fn deliver(
         &self,
         response: Response,
-        mut in_use: InUse,
-        flight: &mut Option<FlightGuard>,
+        mut in_use: RequestResources,
+        flight: &mut Option<InFlightGuard>,
         cancelled: &Flag,
     ) -> Result<Response, Refusal> {
         let Response {
@@ -89,7 +89,7 @@
                 body: rx,
             });
         };
-        in_use.admission.set_end(RequestOutcome::Good);
+        in_use.admission.set_outcome(RequestOutcome::Good);
         Ok(Response {
             status,
             headers,
@@ -98,8 +98,8 @@
     }
 }
 
-fn broken(error: &BodyError, in_use: &InUse) -> Refusal {
-    in_use.admission.set_end(RequestOutcome::Failed);
+fn broken(error: &BodyError, in_use: &RequestResources) -> Refusal {
+    in_use.admission.set_outcome(RequestOutcome::Failed);
     let detail = format!("the answer broke off: {error}");
     Refusal::unknown(Reason::ConnectionLost, detail).retry_after(Millis(1_000))
 }
@@ -109,7 +109,7 @@
 async fn stream(
     mut body: Body,
     mut tx: BodySender,
-    in_use: InUse,
+    in_use: RequestResources,
     keeper: Keeper,
     cancelled: Flag,
 ) {
@@ -134,12 +134,12 @@
                 }
             }
             Some(Err(error)) => {
-                in_use.admission.set_end(RequestOutcome::Failed);
+                in_use.admission.set_outcome(RequestOutcome::Failed);
                 tx.fail(error);
                 return;
             }
         }
     }
-    in_use.admission.set_end(RequestOutcome::Good);
+    in_use.admission.set_outcome(RequestOutcome::Good);
     tx.finish();
 }
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -69,7 +69,7 @@
     /// How long it took until no request was in flight, or until time ran out.
     pub took: Millis,
     /// Requests still in flight then.
-    pub left: usize,
+    pub remaining: usize,
 }
 
 #[derive(Default)]
@@ -79,11 +79,11 @@
 }
 
 /// Counts a request as in flight until its answer has been passed on whole.
-pub(crate) struct FlightGuard {
+pub(crate) struct InFlightGuard {
     flights: Rc<InFlight>,
 }
 
-impl Drop for FlightGuard {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
         let left = self.flights.count.get() - 1;
         self.flights.count.set(left);
@@ -199,7 +199,7 @@
     }
 
     /// Waits until no request is in flight, for at most `limit`.
-    pub async fn drained(&self, limit: Millis) -> DrainReport {
+    pub async fn wait_idle(&self, limit: Millis) -> DrainReport {
         let started = self.cx.clock.now();
         while self.in_flight() > 0 {
             let passed = self.cx.clock.now().since(started);
@@ -211,7 +211,7 @@
         }
         DrainReport {
             took: self.cx.clock.now().since(started),
-            left: self.in_flight(),
+            remaining: self.in_flight(),
         }
     }
 
@@ -241,7 +241,7 @@
         self: &Rc<Self>,
         req: Request,
         started: Millis,
-        flight: FlightGuard,
+        flight: InFlightGuard,
     ) -> (Class, Result<Response, Refusal>) {
         let mut exchange = Exchange {
             head: req.head,
@@ -261,7 +261,7 @@
         self: &Rc<Self>,
         call: Call,
         mut exchange: Exchange,
-        flight: FlightGuard,
+        flight: InFlightGuard,
     ) -> Result<Response, Refusal> {
         let settings = call.settings();
         exchange
@@ -295,9 +295,9 @@
         Arc::clone(self.cx.steering.borrow().plan())
     }
 
-    pub(crate) fn fly(&self) -> FlightGuard {
+    pub(crate) fn fly(&self) -> InFlightGuard {
         self.in_flight.count.set(self.in_flight.count.get() + 1);
-        FlightGuard {
+        InFlightGuard {
             flights: Rc::clone(&self.in_flight),
         }
     }
@@ -364,7 +364,7 @@
 
 fn slot_context(cx: &GatewayContext, gateway: &Weak<Gateway>) -> SlotContext {
     let (for_limit, for_leaving) = (gateway.clone(), gateway.clone());
-    let leaving_for = cx.settings.leaving_for;
+    let leaving_ttl = cx.settings.leaving_ttl;
     let clock = cx.clock.clone();
     SlotContext {
         own: cx.own.clone(),
@@ -372,7 +372,7 @@
         limit: Rc::new(move |key| for_limit.upgrade().map_or(0, |g| g.slot_limit(key))),
         on_leaving: Rc::new(move |key| {
             if let Some(gateway) = for_leaving.upgrade() {
-                let until = clock.now() + leaving_for;
+                let until = clock.now() + leaving_ttl;
                 gateway.mark_leaving(key, LeavingSource::Answer, Some(until));
             }
         }),
--- a/crates/gateway/src/local.rs
+++ b/crates/gateway/src/local.rs
@@ -14,11 +14,11 @@
 use http::header::RETRY_AFTER;
 use http::{HeaderMap, HeaderName, HeaderValue, StatusCode};
 
-use crate::admit::{AdmissionGuard, out_of_time};
+use crate::admit::{AdmissionGuard, deadline_passed};
 use crate::answer::{Reason, Refusal};
 use crate::call::{ATTEMPT_HEADER, Call};
-use crate::deliver::InUse;
-use crate::gateway::{Exchange, FlightGuard, Gateway, UpstreamPool};
+use crate::deliver::RequestResources;
+use crate::gateway::{Exchange, Gateway, InFlightGuard, UpstreamPool};
 use crate::leaving::LeavingSource;
 use crate::run::{AttemptFailure, Attempts};
 use crate::slots::{AcquireError, Slot, SlotRequest, UpstreamKey};
@@ -41,7 +41,7 @@
         tries: &Attempts,
         admission: AdmissionGuard,
         chosen: (PlaceName, UpstreamName),
-        flight: &mut Option<FlightGuard>,
+        flight: &mut Option<InFlightGuard>,
     ) -> Result<Response, AttemptFailure> {
         let candidates = self.candidates(call, tries, &chosen);
         let (upstream, slot) = self
@@ -55,13 +55,13 @@
         let now = self.cx.clock.now();
         // The wait may have used up the time, or the upstream may have begun to leave.
         if now >= call.deadline {
-            return Err(not_attempted(out_of_time()));
+            return Err(not_attempted(deadline_passed()));
         }
         let left = call.time_left(now);
         let ticket = admission.ticket();
         let enough = self.cx.steering.borrow_mut().begin_send(ticket, left, now);
         if !enough {
-            return Err(not_attempted(out_of_time()));
+            return Err(not_attempted(deadline_passed()));
         }
         let Some(body) = exchange.payload.take() else {
             return Err(not_attempted(body_consumed()));
@@ -74,7 +74,7 @@
         let head = self.forwarded_head(call, &exchange.head, tries, now);
         let pool = self.pool_of(slot.key(), &upstream);
         let sent = pool.send(head, body, options).await;
-        let in_use = InUse {
+        let in_use = RequestResources {
             slot: Some(slot),
             admission,
             flight: None,
@@ -121,7 +121,7 @@
         loop {
             let now = self.cx.clock.now();
             if now >= call.deadline {
-                return Err(out_of_time());
+                return Err(deadline_passed());
             }
             let want = SlotRequest {
                 class: call.class,
@@ -148,7 +148,7 @@
                 Some(error) => return Err(no_upstream(&error.to_string())),
                 None => return Err(no_upstream("no backend server takes new work")),
             }
-            wait = self.cx.settings.slot_wait.min(call.time_left(now));
+            wait = self.cx.settings.max_slot_wait.min(call.time_left(now));
         }
     }
 
@@ -263,13 +263,13 @@
     fn check(
         &self,
         mut response: Response,
-        in_use: &InUse,
+        in_use: &RequestResources,
         upstream: &UpstreamPlan,
     ) -> Result<Response, AttemptFailure> {
         let settings = &self.cx.settings;
         let leaving = is_set(&response.headers, &settings.draining_header);
         if leaving && let Some(slot) = &in_use.slot {
-            let until = self.cx.clock.now() + settings.leaving_for;
+            let until = self.cx.clock.now() + settings.leaving_ttl;
             self.mark_leaving(slot.key(), LeavingSource::Answer, Some(until));
             slot.mark_leaving();
         }
@@ -282,7 +282,7 @@
             return Ok(response);
         }
         // A server that leaves says nothing of the load on its place.
-        in_use.admission.set_end(match leaving {
+        in_use.admission.set_outcome(match leaving {
             true => RequestOutcome::Cancelled,
             false => RequestOutcome::Shed,
         });
@@ -321,18 +321,18 @@
     }
 }
 
-fn failed(error: SendError, in_use: &InUse, upstream: UpstreamName) -> AttemptFailure {
+fn failed(error: SendError, in_use: &RequestResources, upstream: UpstreamName) -> AttemptFailure {
     let expired = matches!(error, SendError::Expired { .. });
     let own_fault = matches!(error, SendError::RequestBody { .. });
     // A pool that is full says nothing of the upstream behind it.
     let full = matches!(error, SendError::PoolFull { .. });
-    in_use.admission.set_end(match own_fault || full {
+    in_use.admission.set_outcome(match own_fault || full {
         true => RequestOutcome::Cancelled,
         false => RequestOutcome::Failed,
     });
     let detail = error.to_string();
     let refusal = match (error.handed(), expired, own_fault) {
-        (Handed::NotSent, true, _) => out_of_time(),
+        (Handed::NotSent, true, _) => deadline_passed(),
         (Handed::NotSent, _, true) => Refusal::not_run(Reason::BodyBroken, detail),
         (Handed::NotSent, _, _) if full => Refusal::not_run(Reason::NoRoom, detail),
         (Handed::NotSent, _, _) => Refusal::not_run(Reason::ConnectFailed, detail),
--- a/crates/gateway/src/once/run.rs
+++ b/crates/gateway/src/once/run.rs
@@ -13,7 +13,7 @@
 use super::ticket::Ticket;
 use crate::answer::{Reason, Refusal};
 use crate::call::Call;
-use crate::gateway::{Exchange, FlightGuard, Gateway};
+use crate::gateway::{Exchange, Gateway, InFlightGuard};
 use crate::slots::Member;
 
 /// When a caller may ask again for the end of a request that still runs.
@@ -34,7 +34,7 @@
         call: Call,
         exchange: Exchange,
         key: Arc<str>,
-        flight: FlightGuard,
+        flight: InFlightGuard,
     ) -> Result<Response, Refusal> {
         let record = RecordKey {
             service: call.service.clone(),
@@ -56,17 +56,17 @@
         exchange: Exchange,
         record: RecordKey,
         ticket: Ticket,
-        flight: FlightGuard,
+        flight: InFlightGuard,
     ) -> Result<Response, Refusal> {
         if ticket.service != call.service {
             let detail = format!("the ticket is for {}", ticket.service);
             return Err(Refusal::not_run(Reason::BadTicket, detail));
         }
         if ticket.owner != self.cx.own {
-            if call.owner_hop().is_some() || ticket.owner.vm == self.cx.own.vm {
+            if call.owner_incarnation().is_some() || ticket.owner.vm == self.cx.own.vm {
                 return Err(owner_gone("the daemon that the ticket names is gone"));
             }
-            return self.send_to_owner(&call, exchange, &ticket.owner).await;
+            return self.forward_to_owner(&call, exchange, &ticket.owner).await;
         }
         // The record of a ticket is dropped when the ticket ends, so whether one that has ended
         // was used is no longer known.
@@ -85,20 +85,20 @@
         mut call: Call,
         exchange: Exchange,
         record: RecordKey,
-        flight: FlightGuard,
+        flight: InFlightGuard,
     ) -> Result<Response, Refusal> {
-        if let Some(incarnation) = call.owner_hop() {
+        if let Some(incarnation) = call.owner_incarnation() {
             let is_here = incarnation == self.cx.own.incarnation;
             if !is_here || !self.records.knows(&record) {
                 return Err(owner_gone("no record of the request is left here"));
             }
         }
-        let until = (self.cx.clock.now() + self.cx.settings.remember).max(call.deadline);
+        let until = (self.cx.clock.now() + self.cx.settings.key_retention).max(call.deadline);
         let run = match self.records.begin(&record, until) {
             Begin::Run(run) => run,
             other => return self.repeat(&call, other).await,
         };
-        if call.owner_hop().is_some() {
+        if call.owner_incarnation().is_some() {
             // The daemon before has read the claim, and it is this one's.
             return self.run_here(call, exchange, run, flight).await;
         }
@@ -140,7 +140,7 @@
         call: Call,
         exchange: Exchange,
         run: Run,
-        flight: FlightGuard,
+        flight: InFlightGuard,
     ) -> Result<Response, Refusal> {
         if run.known_unrun {
             return self.run_here(call, exchange, run, flight).await;
@@ -165,7 +165,7 @@
             run.end(Ended::Unknown(refusal.clone()));
             return Err(refusal);
         }
-        let answered = self.send_to_owner(call, exchange, owner).await;
+        let answered = self.forward_to_owner(call, exchange, owner).await;
         let ended = match &answered {
             Ok(_) => Ended::Unknown(still_running()),
             Err(refusal) => Ended::Unknown(refusal.clone()),
@@ -181,14 +181,14 @@
         call: Call,
         mut exchange: Exchange,
         run: Run,
-        flight: FlightGuard,
+        flight: InFlightGuard,
     ) -> Result<Response, Refusal> {
         exchange.cancelled = Flag::new();
         let gateway = Rc::clone(self);
         let (tx, rx) = oneshot::channel();
         monoio::spawn(async move {
             let answered = gateway.run(&call, exchange, flight).await;
-            let max = gateway.cx.settings.kept_answer;
+            let max = gateway.cx.settings.stored_response_limit;
             // A caller that has left will ask again.
             let _ = tx.send(record(run, answered, max).await);
         });
--- a/crates/gateway/src/payload.rs
+++ b/crates/gateway/src/payload.rs
@@ -53,7 +53,7 @@
     }
 
     /// Says whether the request can be sent again.
-    pub(crate) fn is_here(&self) -> bool {
+    pub(crate) fn is_available(&self) -> bool {
         match self {
             Payload::Held(_) => true,
             Payload::Streamed(body) => body.is_some(),
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -13,8 +13,8 @@
 use crate::answer::{Reason, Refusal};
 use crate::call::Call;
 use crate::context::{HandOver, HandOverError};
-use crate::deliver::InUse;
-use crate::gateway::{Exchange, FlightGuard, Gateway};
+use crate::deliver::RequestResources;
+use crate::gateway::{Exchange, Gateway, InFlightGuard};
 use crate::hop::{HOP_HEADER, Hop, HopReason, target_digest};
 use crate::local::{body_consumed, not_attempted};
 use crate::run::{AttemptFailure, Attempts};
@@ -29,7 +29,7 @@
         clippy::too_many_arguments,
         reason = "an attempt needs all of its parts"
     )]
-    pub(crate) async fn send_there(
+    pub(crate) async fn forward_under_grant(
         self: &Rc<Self>,
         call: &Call,
         exchange: &mut Exchange,
@@ -37,7 +37,7 @@
         admission: AdmissionGuard,
         vm: VmName,
         token: GrantToken,
-        flight: &mut Option<FlightGuard>,
+        flight: &mut Option<InFlightGuard>,
     ) -> Result<Response, AttemptFailure> {
         let Some(body) = exchange.payload.take() else {
             return Err(not_attempted(body_consumed()));
@@ -53,7 +53,7 @@
             deadline: call.deadline,
             idempotent: !call.at_most_once,
         });
-        let in_use = InUse {
+        let in_use = RequestResources {
             slot: None,
             admission,
             flight: None,
@@ -61,7 +61,7 @@
         let response = match sent.await {
             Ok(response) => response,
             Err(error) => {
-                in_use.admission.set_end(RequestOutcome::Failed);
+                in_use.admission.set_outcome(RequestOutcome::Failed);
                 return Err(lost(&error));
             }
         };
@@ -83,7 +83,7 @@
     ///
     /// Returns "unknown" where that daemon gives no answer, as it may have run the request
     /// before.
-    pub(crate) async fn send_to_owner(
+    pub(crate) async fn forward_to_owner(
         self: &Rc<Self>,
         call: &Call,
         mut exchange: Exchange,
@@ -136,7 +136,7 @@
 }
 
 /// Reads another daemon's word that it did not run the request, or doesn't know.
-fn refused_there(response: &Response, in_use: &InUse) -> Option<AttemptFailure> {
+fn refused_there(response: &Response, in_use: &RequestResources) -> Option<AttemptFailure> {
     let header = |name: &str| response.headers.get(name).and_then(|v| v.to_str().ok());
     let outcome = header(OUTCOME_HEADER).unwrap_or("");
     if outcome == Outcome::Answered.as_str() {
@@ -152,7 +152,7 @@
         true => Refusal::not_run(Reason::PeerFailed, detail),
         false => Refusal::unknown(Reason::ConnectionLost, detail),
     };
-    in_use.admission.set_end(match not_run {
+    in_use.admission.set_outcome(match not_run {
         true => RequestOutcome::Cancelled,
         false => RequestOutcome::Failed,
     });
--- a/crates/gateway/src/run.rs
+++ b/crates/gateway/src/run.rs
@@ -8,7 +8,7 @@
 use crate::admit::Admitted;
 use crate::answer::Refusal;
 use crate::call::Call;
-use crate::gateway::{Exchange, FlightGuard, Gateway};
+use crate::gateway::{Exchange, Gateway, InFlightGuard};
 
 /// An attempt that gave no answer.
 #[derive(Debug)]
@@ -56,7 +56,7 @@
         self: &Rc<Self>,
         call: &Call,
         mut exchange: Exchange,
-        flight: FlightGuard,
+        flight: InFlightGuard,
     ) -> Result<Response, Refusal> {
         let mut tries = Attempts::new();
         let mut flight = Some(flight);
@@ -68,7 +68,7 @@
                 Err(refusal) => return Err(last.unwrap_or(refusal)),
             };
             let sent = match admitted {
-                Admitted::Here {
+                Admitted::Local {
                     admission,
                     place,
                     upstream,
@@ -77,12 +77,12 @@
                     self.send_here(call, &mut exchange, &tries, admission, chosen, &mut flight)
                         .await
                 }
-                Admitted::There {
+                Admitted::Remote {
                     admission,
                     vm,
                     token,
                 } => {
-                    self.send_there(
+                    self.forward_under_grant(
                         call,
                         &mut exchange,
                         &tries,
@@ -123,7 +123,7 @@
         failure.retryable
             && is_safe
             && has_time
-            && exchange.payload.is_here()
+            && exchange.payload.is_available()
             && tries.made < self.cx.settings.max_attempts
             && !exchange.cancelled.is_fired()
     }
--- a/crates/gateway/src/settings.rs
+++ b/crates/gateway/src/settings.rs
@@ -19,25 +19,25 @@
     /// whether the server is leaving. Without a path nothing is probed.
     pub health_path: Option<String>,
     /// How long an answer's word that its backend server is leaving counts.
-    pub leaving_for: Millis,
+    pub leaving_ttl: Millis,
     /// Largest request body that is held so that the request can be sent again, in bytes.
     pub replay_body: u64,
     /// Largest response body that is read whole before the response is passed on, in bytes.
     pub whole_answer: u64,
     /// Largest response body that is held for repeats, in bytes.
-    pub kept_answer: usize,
+    pub stored_response_limit: usize,
     /// Bounds of the records of requests that run at most once.
     pub records: RecordLimits,
     /// How long a ticket lasts.
     pub ticket_term: Millis,
     /// How long a request with a caller's own key is remembered by the daemon that ran it.
-    pub remember: Millis,
+    pub key_retention: Millis,
     /// The longest deadline that a caller may name.
     pub max_deadline: Millis,
     /// Times that one request is sent at most.
     pub max_attempts: u8,
     /// How long one message may wait for a slot at an upstream's home.
-    pub slot_wait: Millis,
+    pub max_slot_wait: Millis,
     /// How often the use of a slot is prolonged while an answer is streamed.
     pub slot_keep: Millis,
     /// Spans of the sharing of slots.
@@ -52,19 +52,19 @@
             not_run_header: HeaderName::from_static("x-not-run"),
             draining_header: HeaderName::from_static("x-draining"),
             health_path: Some("/healthz".to_owned()),
-            leaving_for: Millis(30_000),
+            leaving_ttl: Millis(30_000),
             replay_body: 64 * 1024,
             whole_answer: 16 * 1024,
-            kept_answer: 64 * 1024,
+            stored_response_limit: 64 * 1024,
             records: RecordLimits {
                 records: 50_000,
                 answer_bytes: 8 << 20,
             },
             ticket_term: Millis(120_000),
-            remember: Millis(600_000),
+            key_retention: Millis(600_000),
             max_deadline: Millis(3_600_000),
             max_attempts: 3,
-            slot_wait: Millis(1_000),
+            max_slot_wait: Millis(1_000),
             slot_keep: Millis(5_000),
             slots: SlotTiming::default(),
             pool: PoolConfig::default(),
--- a/crates/gateway/tests/common/mod.rs
+++ b/crates/gateway/tests/common/mod.rs
@@ -30,7 +30,7 @@
 use prometheus::Registry;
 
 use time::ManualTime;
-use wires::Wires;
+use wires::FakeNetwork;
 
 pub const SERVICE: &str = "acme:shop";
 pub const PLACE: &str = "shop-a";
@@ -50,7 +50,7 @@
 
 /// What one response said.
 #[derive(Debug)]
-pub struct Answer {
+pub struct TestResponse {
     pub status: StatusCode,
     pub outcome: String,
     pub reason: String,
@@ -60,12 +60,12 @@
 
 /// A request to be sent to a VM.
 #[derive(Clone, Debug)]
-pub struct Ask {
+pub struct TestRequest {
     pub head: RequestHead,
     pub body: Vec<u8>,
 }
 
-impl Ask {
+impl TestRequest {
     pub fn get(id: &str) -> Self {
         Self::new(Method::GET, "/items", id)
     }
@@ -108,26 +108,31 @@
 
 impl Vm {
     /// Starts a VM that knows no settings and no members yet.
-    pub fn start(name: &str, incarnation: u64, time: &ManualTime, wires: &Rc<Wires>) -> Self {
-        Self::with(name, incarnation, time, wires, GatewaySettings::default())
+    pub fn start(
+        name: &str,
+        incarnation: u64,
+        time: &ManualTime,
+        network: &Rc<FakeNetwork>,
+    ) -> Self {
+        Self::start_with(name, incarnation, time, network, GatewaySettings::default())
     }
 
-    pub fn with(
+    pub fn start_with(
         name: &str,
         incarnation: u64,
         time: &ManualTime,
-        wires: &Rc<Wires>,
+        network: &Rc<FakeNetwork>,
         settings: GatewaySettings,
     ) -> Self {
-        Self::in_domain(DOMAIN, name, incarnation, time, wires, settings)
+        Self::start_in_domain(DOMAIN, name, incarnation, time, network, settings)
     }
 
-    pub fn in_domain(
+    pub fn start_in_domain(
         domain: &str,
         name: &str,
         incarnation: u64,
         time: &ManualTime,
-        wires: &Rc<Wires>,
+        network: &Rc<FakeNetwork>,
         settings: GatewaySettings,
     ) -> Self {
         let member = member(name, incarnation);
@@ -149,9 +154,9 @@
             timer: time.timer(),
             rng: Rc::new(RefCell::new(fastrand::Rng::with_seed(incarnation))),
             secret: Rc::from(SECRET),
-            slot_port: wires.slot_port(&member),
-            claims: wires.claim_port(),
-            hand_over: wires.hand_over(&member),
+            slot_port: network.slot_port(&member),
+            claims: network.claim_port(),
+            hand_over: network.hand_over(&member),
             registry: registry.clone(),
             settings,
         })
@@ -165,7 +170,7 @@
         };
         let handler = handler_of(&gateway);
         monoio::spawn(serve(listener, handler, limits, stop.clone()));
-        wires.add(&member, &gateway, address);
+        network.add(&member, &gateway, address);
         Self {
             gateway,
             steering,
@@ -178,7 +183,7 @@
     }
 
     /// Gives the VM its settings and members and lets the first window pass.
-    pub fn ready(&self, plan: &Arc<Plan>, members: &Members, time: &ManualTime) {
+    pub fn configure(&self, plan: &Arc<Plan>, members: &Members, time: &ManualTime) {
         let parts = members.list.len().max(1) as u16;
         self.gateway.on_plan(Arc::clone(plan));
         let mut steering = self.steering.borrow_mut();
@@ -187,32 +192,32 @@
         self.gateway.on_members(members.clone());
     }
 
-    pub async fn try_ask(&self, ask: Ask) -> Result<Answer, SendError> {
+    pub async fn try_send(&self, ask: TestRequest) -> Result<TestResponse, SendError> {
         let options = SendOptions::default();
         let sent = self.pool.send(ask.head, Body::full(ask.body), options);
-        Ok(answer_of(sent.await?).await)
+        Ok(read_response(sent.await?).await)
     }
 
     /// Sends a request and reads the whole answer.
-    pub async fn ask(&self, ask: Ask) -> Answer {
-        self.try_ask(ask).await.expect("an answer")
+    pub async fn send(&self, ask: TestRequest) -> TestResponse {
+        self.try_send(ask).await.expect("an answer")
     }
 
     /// Sends a request in a task of its own.
-    pub fn spawn_ask(self: &Rc<Self>, ask: Ask) -> monoio::task::JoinHandle<Answer> {
+    pub fn spawn_send(self: &Rc<Self>, ask: TestRequest) -> monoio::task::JoinHandle<TestResponse> {
         let vm = Rc::clone(self);
-        monoio::spawn(async move { vm.ask(ask).await })
+        monoio::spawn(async move { vm.send(ask).await })
     }
 }
 
-pub async fn answer_of(response: Response) -> Answer {
+pub async fn read_response(response: Response) -> TestResponse {
     let header = |name: &str| {
         let value = response.headers.get(name);
         value.map(|v| v.to_str().expect("text").to_owned())
     };
     let (outcome, reason) = (header(OUTCOME_HEADER), header("heatherknot-reason"));
     let retry_after = header("retry-after");
-    Answer {
+    TestResponse {
         status: response.status,
         outcome: outcome.unwrap_or_default(),
         reason: reason.unwrap_or_default(),
@@ -260,10 +265,10 @@
 /// Settings of one service on these backend servers, with `slots` slots each.
 pub fn plan(backends: &[&FakeBackend], slots: u16) -> Plan {
     let addresses: Vec<SocketAddr> = backends.iter().map(|b| b.address()).collect();
-    plan_of(&addresses, slots)
+    plan_with_addresses(&addresses, slots)
 }
 
-pub fn plan_of(addresses: &[SocketAddr], slots: u16) -> Plan {
+pub fn plan_with_addresses(addresses: &[SocketAddr], slots: u16) -> Plan {
     let cap = Cap {
         per_second: 1_000_000,
         in_flight: 100_000,
@@ -327,59 +332,62 @@
 }
 
 /// Starts one VM that is ready to serve from these backend servers.
-pub async fn one_vm(plan: Plan) -> (Rc<Vm>, ManualTime, Rc<Wires>) {
+pub async fn one_vm(plan: Plan) -> (Rc<Vm>, ManualTime, Rc<FakeNetwork>) {
     one_vm_with(plan, GatewaySettings::default()).await
 }
 
-pub async fn one_vm_with(plan: Plan, settings: GatewaySettings) -> (Rc<Vm>, ManualTime, Rc<Wires>) {
+pub async fn one_vm_with(
+    plan: Plan,
+    settings: GatewaySettings,
+) -> (Rc<Vm>, ManualTime, Rc<FakeNetwork>) {
     let time = ManualTime::new();
-    let wires = Wires::new();
-    let vm = Vm::with("vm-a", 1, &time, &wires, settings);
+    let network = FakeNetwork::new();
+    let vm = Vm::start_with("vm-a", 1, &time, &network, settings);
     let members = members(1, &[&vm.member]);
-    vm.ready(&Arc::new(plan), &members, &time);
-    settle(&[&vm], &time).await;
-    (Rc::new(vm), time, wires)
+    vm.configure(&Arc::new(plan), &members, &time);
+    warm_up(&[&vm], &time).await;
+    (Rc::new(vm), time, network)
 }
 
 /// Starts two VMs of one failure domain that are ready to serve.
-pub async fn two_vms(plan: Plan) -> (Rc<Vm>, Rc<Vm>, ManualTime, Rc<Wires>) {
+pub async fn two_vms(plan: Plan) -> (Rc<Vm>, Rc<Vm>, ManualTime, Rc<FakeNetwork>) {
     let time = ManualTime::new();
-    let wires = Wires::new();
-    let a = Vm::start("vm-a", 1, &time, &wires);
-    let b = Vm::start("vm-b", 2, &time, &wires);
+    let network = FakeNetwork::new();
+    let a = Vm::start("vm-a", 1, &time, &network);
+    let b = Vm::start("vm-b", 2, &time, &network);
     let plan = Arc::new(plan);
     let members = members(1, &[&a.member, &b.member]);
-    a.ready(&plan, &members, &time);
-    b.ready(&plan, &members, &time);
-    settle(&[&a, &b], &time).await;
-    (Rc::new(a), Rc::new(b), time, wires)
+    a.configure(&plan, &members, &time);
+    b.configure(&plan, &members, &time);
+    warm_up(&[&a, &b], &time).await;
+    (Rc::new(a), Rc::new(b), time, network)
 }
 
 /// Lets the first window pass, in which nothing is admitted, and homes become ready.
-pub async fn settle(vms: &[&Vm], time: &ManualTime) {
+pub async fn warm_up(vms: &[&Vm], time: &ManualTime) {
     const STEPS: u64 = 30;
     for _ in 0..STEPS {
         time.advance(Millis(100));
         for vm in vms {
             vm.steering.borrow_mut().tick(time.clock().now());
         }
-        turn().await;
+        run_tasks().await;
     }
 }
 
 /// Lets the other tasks run.
-pub async fn turn() {
+pub async fn run_tasks() {
     monoio::time::sleep(std::time::Duration::from_millis(1)).await;
 }
 
 /// Waits until a condition holds.
-pub async fn until(what: &str, mut holds: impl FnMut() -> bool) {
+pub async fn wait_until(what: &str, mut holds: impl FnMut() -> bool) {
     const PATIENCE: usize = 10_000;
     for _ in 0..PATIENCE {
         if holds() {
             return;
         }
-        turn().await;
+        run_tasks().await;
     }
     panic!("never came true: {what}");
 }
--- a/crates/gateway/tests/common/wires.rs
+++ b/crates/gateway/tests/common/wires.rs
@@ -14,25 +14,25 @@
 
 /// Every wire between the VMs of a test.
 #[derive(Default)]
-pub struct Wires {
+pub struct FakeNetwork {
     slots: RefCell<HashMap<VmName, Weak<Slots>>>,
     addresses: RefCell<HashMap<VmName, SocketAddr>>,
     pools: RefCell<HashMap<SocketAddr, Pool>>,
     /// VMs that can't be reached by others.
     pub cut: RefCell<HashSet<VmName>>,
     /// VMs whose calls are swallowed without an answer.
-    pub silent: RefCell<HashSet<VmName>>,
+    pub unresponsive: RefCell<HashSet<VmName>>,
     /// Whether a slot that is lent is never heard of by its borrower.
-    pub lose_lent: Cell<bool>,
+    pub lose_take_replies: Cell<bool>,
     /// Where set, answers to those that ask for a slot are under way until it fires.
-    pub hold_lent: RefCell<Option<Flag>>,
+    pub hold_take_replies: RefCell<Option<Flag>>,
     /// Whether messages that give a slot back are lost.
-    pub lose_given: Cell<bool>,
+    pub lose_give_messages: Cell<bool>,
     /// Slots taken by call so far.
-    pub takes: Cell<usize>,
+    pub take_calls: Cell<usize>,
     pub claims: Rc<Claims>,
     /// Where set, claims go here in place of the fake.
-    pub real_claims: RefCell<Option<ClaimPort>>,
+    pub claim_override: RefCell<Option<ClaimPort>>,
 }
 
 /// The claims in the store.
@@ -40,12 +40,12 @@
 pub struct Claims {
     held: RefCell<HashMap<String, Member>>,
     pub down: Cell<bool>,
-    pub lose_answer: Cell<bool>,
+    pub lose_reply: Cell<bool>,
     pub calls: Cell<usize>,
     pub start_by: Cell<Option<Millis>>,
 }
 
-impl Wires {
+impl FakeNetwork {
     pub fn new() -> Rc<Self> {
         Rc::default()
     }
@@ -65,7 +65,7 @@
         self.cut.borrow_mut().insert(vm.clone());
     }
 
-    pub fn mend(&self, vm: &VmName) {
+    pub fn heal(&self, vm: &VmName) {
         self.cut.borrow_mut().remove(vm);
     }
 
@@ -85,20 +85,24 @@
     fn call<Req: 'static, Reply: 'static>(
         self: &Rc<Self>,
         own: &Member,
-        serve: impl Fn(Rc<Wires>, Rc<Slots>, Req) -> LocalBoxFuture<'static, Result<Reply, PeerError>>
+        serve: impl Fn(
+            Rc<FakeNetwork>,
+            Rc<Slots>,
+            Req,
+        ) -> LocalBoxFuture<'static, Result<Reply, PeerError>>
         + 'static,
     ) -> PeerCall<Req, Reply> {
-        let (wires, own) = (Rc::clone(self), own.vm.clone());
+        let (network, own) = (Rc::clone(self), own.vm.clone());
         let serve = Rc::new(serve);
         Rc::new(move |to, req| {
-            let (wires, serve) = (Rc::clone(&wires), Rc::clone(&serve));
+            let (network, serve) = (Rc::clone(&network), Rc::clone(&serve));
             let (own, to) = (own.clone(), to.clone());
             Box::pin(async move {
-                if wires.silent.borrow().contains(&to) {
+                if network.unresponsive.borrow().contains(&to) {
                     return std::future::pending().await;
                 }
-                let slots = wires.slots_of(&own, &to)?;
-                serve(wires, slots, req).await
+                let slots = network.slots_of(&own, &to)?;
+                serve(network, slots, req).await
             })
         })
     }
@@ -111,22 +115,22 @@
 
     pub fn slot_port(self: &Rc<Self>, own: &Member) -> SlotPort {
         SlotPort {
-            acquire: self.call(own, |wires, slots, take| {
-                wires.takes.set(wires.takes.get() + 1);
+            acquire: self.call(own, |network, slots, take| {
+                network.take_calls.set(network.take_calls.get() + 1);
                 Box::pin(async move {
                     let reply = slots.serve_acquire(take).await;
-                    if wires.lose_lent.get() {
+                    if network.lose_take_replies.get() {
                         std::future::pending::<()>().await;
                     }
-                    let held = wires.hold_lent.borrow().clone();
+                    let held = network.hold_take_replies.borrow().clone();
                     if let Some(held) = held {
                         held.wait().await;
                     }
                     Ok(reply)
                 })
             }),
-            release: self.call(own, |wires, slots, give| {
-                if !wires.lose_given.get() {
+            release: self.call(own, |network, slots, give| {
+                if !network.lose_give_messages.get() {
                     slots.serve_release(&give);
                 }
                 Box::pin(std::future::ready(Ok(())))
@@ -143,7 +147,7 @@
     }
 
     pub fn claim_port(&self) -> ClaimPort {
-        if let Some(port) = self.real_claims.borrow().clone() {
+        if let Some(port) = self.claim_override.borrow().clone() {
             return port;
         }
         let claims = Rc::clone(&self.claims);
@@ -156,15 +160,15 @@
     }
 
     pub fn hand_over(self: &Rc<Self>, own: &Member) -> HandOverPort {
-        let (wires, own) = (Rc::clone(self), own.vm.clone());
+        let (network, own) = (Rc::clone(self), own.vm.clone());
         Rc::new(move |hand_over| {
-            let wires = Rc::clone(&wires);
+            let network = Rc::clone(&network);
             let vm = hand_over.vm.clone();
             let is_cut = {
-                let cut = wires.cut.borrow();
+                let cut = network.cut.borrow();
                 cut.contains(&own) || cut.contains(&vm)
             };
-            let address = wires.addresses.borrow().get(&vm).copied();
+            let address = network.addresses.borrow().get(&vm).copied();
             Box::pin(async move {
                 let failed = |may_have_run, cause: String| HandOverError {
                     vm: vm.clone(),
@@ -174,7 +178,7 @@
                 let Some(address) = address.filter(|_| !is_cut) else {
                     return Err(failed(false, "cut off".to_owned()));
                 };
-                let pool = wires.pool_to(address);
+                let pool = network.pool_to(address);
                 let sent = pool.send(hand_over.head, hand_over.body, SendOptions::default());
                 sent.await
                     .map_err(|e| failed(e.handed() == Handed::MaySent, e.to_string()))
@@ -198,7 +202,7 @@
             return Ok(ClaimOutcome::Held(owner.clone()));
         }
         held.insert(req.key, req.owner);
-        match self.lose_answer.get() {
+        match self.lose_reply.get() {
             true => Err(failed("the answer was lost")),
             false => Ok(ClaimOutcome::New {
                 start_by: self.start_by.get().unwrap_or(Millis(u64::MAX)),
--- a/crates/gateway/tests/drains.rs
+++ b/crates/gateway/tests/drains.rs
@@ -5,7 +5,7 @@
 use std::collections::HashSet;
 use std::sync::Arc;
 
-use common::{Ask, backend, one_vm, plan, two_vms, until};
+use common::{TestRequest, backend, one_vm, plan, two_vms, wait_until};
 use futures_util::FutureExt;
 use heatherknot_gateway::LeavingSource;
 use heatherknot_gateway::slots::{SlotRequest, UpstreamKey};
@@ -26,11 +26,11 @@
     // hears with the slot that is given back, and lends no more.
     block_on(async {
         let (leaving, staying) = (backend(3), backend(3));
-        let (a, b, _time, _wires) = two_vms(plan(&[&leaving, &staying], 3)).await;
+        let (a, b, _time, _network) = two_vms(plan(&[&leaving, &staying], 3)).await;
         leaving.change(|s| s.draining = true);
         let mut i = 0;
         while leaving.runs().is_empty() {
-            a.ask(Ask::get(&format!("first{i}"))).await;
+            a.send(TestRequest::get(&format!("first{i}"))).await;
             i += 1;
         }
         let home = match a.gateway.slots().is_home(&key("u0")) {
@@ -38,14 +38,20 @@
             false => &b,
         };
         let told = leaving.runs().len();
-        until("the home has heard", || {
+        wait_until("the home has heard", || {
             home.gateway.slots().lent(&key("u0")) == Some(0)
         })
         .await;
 
         for i in 0..20 {
-            assert_eq!(a.ask(Ask::get(&format!("a{i}"))).await.outcome, "answered");
-            assert_eq!(b.ask(Ask::get(&format!("b{i}"))).await.outcome, "answered");
+            assert_eq!(
+                a.send(TestRequest::get(&format!("a{i}"))).await.outcome,
+                "answered"
+            );
+            assert_eq!(
+                b.send(TestRequest::get(&format!("b{i}"))).await.outcome,
+                "answered"
+            );
         }
 
         assert_eq!(leaving.runs().len(), told);
@@ -57,16 +63,16 @@
     for source in [LeavingSource::Health, LeavingSource::VmList] {
         block_on(async {
             let (leaving, staying) = (backend(3), backend(3));
-            let (vm, _time, _wires) = one_vm(plan(&[&leaving, &staying], 3)).await;
+            let (vm, _time, _network) = one_vm(plan(&[&leaving, &staying], 3)).await;
 
             vm.gateway.set_leaving(&key("u0"), source, true);
             for i in 0..10 {
-                vm.ask(Ask::get(&format!("r{i}"))).await;
+                vm.send(TestRequest::get(&format!("r{i}"))).await;
             }
             let while_leaving = leaving.runs().len();
             vm.gateway.set_leaving(&key("u0"), source, false);
             for i in 0..20 {
-                vm.ask(Ask::get(&format!("later{i}"))).await;
+                vm.send(TestRequest::get(&format!("later{i}"))).await;
             }
 
             assert_eq!(while_leaving, 0, "{source:?}");
@@ -82,7 +88,7 @@
     // that the other VM, which never probed it, sends it nothing either.
     block_on(async {
         let (leaving, staying) = (backend(3), backend(3));
-        let (a, b, _time, _wires) = two_vms(plan(&[&leaving, &staying], 3)).await;
+        let (a, b, _time, _network) = two_vms(plan(&[&leaving, &staying], 3)).await;
         let home = match a.gateway.slots().is_home(&key("u0")) {
             true => &a,
             false => &b,
@@ -91,16 +97,16 @@
 
         a.gateway.tick();
         b.gateway.tick();
-        until("the home knows", || !lends(home)).await;
+        wait_until("the home knows", || !lends(home)).await;
         for i in 0..10 {
-            a.ask(Ask::get(&format!("a{i}"))).await;
-            b.ask(Ask::get(&format!("b{i}"))).await;
+            a.send(TestRequest::get(&format!("a{i}"))).await;
+            b.send(TestRequest::get(&format!("b{i}"))).await;
         }
         let while_leaving = leaving.runs().len();
         leaving.change(|s| s.draining = false);
         a.gateway.tick();
         b.gateway.tick();
-        until("the home knows again", || lends(home)).await;
+        wait_until("the home knows again", || lends(home)).await;
 
         assert_eq!(while_leaving, 0);
     });
@@ -129,19 +135,22 @@
 fn list_of_vms_stops_new_work() {
     block_on(async {
         let (leaving, staying) = (backend(3), backend(3));
-        let (vm, _time, _wires) = one_vm(plan(&[&leaving, &staying], 3)).await;
+        let (vm, _time, _network) = one_vm(plan(&[&leaving, &staying], 3)).await;
         let mut whole_vm = leaving.address();
         whole_vm.set_port(0);
 
         vm.gateway
             .on_leaving_servers(&HashSet::from([leaving.address()]));
         for i in 0..10 {
-            assert_eq!(vm.ask(Ask::get(&format!("r{i}"))).await.outcome, "answered");
+            assert_eq!(
+                vm.send(TestRequest::get(&format!("r{i}"))).await.outcome,
+                "answered"
+            );
         }
         vm.gateway.on_leaving_servers(&HashSet::from([whole_vm]));
-        let all_leave = vm.ask(Ask::get("none")).await;
+        let all_leave = vm.send(TestRequest::get("none")).await;
         vm.gateway.on_leaving_servers(&HashSet::new());
-        let none_leave = vm.ask(Ask::get("some")).await;
+        let none_leave = vm.send(TestRequest::get("some")).await;
 
         assert!(leaving.runs_of("r0") == 0 && staying.runs().len() >= 10);
         assert_eq!(all_leave.outcome, "not-run");
@@ -155,7 +164,7 @@
     // it is leaving; the home must hear of it, or it goes on lending slots to the others.
     block_on(async {
         let (leaving, staying) = (backend(3), backend(3));
-        let (a, b, _time, _wires) = two_vms(plan(&[&leaving, &staying], 3)).await;
+        let (a, b, _time, _network) = two_vms(plan(&[&leaving, &staying], 3)).await;
         let (home, reader) = match a.gateway.slots().is_home(&key("u0")) {
             true => (&a, &b),
             false => (&b, &a),
@@ -164,10 +173,10 @@
         reader
             .gateway
             .on_leaving_servers(&HashSet::from([leaving.address()]));
-        until("the home knows", || !lends(home)).await;
+        wait_until("the home knows", || !lends(home)).await;
         for i in 0..10 {
-            a.ask(Ask::get(&format!("a{i}"))).await;
-            b.ask(Ask::get(&format!("b{i}"))).await;
+            a.send(TestRequest::get(&format!("a{i}"))).await;
+            b.send(TestRequest::get(&format!("b{i}"))).await;
         }
 
         assert!(leaving.runs().is_empty());
@@ -180,18 +189,21 @@
     // A backend server is gone without a word. Before requests fail on it, its probes do.
     block_on(async {
         let (gone, staying) = (backend(3), backend(3));
-        let (vm, _time, _wires) = one_vm(plan(&[&gone, &staying], 3)).await;
+        let (vm, _time, _network) = one_vm(plan(&[&gone, &staying], 3)).await;
         gone.kill();
         for n in 1..=3 {
             vm.gateway.tick();
             let line = format!(
                 "heatherknot_probes_total{{found=\"failed\",service=\"acme:shop\",upstream=\"u0\"}} {n}"
             );
-            until("a probe has failed", || metrics_text(&vm).contains(&line)).await;
+            wait_until("a probe has failed", || metrics_text(&vm).contains(&line)).await;
         }
 
         for i in 0..20 {
-            assert_eq!(vm.ask(Ask::get(&format!("r{i}"))).await.outcome, "answered");
+            assert_eq!(
+                vm.send(TestRequest::get(&format!("r{i}"))).await.outcome,
+                "answered"
+            );
         }
         let text = metrics_text(&vm);
 
@@ -204,7 +216,7 @@
     block_on(async {
         let (leaving, staying) = (backend(3), backend(3));
         let settings = plan(&[&leaving, &staying], 3);
-        let (vm, _time, _wires) = one_vm(settings.clone()).await;
+        let (vm, _time, _network) = one_vm(settings.clone()).await;
         let mut drained = settings;
         drained.revision = Revision(2);
         for service in drained.services.values_mut() {
@@ -213,7 +225,10 @@
 
         vm.gateway.on_plan(Arc::new(drained));
         for i in 0..10 {
-            assert_eq!(vm.ask(Ask::get(&format!("r{i}"))).await.outcome, "answered");
+            assert_eq!(
+                vm.send(TestRequest::get(&format!("r{i}"))).await.outcome,
+                "answered"
+            );
         }
 
         assert!(leaving.runs().is_empty());
@@ -226,13 +241,13 @@
     block_on(async {
         let server = backend(3);
         server.change(|s| s.held = true);
-        let (vm, _time, _wires) = one_vm(plan(&[&server], 3)).await;
-        let running = vm.spawn_ask(Ask::post("running"));
-        until("it runs", || server.running() == 1).await;
+        let (vm, _time, _network) = one_vm(plan(&[&server], 3)).await;
+        let running = vm.spawn_send(TestRequest::post("running"));
+        wait_until("it runs", || server.running() == 1).await;
 
         vm.gateway
             .set_leaving(&key("u0"), LeavingSource::VmList, true);
-        let refused = vm.ask(Ask::get("new")).await;
+        let refused = vm.send(TestRequest::get("new")).await;
         server.change(|s| s.held = false);
 
         assert_eq!(running.await.outcome, "answered");
@@ -248,14 +263,14 @@
     block_on(async {
         let server = backend(3);
         server.change(|s| s.draining = true);
-        let (vm, time, _wires) = one_vm(plan(&[&server], 3)).await;
-        vm.ask(Ask::get("last")).await;
+        let (vm, time, _network) = one_vm(plan(&[&server], 3)).await;
+        vm.send(TestRequest::get("last")).await;
         server.change(|s| s.draining = false);
 
-        let while_marked = vm.ask(Ask::get("r1")).await;
+        let while_marked = vm.send(TestRequest::get("r1")).await;
         time.advance(Millis(30_001));
         vm.gateway.tick();
-        let after = vm.ask(Ask::get("r2")).await;
+        let after = vm.send(TestRequest::get("r2")).await;
 
         assert_eq!(while_marked.outcome, "not-run");
         assert_eq!(after.outcome, "answered");
@@ -267,20 +282,20 @@
     block_on(async {
         let server = backend(3);
         server.change(|s| s.held = true);
-        let (vm, time, _wires) = one_vm(plan(&[&server], 3)).await;
-        let running = vm.spawn_ask(Ask::post("running"));
-        until("it runs", || server.running() == 1).await;
+        let (vm, time, _network) = one_vm(plan(&[&server], 3)).await;
+        let running = vm.spawn_send(TestRequest::post("running"));
+        wait_until("it runs", || server.running() == 1).await;
 
         vm.stop.fire();
         let gateway = std::rc::Rc::clone(&vm.gateway);
-        let draining = monoio::spawn(async move { gateway.drained(Millis(5_000)).await });
-        common::turn().await;
+        let draining = monoio::spawn(async move { gateway.wait_idle(Millis(5_000)).await });
+        common::run_tasks().await;
         time.advance(Millis(1_500));
         server.change(|s| s.held = false);
         let report = draining.await;
 
         assert_eq!(running.await.outcome, "answered");
-        assert_eq!(report.left, 0);
+        assert_eq!(report.remaining, 0);
         assert_eq!(report.took, Millis(1_500));
     });
 }
@@ -290,17 +305,17 @@
     block_on(async {
         let server = backend(3);
         server.change(|s| s.held = true);
-        let (vm, time, _wires) = one_vm(plan(&[&server], 3)).await;
-        let _running = vm.spawn_ask(Ask::post("running"));
-        until("it runs", || server.running() == 1).await;
+        let (vm, time, _network) = one_vm(plan(&[&server], 3)).await;
+        let _running = vm.spawn_send(TestRequest::post("running"));
+        wait_until("it runs", || server.running() == 1).await;
 
         let gateway = std::rc::Rc::clone(&vm.gateway);
-        let draining = monoio::spawn(async move { gateway.drained(Millis(5_000)).await });
-        common::turn().await;
+        let draining = monoio::spawn(async move { gateway.wait_idle(Millis(5_000)).await });
+        common::run_tasks().await;
         time.advance(Millis(5_000));
         let report = draining.await;
 
-        assert_eq!(report.left, 1);
+        assert_eq!(report.remaining, 1);
         assert_eq!(report.took, Millis(5_000));
     });
 }
--- a/crates/gateway/tests/once.rs
+++ b/crates/gateway/tests/once.rs
@@ -5,7 +5,9 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-use common::{Ask, Vm, backend, members, one_vm, one_vm_with, plan, settle, two_vms, until};
+use common::{
+    TestRequest, Vm, backend, members, one_vm, one_vm_with, plan, two_vms, wait_until, warm_up,
+};
 use heatherknot_gateway::GatewaySettings;
 use heatherknot_gateway::once::RecordLimits;
 use heatherknot_test_support::backend::{FakeBackend, Fault};
@@ -23,9 +25,9 @@
 }
 
 /// Sends the same request with each kind of key to the two VMs at once, and gives the answers.
-async fn ask_both(a: &Rc<Vm>, b: &Rc<Vm>, key: &str) -> [common::Answer; 2] {
-    let at_a = a.spawn_ask(Ask::post("at-a").key(key));
-    let at_b = b.spawn_ask(Ask::post("at-b").key(key));
+async fn ask_both(a: &Rc<Vm>, b: &Rc<Vm>, key: &str) -> [common::TestResponse; 2] {
+    let at_a = a.spawn_send(TestRequest::post("at-a").key(key));
+    let at_b = b.spawn_send(TestRequest::post("at-b").key(key));
     [at_a.await, at_b.await]
 }
 
@@ -35,12 +37,12 @@
     // with the same key. The order must not be placed twice, and the caller gets the answer.
     block_on(async {
         let server = backend(3);
-        let (vm, _time, _wires) = one_vm(plan(&[&server], 3)).await;
+        let (vm, _time, _network) = one_vm(plan(&[&server], 3)).await;
 
         for key in [ticket_of(&vm), "own-key".to_owned()] {
             let before = total_runs(&server);
-            let first = vm.ask(Ask::post(&key[..4]).key(&key)).await;
-            let second = vm.ask(Ask::post("again").key(&key)).await;
+            let first = vm.send(TestRequest::post(&key[..4]).key(&key)).await;
+            let second = vm.send(TestRequest::post("again").key(&key)).await;
 
             assert_eq!(first.outcome, "answered");
             assert_eq!(second.outcome, "answered");
@@ -55,7 +57,7 @@
     // An impatient caller sends the same request to two VMs in the same instant.
     block_on(async {
         let server = backend(3);
-        let (a, b, _time, _wires) = two_vms(plan(&[&server], 3)).await;
+        let (a, b, _time, _network) = two_vms(plan(&[&server], 3)).await;
 
         for key in [ticket_of(&a), ticket_of(&b), "own-key".to_owned()] {
             let before = total_runs(&server);
@@ -77,7 +79,7 @@
     block_on(async {
         let server = backend(3);
         server.change(|s| s.held = true);
-        let (vm, _time, _wires) = one_vm(plan(&[&server], 3)).await;
+        let (vm, _time, _network) = one_vm(plan(&[&server], 3)).await;
         let mut caller = RawCaller::connect(vm.address).await.expect("a connection");
         let request = format!(
             "POST /orders HTTP/1.1\r\nhost: h\r\nheatherknot-service: {}\r\n\
@@ -85,12 +87,12 @@
             common::SERVICE
         );
         caller.send(request).await.expect("sent");
-        until("it runs", || server.running() == 1).await;
+        wait_until("it runs", || server.running() == 1).await;
 
         drop(caller);
-        common::turn().await;
-        let repeat = vm.spawn_ask(Ask::post("repeat").key("k1"));
-        common::turn().await;
+        common::run_tasks().await;
+        let repeat = vm.spawn_send(TestRequest::post("repeat").key("k1"));
+        common::run_tasks().await;
         server.change(|s| s.held = false);
         let repeat = repeat.await;
 
@@ -107,14 +109,14 @@
     block_on(async {
         let server = backend(3);
         server.change(|s| s.fault = Fault::ClosesAfterRun);
-        let (a, b, _time, _wires) = two_vms(plan(&[&server], 3)).await;
+        let (a, b, _time, _network) = two_vms(plan(&[&server], 3)).await;
 
         for key in [ticket_of(&a), "own-key".to_owned()] {
             let before = total_runs(&server);
-            let first = a.ask(Ask::post("first").key(&key)).await;
+            let first = a.send(TestRequest::post("first").key(&key)).await;
             server.change(|s| s.fault = Fault::None);
-            let at_a = a.ask(Ask::post("again").key(&key)).await;
-            let at_b = b.ask(Ask::post("again").key(&key)).await;
+            let at_a = a.send(TestRequest::post("again").key(&key)).await;
+            let at_b = b.send(TestRequest::post("again").key(&key)).await;
             server.change(|s| s.fault = Fault::ClosesAfterRun);
 
             for answer in [first, at_a, at_b] {
@@ -131,15 +133,15 @@
     // same key when told to, and now it runs.
     block_on(async {
         let server = backend(3);
-        let (vm, time, _wires) = one_vm(plan(&[&server], 3)).await;
+        let (vm, time, _network) = one_vm(plan(&[&server], 3)).await;
 
         for key in [ticket_of(&vm), "own-key".to_owned()] {
             server.change(|s| s.sheds = true);
             let before = total_runs(&server);
-            let refused = vm.ask(Ask::post("first").key(&key)).await;
+            let refused = vm.send(TestRequest::post("first").key(&key)).await;
             server.change(|s| s.sheds = false);
-            settle(&[&vm], &time).await;
-            let repeat = vm.ask(Ask::post("again").key(&key)).await;
+            warm_up(&[&vm], &time).await;
+            let repeat = vm.send(TestRequest::post("again").key(&key)).await;
 
             assert_eq!(refused.outcome, "not-run", "{key}");
             assert_eq!(repeat.outcome, "answered", "{key}");
@@ -155,15 +157,15 @@
     block_on(async {
         let server = backend(3);
         server.change(|s| s.fault = Fault::NeverAnswers);
-        let (a, b, _time, wires) = two_vms(plan(&[&server], 3)).await;
+        let (a, b, _time, network) = two_vms(plan(&[&server], 3)).await;
 
         for key in [ticket_of(&a), "own-key".to_owned()] {
             let before = total_runs(&server);
-            let _lost = a.spawn_ask(Ask::post("first").key(&key));
-            until("it runs", || total_runs(&server) == before + 1).await;
-            wires.cut(&a.member.vm);
-            let repeat = b.ask(Ask::post("again").key(&key)).await;
-            wires.mend(&a.member.vm);
+            let _lost = a.spawn_send(TestRequest::post("first").key(&key));
+            wait_until("it runs", || total_runs(&server) == before + 1).await;
+            network.cut(&a.member.vm);
+            let repeat = b.send(TestRequest::post("again").key(&key)).await;
+            network.heal(&a.member.vm);
 
             assert_eq!(repeat.outcome, "unknown", "{key}");
             assert_eq!(repeat.status, StatusCode::BAD_GATEWAY);
@@ -179,22 +181,22 @@
     // comes to it directly, or by another VM, looks new to it.
     block_on(async {
         let server = backend(3);
-        let (a, b, time, wires) = two_vms(plan(&[&server], 3)).await;
+        let (a, b, time, network) = two_vms(plan(&[&server], 3)).await;
         let keys = [ticket_of(&a), "own-key".to_owned()];
         for key in &keys {
-            a.ask(Ask::post("first").key(key)).await;
+            a.send(TestRequest::post("first").key(key)).await;
         }
         let before = total_runs(&server);
 
-        let new = Vm::start(a.member.vm.as_str(), 77, &time, &wires);
+        let new = Vm::start(a.member.vm.as_str(), 77, &time, &network);
         let both = members(2, &[&new.member, &b.member]);
-        new.ready(&Arc::new(plan(&[&server], 3)), &both, &time);
+        new.configure(&Arc::new(plan(&[&server], 3)), &both, &time);
         b.gateway.on_members(both);
-        settle(&[&new, &b], &time).await;
+        warm_up(&[&new, &b], &time).await;
 
         for key in &keys {
             for vm in [&new, &*b] {
-                let repeat = vm.ask(Ask::post("again").key(key)).await;
+                let repeat = vm.send(TestRequest::post("again").key(key)).await;
                 assert_eq!(repeat.outcome, "unknown", "{key} at {}", vm.member.vm);
             }
         }
@@ -208,14 +210,14 @@
     // answered "unknown" and, once the partition has healed, with the first answer.
     block_on(async {
         let server = backend(3);
-        let (a, b, _time, wires) = two_vms(plan(&[&server], 3)).await;
+        let (a, b, _time, network) = two_vms(plan(&[&server], 3)).await;
 
         for key in [ticket_of(&a), "own-key".to_owned()] {
-            let first = a.ask(Ask::post("first").key(&key)).await;
-            wires.cut(&a.member.vm);
-            let cut_off = b.ask(Ask::post("again").key(&key)).await;
-            wires.mend(&a.member.vm);
-            let healed = b.ask(Ask::post("again").key(&key)).await;
+            let first = a.send(TestRequest::post("first").key(&key)).await;
+            network.cut(&a.member.vm);
+            let cut_off = b.send(TestRequest::post("again").key(&key)).await;
+            network.heal(&a.member.vm);
+            let healed = b.send(TestRequest::post("again").key(&key)).await;
 
             assert_eq!(first.outcome, "answered");
             assert_eq!(cut_off.outcome, "unknown", "{key}");
@@ -233,15 +235,17 @@
     // at another VM.
     block_on(async {
         let server = backend(3);
-        let (vm, _time, wires) = one_vm(plan(&[&server], 3)).await;
-        wires.claims.down.set(true);
+        let (vm, _time, network) = one_vm(plan(&[&server], 3)).await;
+        network.claims.down.set(true);
 
-        let first = vm.ask(Ask::post("first").key("k1")).await;
-        let again = Ask::post("again")
+        let first = vm.send(TestRequest::post("first").key("k1")).await;
+        let again = TestRequest::post("again")
             .key("k1")
             .header("heatherknot-attempt", "2");
-        let again = vm.ask(again).await;
-        let with_ticket = vm.ask(Ask::post("ticket").key(&ticket_of(&vm))).await;
+        let again = vm.send(again).await;
+        let with_ticket = vm
+            .send(TestRequest::post("ticket").key(&ticket_of(&vm)))
+            .await;
 
         assert_eq!(first.outcome, "not-run");
         assert_eq!(first.reason, "claim-failed");
@@ -259,13 +263,13 @@
     // that the request has not run. Another VM hands the repeat to it.
     block_on(async {
         let server = backend(3);
-        let (a, b, _time, wires) = two_vms(plan(&[&server], 3)).await;
+        let (a, b, _time, network) = two_vms(plan(&[&server], 3)).await;
 
         for (key, repeat_at) in [("k1", &a), ("k2", &b)] {
-            wires.claims.lose_answer.set(true);
-            let first = a.ask(Ask::post("first").key(key)).await;
-            wires.claims.lose_answer.set(false);
-            let repeat = repeat_at.ask(Ask::post("again").key(key)).await;
+            network.claims.lose_reply.set(true);
+            let first = a.send(TestRequest::post("first").key(key)).await;
+            network.claims.lose_reply.set(false);
+            let repeat = repeat_at.send(TestRequest::post("again").key(key)).await;
 
             assert_eq!(first.outcome, "not-run");
             assert_eq!(repeat.outcome, "answered", "{key}");
@@ -281,15 +285,15 @@
     block_on(async {
         let server = backend(1);
         server.change(|s| s.held = true);
-        let (vm, time, wires) = one_vm(plan(&[&server], 1)).await;
-        let running = vm.spawn_ask(Ask::get("running").deadline(60_000));
-        until("one runs", || server.running() == 1).await;
-        wires
+        let (vm, time, network) = one_vm(plan(&[&server], 1)).await;
+        let running = vm.spawn_send(TestRequest::get("running").deadline(60_000));
+        wait_until("one runs", || server.running() == 1).await;
+        network
             .claims
             .start_by
             .set(Some(time.clock().now() + Millis(1_000)));
-        let waits = vm.spawn_ask(Ask::post("waits").key("k1").deadline(60_000));
-        until("it has its claim", || wires.claims.calls.get() == 1).await;
+        let waits = vm.spawn_send(TestRequest::post("waits").key("k1").deadline(60_000));
+        wait_until("it has its claim", || network.claims.calls.get() == 1).await;
 
         time.advance(Millis(1_001));
         let paused = waits.await;
@@ -305,13 +309,13 @@
 fn forged_and_foreign_tickets_are_not_run() {
     block_on(async {
         let server = backend(3);
-        let (vm, _time, _wires) = one_vm(plan(&[&server], 3)).await;
+        let (vm, _time, _network) = one_vm(plan(&[&server], 3)).await;
         let good = ticket_of(&vm);
         let forged = format!("{}AAAA", &good[..good.len() - 4]);
         let foreign = vm.gateway.new_ticket(&ServiceName::from("acme:other"));
 
         for ticket in [forged, foreign] {
-            let answer = vm.ask(Ask::post("r1").key(&ticket)).await;
+            let answer = vm.send(TestRequest::post("r1").key(&ticket)).await;
 
             assert_eq!(answer.status, StatusCode::BAD_REQUEST);
             assert_eq!(answer.reason, "bad-ticket");
@@ -326,12 +330,12 @@
     // so the order would look new.
     block_on(async {
         let server = backend(3);
-        let (vm, time, _wires) = one_vm(plan(&[&server], 3)).await;
+        let (vm, time, _network) = one_vm(plan(&[&server], 3)).await;
         let ticket = ticket_of(&vm);
-        vm.ask(Ask::post("first").key(&ticket)).await;
+        vm.send(TestRequest::post("first").key(&ticket)).await;
 
         time.advance(Millis(120_000));
-        let late = vm.ask(Ask::post("late").key(&ticket)).await;
+        let late = vm.send(TestRequest::post("late").key(&ticket)).await;
 
         assert_eq!(late.outcome, "unknown");
         assert_eq!(late.reason, "ticket-expired");
@@ -345,13 +349,13 @@
     // in the store is this daemon's own, which alone would look like leave to run.
     block_on(async {
         let server = backend(3);
-        let (a, b, time, _wires) = two_vms(plan(&[&server], 3)).await;
-        a.ask(Ask::post("first").key("k1")).await;
+        let (a, b, time, _network) = two_vms(plan(&[&server], 3)).await;
+        a.send(TestRequest::post("first").key("k1")).await;
 
         time.advance(Millis(600_001));
-        settle(&[&a, &b], &time).await;
-        let at_a = a.ask(Ask::post("late").key("k1")).await;
-        let at_b = b.ask(Ask::post("late").key("k1")).await;
+        warm_up(&[&a, &b], &time).await;
+        let at_a = a.send(TestRequest::post("late").key("k1")).await;
+        let at_b = b.send(TestRequest::post("late").key("k1")).await;
 
         assert_eq!(at_a.outcome, "unknown");
         assert_eq!(at_b.outcome, "unknown");
@@ -372,13 +376,13 @@
             },
             ..GatewaySettings::default()
         };
-        let (vm, _time, _wires) = one_vm_with(plan(&[&server], 3), settings).await;
-        vm.ask(Ask::post("r1").key("k1")).await;
-        vm.ask(Ask::post("r2").key("k2")).await;
+        let (vm, _time, _network) = one_vm_with(plan(&[&server], 3), settings).await;
+        vm.send(TestRequest::post("r1").key("k1")).await;
+        vm.send(TestRequest::post("r2").key("k2")).await;
 
-        let third = vm.ask(Ask::post("r3").key("k3")).await;
-        let repeat_of_first = vm.ask(Ask::post("again").key("k1")).await;
-        let repeat_of_second = vm.ask(Ask::post("again").key("k2")).await;
+        let third = vm.send(TestRequest::post("r3").key("k3")).await;
+        let repeat_of_first = vm.send(TestRequest::post("again").key("k1")).await;
+        let repeat_of_second = vm.send(TestRequest::post("again").key("k2")).await;
 
         assert_eq!(third.outcome, "not-run");
         assert_eq!(third.reason, "memory-full");
@@ -394,10 +398,10 @@
     block_on(async {
         let server = backend(3);
         server.change(|s| s.body_len = 1 << 20);
-        let (vm, _time, _wires) = one_vm(plan(&[&server], 3)).await;
+        let (vm, _time, _network) = one_vm(plan(&[&server], 3)).await;
 
-        let first = vm.ask(Ask::post("r1").key("k1")).await;
-        let repeat = vm.ask(Ask::post("again").key("k1")).await;
+        let first = vm.send(TestRequest::post("r1").key("k1")).await;
+        let repeat = vm.send(TestRequest::post("again").key("k1")).await;
 
         assert_eq!(first.body.len(), 1 << 20);
         assert_eq!(repeat.outcome, "unknown");
@@ -417,15 +421,15 @@
         for service in plan.services.values_mut() {
             service.at_most_once = vec!["POST /orders".to_owned()];
         }
-        let (vm, _time, _wires) = one_vm(plan).await;
+        let (vm, _time, _network) = one_vm(plan).await;
 
         for (i, path) in ["/orders", "//orders", "/%6frders", "/orders/5"]
             .into_iter()
             .enumerate()
         {
             let id = format!("r{i}");
-            let ask = Ask::new(http::Method::POST, path, &id);
-            let answer = vm.ask(ask).await;
+            let ask = TestRequest::new(http::Method::POST, path, &id);
+            let answer = vm.send(ask).await;
 
             assert_ne!(answer.outcome, "answered", "{path}");
             assert!(server.runs_of(&id) <= 1, "{path}");
--- a/crates/gateway/tests/outcomes.rs
+++ b/crates/gateway/tests/outcomes.rs
@@ -6,7 +6,9 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use common::{Ask, Vm, backend, one_vm, one_vm_with, plan, plan_of, until};
+use common::{
+    TestRequest, Vm, backend, one_vm, one_vm_with, plan, plan_with_addresses, wait_until,
+};
 use heatherknot_gateway::GatewaySettings;
 use heatherknot_http::PoolConfig;
 use heatherknot_test_support::backend::{FakeBackend, Fault};
@@ -26,11 +28,14 @@
 }
 
 /// Sends requests until one meets the server with the fault, which is one of two.
-async fn ask_each(vm: &Rc<Vm>, make: impl Fn(&str) -> Ask) -> Vec<(String, common::Answer)> {
+async fn ask_each(
+    vm: &Rc<Vm>,
+    make: impl Fn(&str) -> TestRequest,
+) -> Vec<(String, common::TestResponse)> {
     let mut answers = Vec::new();
     for i in 0..12 {
         let id = format!("r{i}");
-        answers.push((id.clone(), vm.ask(make(&id)).await));
+        answers.push((id.clone(), vm.send(make(&id)).await));
     }
     answers
 }
@@ -42,9 +47,9 @@
     block_on(async {
         let (good, bad) = (backend(3), backend(3));
         bad.change(|b| b.fault = Fault::ClosesAfterRun);
-        let (vm, _time, _wires) = one_vm(plan(&[&good, &bad], 3)).await;
+        let (vm, _time, _network) = one_vm(plan(&[&good, &bad], 3)).await;
 
-        let answers = ask_each(&vm, Ask::get).await;
+        let answers = ask_each(&vm, TestRequest::get).await;
 
         assert!(!bad.runs().is_empty());
         for (id, answer) in answers {
@@ -60,9 +65,9 @@
     block_on(async {
         let (good, bad) = (backend(3), backend(3));
         bad.change(|b| b.fault = Fault::ClosesAfterRun);
-        let (vm, _time, _wires) = one_vm(plan(&[&good, &bad], 3)).await;
+        let (vm, _time, _network) = one_vm(plan(&[&good, &bad], 3)).await;
 
-        let answers = ask_each(&vm, Ask::post).await;
+        let answers = ask_each(&vm, TestRequest::post).await;
 
         let mut unknown = 0;
         for (id, answer) in answers {
@@ -83,9 +88,10 @@
     // even an order may go to the other.
     block_on(async {
         let good = backend(3);
-        let (vm, _time, _wires) = one_vm(plan_of(&[good.address(), dead_address()], 3)).await;
+        let (vm, _time, _network) =
+            one_vm(plan_with_addresses(&[good.address(), dead_address()], 3)).await;
 
-        let answers = ask_each(&vm, Ask::post).await;
+        let answers = ask_each(&vm, TestRequest::post).await;
 
         for (id, answer) in answers {
             assert_eq!(answer.outcome, "answered", "{id}");
@@ -100,9 +106,9 @@
     block_on(async {
         let (good, shedding) = (backend(3), backend(3));
         shedding.change(|b| b.sheds = true);
-        let (vm, _time, _wires) = one_vm(plan(&[&good, &shedding], 3)).await;
+        let (vm, _time, _network) = one_vm(plan(&[&good, &shedding], 3)).await;
 
-        let answers = ask_each(&vm, Ask::post).await;
+        let answers = ask_each(&vm, TestRequest::post).await;
 
         assert!(shedding.runs().is_empty());
         for (id, answer) in answers {
@@ -123,9 +129,9 @@
             b.sheds = true;
             b.shed_answer.1.clear();
         });
-        let (vm, _time, _wires) = one_vm(plan(&[&server], 3)).await;
+        let (vm, _time, _network) = one_vm(plan(&[&server], 3)).await;
 
-        let answer = vm.ask(Ask::post("r1")).await;
+        let answer = vm.send(TestRequest::post("r1")).await;
 
         assert_eq!(answer.status, StatusCode::SERVICE_UNAVAILABLE);
         assert_eq!(answer.outcome, "answered");
@@ -141,9 +147,9 @@
         for server in [&one, &two] {
             server.change(|b| b.sheds = true);
         }
-        let (vm, _time, _wires) = one_vm(plan(&[&one, &two], 3)).await;
+        let (vm, _time, _network) = one_vm(plan(&[&one, &two], 3)).await;
 
-        let first = vm.ask(Ask::get("r1")).await;
+        let first = vm.send(TestRequest::get("r1")).await;
         let text = metrics_text(&vm);
 
         assert_eq!(first.status, StatusCode::SERVICE_UNAVAILABLE);
@@ -167,10 +173,10 @@
         for service in plan.services.values_mut() {
             service.retry_permille = 100;
         }
-        let (vm, time, _wires) = one_vm(plan).await;
+        let (vm, time, _network) = one_vm(plan).await;
 
         for i in 0..50 {
-            vm.ask(Ask::get(&format!("r{i}"))).await;
+            vm.send(TestRequest::get(&format!("r{i}"))).await;
             // Past the time for which a failing upstream is left alone.
             time.advance(Millis(100));
         }
@@ -191,9 +197,9 @@
     block_on(async {
         let server = backend(3);
         server.change(|b| b.fault = Fault::NeverAnswers);
-        let (vm, time, _wires) = one_vm(plan(&[&server], 3)).await;
-        let ask = vm.spawn_ask(Ask::post("r1").deadline(200));
-        until("it runs", || server.running() == 1).await;
+        let (vm, time, _network) = one_vm(plan(&[&server], 3)).await;
+        let ask = vm.spawn_send(TestRequest::post("r1").deadline(200));
+        wait_until("it runs", || server.running() == 1).await;
 
         time.advance(Millis(201));
         let answer = ask.await;
@@ -201,7 +207,7 @@
         assert_eq!(answer.status, StatusCode::GATEWAY_TIMEOUT);
         assert_eq!(answer.outcome, "unknown");
         assert_eq!(answer.reason, "timeout");
-        until("the backend server is told", || server.cancelled() == 1).await;
+        wait_until("the backend server is told", || server.cancelled() == 1).await;
     });
 }
 
@@ -210,9 +216,9 @@
     block_on(async {
         let server = backend(3);
         server.change(|b| b.fault = Fault::HalfBody);
-        let (vm, _time, _wires) = one_vm(plan(&[&server], 3)).await;
+        let (vm, _time, _network) = one_vm(plan(&[&server], 3)).await;
 
-        let answer = vm.ask(Ask::post("r1")).await;
+        let answer = vm.send(TestRequest::post("r1")).await;
 
         assert_eq!(answer.status, StatusCode::BAD_GATEWAY);
         assert_eq!(answer.outcome, "unknown");
@@ -237,11 +243,11 @@
     // lost, while new connections work. A read is sent again on a new one.
     block_on(async {
         let server = backend(3);
-        let (vm, _time, _wires) = one_vm_with(plan(&[&server], 3), impatient()).await;
-        vm.ask(Ask::get("opens")).await;
+        let (vm, _time, _network) = one_vm_with(plan(&[&server], 3), impatient()).await;
+        vm.send(TestRequest::get("opens")).await;
 
         server.silence_open_connections();
-        let answer = vm.ask(Ask::get("r1")).await;
+        let answer = vm.send(TestRequest::get("r1")).await;
 
         assert_eq!(answer.outcome, "answered");
         assert_eq!(server.accepted(), 2);
@@ -253,12 +259,12 @@
     // The same under a request that must not run twice: nobody knows whether it arrived.
     block_on(async {
         let server = backend(3);
-        let (vm, _time, _wires) = one_vm_with(plan(&[&server], 3), impatient()).await;
-        vm.ask(Ask::get("opens")).await;
+        let (vm, _time, _network) = one_vm_with(plan(&[&server], 3), impatient()).await;
+        vm.send(TestRequest::get("opens")).await;
 
         server.silence_open_connections();
-        let lost = vm.ask(Ask::post("r1")).await;
-        let next = vm.ask(Ask::post("r2")).await;
+        let lost = vm.send(TestRequest::post("r1")).await;
+        let next = vm.send(TestRequest::post("r2")).await;
 
         assert_eq!(lost.outcome, "unknown");
         assert_eq!(server.runs_of("r1"), 0);
@@ -276,11 +282,11 @@
 fn every_outcome_is_counted() {
     block_on(async {
         let server = backend(3);
-        let (vm, _time, _wires) = one_vm(plan(&[&server], 3)).await;
+        let (vm, _time, _network) = one_vm(plan(&[&server], 3)).await;
 
-        vm.ask(Ask::get("r1")).await;
+        vm.send(TestRequest::get("r1")).await;
         server.change(|b| b.fault = Fault::ClosesAfterRun);
-        vm.ask(Ask::post("r2")).await;
+        vm.send(TestRequest::post("r2")).await;
         vm.gateway.tick();
         let text = metrics_text(&vm);
 
--- a/crates/gateway/tests/relay.rs
+++ b/crates/gateway/tests/relay.rs
@@ -6,8 +6,10 @@
 use std::sync::Arc;
 
 use common::time::ManualTime;
-use common::wires::Wires;
-use common::{Ask, DOMAIN, PLACE, SERVICE, Vm, backend, members, plan, settle, until};
+use common::wires::FakeNetwork;
+use common::{
+    DOMAIN, PLACE, SERVICE, TestRequest, Vm, backend, members, plan, wait_until, warm_up,
+};
 use heatherknot_gateway::{
     GatewaySettings, HOP_HEADER, Hop, HopReason, MAX_DAEMONS, TokenKey, target_digest,
 };
@@ -34,16 +36,16 @@
     near: Rc<Vm>,
     far: Rc<Vm>,
     time: ManualTime,
-    wires: Rc<Wires>,
+    network: Rc<FakeNetwork>,
 }
 
 /// Starts a VM without backend servers and one in the failure domain that has them, and lets
 /// the first get a grant of the second.
 async fn pair(server: &FakeBackend) -> Pair {
-    let (time, wires) = (ManualTime::new(), Wires::new());
+    let (time, network) = (ManualTime::new(), FakeNetwork::new());
     let settings = GatewaySettings::default;
-    let near = Vm::in_domain(DOMAIN, "near", 1, &time, &wires, settings());
-    let far = Vm::in_domain(FAR_DOMAIN, "far", 2, &time, &wires, settings());
+    let near = Vm::start_in_domain(DOMAIN, "near", 1, &time, &network, settings());
+    let far = Vm::start_in_domain(FAR_DOMAIN, "far", 2, &time, &network, settings());
     let plan = Arc::new(far_plan(server));
     let peer = |vm: &Vm, domain: &str| Peer {
         vm: vm.member.vm.clone(),
@@ -52,15 +54,15 @@
     };
     let peers = vec![peer(&near, DOMAIN), peer(&far, FAR_DOMAIN)];
     for vm in [&near, &far] {
-        vm.ready(&plan, &members(1, &[&vm.member]), &time);
+        vm.configure(&plan, &members(1, &[&vm.member]), &time);
         vm.steering.borrow_mut().on_peers(peers.clone());
     }
-    settle(&[&near, &far], &time).await;
+    warm_up(&[&near, &far], &time).await;
     let pair = Pair {
         near: Rc::new(near),
         far: Rc::new(far),
         time,
-        wires,
+        network,
     };
     pair.get_grant().await;
     pair
@@ -73,9 +75,11 @@
         const DEMAND: usize = 40;
         for _ in 0..ROUNDS {
             for i in 0..DEMAND {
-                self.near.ask(Ask::get(&format!("demand{i}"))).await;
+                self.near
+                    .send(TestRequest::get(&format!("demand{i}")))
+                    .await;
             }
-            settle(&[&self.near, &self.far], &self.time).await;
+            warm_up(&[&self.near, &self.far], &self.time).await;
             let now = self.time.clock().now();
             let asks = self.near.steering.borrow_mut().request_grants(now);
             for (_, ask) in asks {
@@ -98,12 +102,12 @@
         let server = backend(3);
         let pair = pair(&server).await;
 
-        let answer = pair.near.ask(Ask::get("r1")).await;
+        let answer = pair.near.send(TestRequest::get("r1")).await;
 
         assert_eq!(answer.outcome, "answered", "{answer:?}");
         assert!(answer.body.starts_with(b"r1"));
         assert_eq!(server.runs_of("r1"), 1);
-        until("all is given back", || pair.near.gateway.in_flight() == 0).await;
+        wait_until("all is given back", || pair.near.gateway.in_flight() == 0).await;
     });
 }
 
@@ -116,8 +120,8 @@
         let pair = pair(&server).await;
         server.change(|s| s.fault = Fault::ClosesAfterRun);
 
-        let with_key = pair.near.ask(Ask::post("r1").key("k1")).await;
-        let without = pair.near.ask(Ask::post("r2")).await;
+        let with_key = pair.near.send(TestRequest::post("r1").key("k1")).await;
+        let without = pair.near.send(TestRequest::post("r2")).await;
 
         assert_eq!(with_key.outcome, "unknown", "{with_key:?}");
         assert_eq!(without.outcome, "unknown", "{without:?}");
@@ -131,9 +135,9 @@
     block_on(async {
         let server = backend(3);
         let pair = pair(&server).await;
-        pair.wires.cut(&pair.far.member.vm);
+        pair.network.cut(&pair.far.member.vm);
 
-        let answer = pair.near.ask(Ask::post("r1")).await;
+        let answer = pair.near.send(TestRequest::post("r1")).await;
 
         assert_eq!(answer.outcome, "not-run", "{answer:?}");
         assert_eq!(server.runs_of("r1"), 0);
@@ -141,8 +145,8 @@
 }
 
 /// Sends `r1` to the far VM with a hop header that a daemon of the deployment sealed.
-async fn ask_with_hop(pair: &Pair, change: impl Fn(&mut Hop)) -> common::Answer {
-    let ask = Ask::get("r1");
+async fn ask_with_hop(pair: &Pair, change: impl Fn(&mut Hop)) -> common::TestResponse {
+    let ask = TestRequest::get("r1");
     let mut hop = Hop {
         from: pair.near.member.clone(),
         to: pair.far.member.vm.clone(),
@@ -154,7 +158,7 @@
     let key = TokenKey::new(common::SECRET);
     let value = hop.to_header(&key);
     let value = value.to_str().expect("text").to_owned();
-    pair.far.ask(ask.header(HOP_HEADER, &value)).await
+    pair.far.send(ask.header(HOP_HEADER, &value)).await
 }
 
 #[test]
@@ -202,9 +206,12 @@
         let pair = pair(&server).await;
         let ticket = pair.near.gateway.new_ticket(&ServiceName::from(SERVICE));
 
-        let first = pair.near.ask(Ask::post("r1").key(&ticket)).await;
-        let at_near = pair.near.ask(Ask::post("again").key(&ticket)).await;
-        let at_far = pair.far.ask(Ask::post("again").key(&ticket)).await;
+        let first = pair.near.send(TestRequest::post("r1").key(&ticket)).await;
+        let at_near = pair
+            .near
+            .send(TestRequest::post("again").key(&ticket))
+            .await;
+        let at_far = pair.far.send(TestRequest::post("again").key(&ticket)).await;
 
         for answer in [&first, &at_near, &at_far] {
             assert_eq!(answer.outcome, "answered", "{answer:?}");
--- a/crates/gateway/tests/request_path.rs
+++ b/crates/gateway/tests/request_path.rs
@@ -7,8 +7,10 @@
 use std::rc::Rc;
 
 use common::time::ManualTime;
-use common::wires::Wires;
-use common::{Ask, SERVICE, Vm, backend, one_vm, plan, plan_of, turn, until};
+use common::wires::FakeNetwork;
+use common::{
+    SERVICE, TestRequest, Vm, backend, one_vm, plan, plan_with_addresses, run_tasks, wait_until,
+};
 use futures_util::FutureExt;
 use heatherknot_gateway::slots::{SlotRequest, UpstreamKey};
 use heatherknot_test_support::backend::Fault;
@@ -24,9 +26,9 @@
 fn answer_of_backend_is_passed_on() {
     block_on(async {
         let server = backend(3);
-        let (vm, _time, _wires) = one_vm(plan(&[&server], 3)).await;
+        let (vm, _time, _network) = one_vm(plan(&[&server], 3)).await;
 
-        let answer = vm.ask(Ask::get("r1")).await;
+        let answer = vm.send(TestRequest::get("r1")).await;
 
         assert_eq!(answer.status, StatusCode::OK);
         assert_eq!(answer.outcome, "answered");
@@ -39,10 +41,10 @@
 fn unknown_service_is_not_run() {
     block_on(async {
         let server = backend(3);
-        let (vm, _time, _wires) = one_vm(plan(&[&server], 3)).await;
+        let (vm, _time, _network) = one_vm(plan(&[&server], 3)).await;
 
         let answer = vm
-            .ask(Ask::get("r1").header("heatherknot-service", "acme:other"))
+            .send(TestRequest::get("r1").header("heatherknot-service", "acme:other"))
             .await;
 
         assert_eq!(answer.status, StatusCode::NOT_FOUND);
@@ -57,11 +59,11 @@
     // The backend server needs both to stop work that nobody waits for any more.
     block_on(async {
         let server = recorder().await;
-        let (vm, _time, _wires) = one_vm(plan_of(&[server.address], 3)).await;
+        let (vm, _time, _network) = one_vm(plan_with_addresses(&[server.address], 3)).await;
 
         let answer = vm
-            .ask(
-                Ask::get("r1")
+            .send(
+                TestRequest::get("r1")
                     .deadline(1234)
                     .header("heatherknot-attempt", "2"),
             )
@@ -81,10 +83,10 @@
     // it the caller could skip the caps or the record of requests that must not run twice.
     block_on(async {
         let server = backend(3);
-        let (vm, _time, _wires) = one_vm(plan(&[&server], 3)).await;
+        let (vm, _time, _network) = one_vm(plan(&[&server], 3)).await;
 
         let answer = vm
-            .ask(Ask::get("r1").header("heatherknot-hop", "hkh1.e30.AAAA"))
+            .send(TestRequest::get("r1").header("heatherknot-hop", "hkh1.e30.AAAA"))
             .await;
 
         assert_eq!(answer.status, StatusCode::BAD_REQUEST);
@@ -99,9 +101,9 @@
         let server = backend(3);
         let mut plan = plan(&[&server], 3);
         set(&mut plan, |service| service.max_body = 4);
-        let (vm, _time, _wires) = one_vm(plan).await;
+        let (vm, _time, _network) = one_vm(plan).await;
 
-        let answer = vm.ask(Ask::post("r1")).await;
+        let answer = vm.send(TestRequest::post("r1")).await;
 
         assert_eq!(answer.status, StatusCode::PAYLOAD_TOO_LARGE);
         assert_eq!(answer.outcome, "not-run");
@@ -112,10 +114,10 @@
 #[test]
 fn request_without_settings_is_not_run() {
     block_on(async {
-        let (time, wires) = (ManualTime::new(), Wires::new());
-        let vm = Vm::start("vm-a", 1, &time, &wires);
+        let (time, network) = (ManualTime::new(), FakeNetwork::new());
+        let vm = Vm::start("vm-a", 1, &time, &network);
 
-        let answer = vm.ask(Ask::get("r1")).await;
+        let answer = vm.send(TestRequest::get("r1")).await;
 
         assert_eq!(answer.status, StatusCode::SERVICE_UNAVAILABLE);
         assert_eq!(answer.reason, "no-settings");
@@ -132,13 +134,13 @@
         server.change(|b| b.held = true);
         let mut plan = plan(&[&server], 1);
         set(&mut plan, |service| service.queue_len = 1);
-        let (vm, _time, _wires) = one_vm(plan).await;
-        let running = vm.spawn_ask(Ask::get("running"));
-        until("one runs", || server.running() == 1).await;
-        let queued = vm.spawn_ask(Ask::get("queued"));
-        until("one waits", || vm.gateway.in_flight() == 2).await;
+        let (vm, _time, _network) = one_vm(plan).await;
+        let running = vm.spawn_send(TestRequest::get("running"));
+        wait_until("one runs", || server.running() == 1).await;
+        let queued = vm.spawn_send(TestRequest::get("queued"));
+        wait_until("one waits", || vm.gateway.in_flight() == 2).await;
 
-        let refused = vm.ask(Ask::get("refused")).await;
+        let refused = vm.send(TestRequest::get("refused")).await;
         server.change(|b| b.held = false);
         running.await;
 
@@ -156,11 +158,11 @@
     block_on(async {
         let server = backend(1);
         server.change(|b| b.held = true);
-        let (vm, time, _wires) = one_vm(plan(&[&server], 1)).await;
-        let running = vm.spawn_ask(Ask::get("running").deadline(60_000));
-        until("one runs", || server.running() == 1).await;
-        let queued = vm.spawn_ask(Ask::get("queued").deadline(500));
-        until("one waits", || vm.gateway.in_flight() == 2).await;
+        let (vm, time, _network) = one_vm(plan(&[&server], 1)).await;
+        let running = vm.spawn_send(TestRequest::get("running").deadline(60_000));
+        wait_until("one runs", || server.running() == 1).await;
+        let queued = vm.spawn_send(TestRequest::get("queued").deadline(500));
+        wait_until("one waits", || vm.gateway.in_flight() == 2).await;
 
         time.advance(Millis(501));
         let queued = queued.await;
@@ -180,19 +182,19 @@
     block_on(async {
         let server = backend(1);
         server.change(|b| b.held = true);
-        let (vm, time, _wires) = one_vm(plan(&[&server], 1)).await;
-        let first = vm.spawn_ask(Ask::get("first").deadline(60_000));
-        until("it runs", || server.running() == 1).await;
+        let (vm, time, _network) = one_vm(plan(&[&server], 1)).await;
+        let first = vm.spawn_send(TestRequest::get("first").deadline(60_000));
+        wait_until("it runs", || server.running() == 1).await;
         time.advance(Millis(1_000));
         server.change(|b| b.held = false);
         first.await;
         server.change(|b| b.held = true);
-        let running = vm.spawn_ask(Ask::get("running").deadline(60_000));
-        until("one runs", || server.running() == 1).await;
-        let fits = vm.spawn_ask(Ask::get("fits").deadline(1_500));
-        until("one waits", || vm.gateway.in_flight() == 2).await;
+        let running = vm.spawn_send(TestRequest::get("running").deadline(60_000));
+        wait_until("one runs", || server.running() == 1).await;
+        let fits = vm.spawn_send(TestRequest::get("fits").deadline(1_500));
+        wait_until("one waits", || vm.gateway.in_flight() == 2).await;
 
-        let late = vm.ask(Ask::get("late").deadline(1_500)).await;
+        let late = vm.send(TestRequest::get("late").deadline(1_500)).await;
         server.change(|b| b.held = false);
         running.await;
 
@@ -211,18 +213,18 @@
     block_on(async {
         let server = backend(1);
         server.change(|b| b.held = true);
-        let (vm, _time, _wires) = one_vm(plan(&[&server], 1)).await;
-        let running = vm.spawn_ask(Ask::get("running"));
-        until("one runs", || server.running() == 1).await;
+        let (vm, _time, _network) = one_vm(plan(&[&server], 1)).await;
+        let running = vm.spawn_send(TestRequest::get("running"));
+        wait_until("one runs", || server.running() == 1).await;
         let mut caller = RawCaller::connect(vm.address).await.expect("a connection");
         caller.send(raw_get("leaves")).await.expect("sent");
-        until("it waits", || vm.gateway.in_flight() == 2).await;
+        wait_until("it waits", || vm.gateway.in_flight() == 2).await;
 
         drop(caller);
-        until("it left", || vm.gateway.in_flight() == 1).await;
+        wait_until("it left", || vm.gateway.in_flight() == 1).await;
         server.change(|b| b.held = false);
         running.await;
-        vm.ask(Ask::get("after")).await;
+        vm.send(TestRequest::get("after")).await;
 
         assert_eq!(server.runs_of("leaves"), 0);
     });
@@ -233,17 +235,17 @@
     block_on(async {
         let server = backend(1);
         server.change(|b| b.held = true);
-        let (vm, _time, _wires) = one_vm(plan(&[&server], 1)).await;
+        let (vm, _time, _network) = one_vm(plan(&[&server], 1)).await;
         let mut caller = RawCaller::connect(vm.address).await.expect("a connection");
         caller.send(raw_get("leaves")).await.expect("sent");
-        until("it runs", || server.running() == 1).await;
+        wait_until("it runs", || server.running() == 1).await;
 
         drop(caller);
-        until("the backend server is told", || server.cancelled() == 1).await;
-        until("its slot is free", || vm.gateway.in_flight() == 0).await;
+        wait_until("the backend server is told", || server.cancelled() == 1).await;
+        wait_until("its slot is free", || vm.gateway.in_flight() == 0).await;
 
         server.change(|b| b.held = false);
-        assert_eq!(vm.ask(Ask::get("after")).await.outcome, "answered");
+        assert_eq!(vm.send(TestRequest::get("after")).await.outcome, "answered");
     });
 }
 
@@ -252,10 +254,10 @@
     block_on(async {
         let server = backend(1);
         server.change(|b| b.body_len = 8 << 20);
-        let (vm, _time, _wires) = one_vm(plan(&[&server], 1)).await;
+        let (vm, _time, _network) = one_vm(plan(&[&server], 1)).await;
 
-        let answer = vm.ask(Ask::get("r1")).await;
-        until("all is given back", || vm.gateway.in_flight() == 0).await;
+        let answer = vm.send(TestRequest::get("r1")).await;
+        wait_until("all is given back", || vm.gateway.in_flight() == 0).await;
 
         assert_eq!(answer.body.len(), 8 << 20);
         assert!(answer.body.starts_with(b"r1"));
@@ -270,7 +272,7 @@
     block_on(async {
         let server = backend(1);
         server.change(|b| b.body_len = 64 << 20);
-        let (vm, time, _wires) = one_vm(plan(&[&server], 1)).await;
+        let (vm, time, _network) = one_vm(plan(&[&server], 1)).await;
         let mut caller = RawCaller::connect(vm.address).await.expect("a connection");
         caller
             .send(raw_get("slow").replace("\r\n\r\n", "\r\nheatherknot-deadline-ms: 2000\r\n\r\n"))
@@ -282,11 +284,11 @@
 
         for _ in 0..40 {
             time.advance(Millis(1_000));
-            turn().await;
+            run_tasks().await;
             assert!(!matches!(lent(), Some(Ok(_))));
         }
         drop(caller);
-        until("the slot is free", || matches!(lent(), Some(Ok(_)))).await;
+        wait_until("the slot is free", || matches!(lent(), Some(Ok(_)))).await;
 
         assert_eq!(server.most_running(), 1);
     });
@@ -311,7 +313,7 @@
             b.body_len = 1 << 20;
             b.fault = Fault::HalfBody;
         });
-        let (vm, _time, _wires) = one_vm(plan(&[&server], 1)).await;
+        let (vm, _time, _network) = one_vm(plan(&[&server], 1)).await;
         let mut caller = RawCaller::connect(vm.address).await.expect("a connection");
 
         caller.send(raw_get("r1")).await.expect("sent");
@@ -328,18 +330,18 @@
     block_on(async {
         let server = backend(2);
         server.change(|b| b.held = true);
-        let (vm, _time, _wires) = one_vm(plan(&[&server], 2)).await;
+        let (vm, _time, _network) = one_vm(plan(&[&server], 2)).await;
         let mut asks = Vec::new();
         for i in 0..2 {
-            asks.push(vm.spawn_ask(Ask::get(&format!("first{i}"))));
+            asks.push(vm.spawn_send(TestRequest::get(&format!("first{i}"))));
         }
-        until("both slots are taken", || server.running() == 2).await;
-        let bulk = vm.spawn_ask(Ask::get("bulk").bulk());
-        until("it waits", || vm.gateway.in_flight() == 3).await;
+        wait_until("both slots are taken", || server.running() == 2).await;
+        let bulk = vm.spawn_send(TestRequest::get("bulk").bulk());
+        wait_until("it waits", || vm.gateway.in_flight() == 3).await;
         for i in 0..30 {
-            asks.push(vm.spawn_ask(Ask::get(&format!("later{i}"))));
+            asks.push(vm.spawn_send(TestRequest::get(&format!("later{i}"))));
         }
-        until("all wait", || vm.gateway.in_flight() == 33).await;
+        wait_until("all wait", || vm.gateway.in_flight() == 33).await;
 
         server.change(|b| b.held = false);
         let bulk = bulk.await;
@@ -368,16 +370,16 @@
         plan.services
             .insert(ServiceName::from("umbrella:shop"), other);
         set(&mut plan, |service| service.account_share_permille = 500);
-        let (vm, _time, _wires) = one_vm(plan).await;
-        let ask = |id: &str| Ask::get(id).header("heatherknot-service", "umbrella:shop");
-        let before = vm.ask(ask("before")).await;
+        let (vm, _time, _network) = one_vm(plan).await;
+        let ask = |id: &str| TestRequest::get(id).header("heatherknot-service", "umbrella:shop");
+        let before = vm.send(ask("before")).await;
         let mut surge = Vec::new();
         for i in 0..20 {
-            surge.push(vm.spawn_ask(Ask::get(&format!("surge{i}"))));
+            surge.push(vm.spawn_send(TestRequest::get(&format!("surge{i}"))));
         }
-        until("the surge has what it gets", || hanging.running() >= 3).await;
+        wait_until("the surge has what it gets", || hanging.running() >= 3).await;
 
-        let during = vm.ask(ask("during")).await;
+        let during = vm.send(ask("during")).await;
         let running = hanging.running();
         hanging.change(|b| b.held = false);
 
--- a/crates/gateway/tests/slots.rs
+++ b/crates/gateway/tests/slots.rs
@@ -5,8 +5,11 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-use common::wires::Wires;
-use common::{Ask, Vm, backend, members, plan, settle, time::ManualTime, turn, two_vms, until};
+use common::wires::FakeNetwork;
+use common::{
+    TestRequest, Vm, backend, members, plan, run_tasks, time::ManualTime, two_vms, wait_until,
+    warm_up,
+};
 use heatherknot_gateway::slots::{AcquireError, Member, Slot, SlotRequest, UpstreamKey};
 use heatherknot_http::Flag;
 use heatherknot_test_support::runtime::block_on;
@@ -49,14 +52,14 @@
     block_on(async {
         let server = backend(3);
         server.change(|b| b.held = true);
-        let (a, b, _time, _wires) = two_vms(plan(&[&server], 3)).await;
+        let (a, b, _time, _network) = two_vms(plan(&[&server], 3)).await;
         let mut asks = Vec::new();
 
         for i in 0..10 {
-            asks.push(a.spawn_ask(Ask::get(&format!("a{i}"))));
-            asks.push(b.spawn_ask(Ask::get(&format!("b{i}"))));
+            asks.push(a.spawn_send(TestRequest::get(&format!("a{i}"))));
+            asks.push(b.spawn_send(TestRequest::get(&format!("b{i}"))));
         }
-        until("three run", || server.running() == 3).await;
+        wait_until("three run", || server.running() == 3).await;
         server.change(|b| b.held = false);
         let mut answered = 0;
         for ask in asks {
@@ -77,13 +80,13 @@
     // until its term ends.
     block_on(async {
         let server = backend(1);
-        let (a, b, time, wires) = two_vms(plan(&[&server], 1)).await;
+        let (a, b, time, network) = two_vms(plan(&[&server], 1)).await;
         let (home, other) = home_first(a, b);
-        wires.lose_given.set(true);
+        network.lose_give_messages.set(true);
 
         let lent = take(&other, want(Class::Interactive, 0, 5_000));
         drop(lent.await.expect("a slot"));
-        turn().await;
+        run_tasks().await;
         let at_once = take(&home, now_free()).await;
         time.advance(Millis(5_500));
         let before_margin = take(&home, now_free()).await;
@@ -102,9 +105,9 @@
     // ever frees the slot, so only time can wake the request.
     block_on(async {
         let server = backend(1);
-        let (a, b, time, wires) = two_vms(plan(&[&server], 1)).await;
+        let (a, b, time, network) = two_vms(plan(&[&server], 1)).await;
         let (home, other) = home_first(a, b);
-        wires.lose_given.set(true);
+        network.lose_give_messages.set(true);
         let lent = take(&other, want(Class::Interactive, 0, 2_000));
         drop(lent.await.expect("a slot"));
         let vm = Rc::clone(&home);
@@ -114,7 +117,7 @@
                 .await
                 .is_ok()
         });
-        turn().await;
+        run_tasks().await;
         time.advance(Millis(3_100));
 
         assert!(waiting.await);
@@ -127,22 +130,22 @@
     // VM never knew of the slot. It gives back the name that it asked under.
     block_on(async {
         let server = backend(1);
-        let (a, b, _time, wires) = two_vms(plan(&[&server], 1)).await;
+        let (a, b, _time, network) = two_vms(plan(&[&server], 1)).await;
         let (home, other) = home_first(a, b);
-        wires.lose_lent.set(true);
+        network.lose_take_replies.set(true);
         let vm = Rc::clone(&other);
 
         let asking = monoio::spawn(async move {
             let take = std::pin::pin!(take(&vm, now_free()));
-            let leaving = std::pin::pin!(turn());
+            let leaving = std::pin::pin!(run_tasks());
             futures_util::future::select(take, leaving).await;
         });
-        until("the slot is lent", || {
+        wait_until("the slot is lent", || {
             home.gateway.slots().lent(&key("u0")) == Some(1)
         })
         .await;
         asking.await;
-        until("the slot is back", || {
+        wait_until("the slot is back", || {
             home.gateway.slots().lent(&key("u0")) == Some(0)
         })
         .await;
@@ -159,20 +162,20 @@
     // its requests have had time to end, the slots are lent again.
     block_on(async {
         let server = backend(2);
-        let (a, b, time, wires) = two_vms(plan(&[&server], 2)).await;
+        let (a, b, time, network) = two_vms(plan(&[&server], 2)).await;
         let (old, other) = home_first(a, b);
         let _in_flight = take(&old, now_free()).await.expect("a slot");
-        wires.cut(&old.member.vm);
+        network.cut(&old.member.vm);
 
         let listed = [&old.member, &other.member];
-        let new = joining_home(&listed, &time, &wires);
+        let new = joining_home(&listed, &time, &network);
         let three = members(2, &[&old.member, &other.member, &new.member]);
-        new.ready(&Arc::new(plan(&[&server], 2)), &three, &time);
-        settle(&[&new], &time).await;
+        new.configure(&Arc::new(plan(&[&server], 2)), &three, &time);
+        warm_up(&[&new], &time).await;
         let while_cut = take(&new, now_free()).await;
         new.gateway
             .on_members(members(3, &[&other.member, &new.member]));
-        turn().await;
+        run_tasks().await;
         let just_gone = take(&new, now_free()).await;
         time.advance(Millis(2_000));
         let later = take(&new, now_free()).await;
@@ -193,16 +196,16 @@
     // home can tell the new one of it.
     block_on(async {
         let server = backend(1);
-        let (a, b, time, wires) = two_vms(plan(&[&server], 1)).await;
+        let (a, b, time, network) = two_vms(plan(&[&server], 1)).await;
         let (old, other) = home_first(a, b);
-        wires.lose_given.set(true);
+        network.lose_give_messages.set(true);
         let lent = take(&other, want(Class::Interactive, 0, 5_000)).await;
         drop(lent.expect("a slot"));
 
-        let new = joining_home(&[&old.member], &time, &wires);
+        let new = joining_home(&[&old.member], &time, &network);
         let two = members(2, &[&old.member, &new.member]);
-        new.ready(&Arc::new(plan(&[&server], 1)), &two, &time);
-        until("the home has moved", || {
+        new.configure(&Arc::new(plan(&[&server], 1)), &two, &time);
+        wait_until("the home has moved", || {
             new.gateway.slots().is_home(&key("u0"))
         })
         .await;
@@ -221,25 +224,25 @@
     // to count at zero, two requests more than the slots would run.
     block_on(async {
         let time = ManualTime::new();
-        let wires = Wires::new();
-        let a = Vm::start("vm-a", 1, &time, &wires);
-        let joins = joining_home(&[&a.member], &time, &wires);
+        let network = FakeNetwork::new();
+        let a = Vm::start("vm-a", 1, &time, &network);
+        let joins = joining_home(&[&a.member], &time, &network);
         let server = backend(2);
         let plan = Arc::new(plan(&[&server], 2));
-        a.ready(&plan, &members(1, &[&a.member]), &time);
-        settle(&[&a], &time).await;
+        a.configure(&plan, &members(1, &[&a.member]), &time);
+        warm_up(&[&a], &time).await;
         let first = take(&a, now_free()).await.expect("a slot");
         let _second = take(&a, now_free()).await.expect("a slot");
 
         let both = members(2, &[&a.member, &joins.member]);
-        joins.ready(&plan, &both, &time);
-        until("the home has moved", || {
+        joins.configure(&plan, &both, &time);
+        wait_until("the home has moved", || {
             joins.gateway.slots().is_home(&key("u0"))
         })
         .await;
         let full = take(&joins, now_free()).await;
         drop(first);
-        turn().await;
+        run_tasks().await;
         let free = take(&joins, now_free()).await;
 
         assert!(!a.gateway.slots().is_home(&key("u0")));
@@ -249,7 +252,7 @@
 }
 
 /// Starts a VM that wins `u0` from those listed.
-fn joining_home(listed: &[&Member], time: &ManualTime, wires: &Rc<Wires>) -> Vm {
+fn joining_home(listed: &[&Member], time: &ManualTime, network: &Rc<FakeNetwork>) -> Vm {
     const INCARNATION: u64 = 3;
     let wins = |joining: &Member| {
         let mut all = members(2, listed);
@@ -260,7 +263,7 @@
         .map(|i| common::member(&format!("vm-{i}"), INCARNATION))
         .find(wins)
         .expect("a VM that wins");
-    Vm::start(joining.vm.as_str(), INCARNATION, time, wires)
+    Vm::start(joining.vm.as_str(), INCARNATION, time, network)
 }
 
 #[test]
@@ -270,19 +273,19 @@
     // second time.
     block_on(async {
         let server = backend(1);
-        let (a, b, time, wires) = two_vms(plan(&[&server], 1)).await;
+        let (a, b, time, network) = two_vms(plan(&[&server], 1)).await;
         let (old, other) = home_first(a, b);
         let under_way = Flag::new();
-        *wires.hold_lent.borrow_mut() = Some(under_way.clone());
+        *network.hold_take_replies.borrow_mut() = Some(under_way.clone());
         let vm = Rc::clone(&other);
         let asking = monoio::spawn(async move { take(&vm, now_free()).await });
         let lent = || old.gateway.slots().lent(&key("u0")) == Some(1);
-        until("the slot is lent", lent).await;
+        wait_until("the slot is lent", lent).await;
 
-        let new = joining_home(&[&old.member, &other.member], &time, &wires);
+        let new = joining_home(&[&old.member, &other.member], &time, &network);
         let all = members(2, &[&old.member, &other.member, &new.member]);
-        new.ready(&Arc::new(plan(&[&server], 1)), &all, &time);
-        until("the home has moved", || {
+        new.configure(&Arc::new(plan(&[&server], 1)), &all, &time);
+        wait_until("the home has moved", || {
             new.gateway.slots().is_home(&key("u0"))
         })
         .await;
@@ -299,7 +302,7 @@
 fn bulk_leaves_the_last_slot_to_interactive() {
     block_on(async {
         let server = backend(3);
-        let (a, b, _time, _wires) = two_vms(plan(&[&server], 3)).await;
+        let (a, b, _time, _network) = two_vms(plan(&[&server], 3)).await;
         let (home, other) = home_first(a, b);
         let bulk = want(Class::Bulk, 0, 10_000);
 
@@ -317,7 +320,7 @@
 fn interactive_goes_before_bulk_that_waited_longer() {
     block_on(async {
         let server = backend(1);
-        let (a, b, _time, _wires) = two_vms(plan(&[&server], 1)).await;
+        let (a, b, _time, _network) = two_vms(plan(&[&server], 1)).await;
         let (home, other) = home_first(a, b);
         let taken = take(&home, now_free()).await.expect("a slot");
         let order = Rc::new(std::cell::RefCell::new(Vec::new()));
@@ -330,7 +333,7 @@
                 order.borrow_mut().push(class);
                 drop(slot.expect("a slot"));
             }));
-            turn().await;
+            run_tasks().await;
         }
 
         drop(taken);
@@ -348,13 +351,13 @@
     // word to them they would wait on, and one of them would get the slot that comes free.
     block_on(async {
         let server = backend(1);
-        let (a, b, _time, _wires) = two_vms(plan(&[&server], 1)).await;
+        let (a, b, _time, _network) = two_vms(plan(&[&server], 1)).await;
         let (home, other) = home_first(a, b);
         let taken = take(&home, now_free()).await.expect("a slot");
         let vm = Rc::clone(&other);
         let waiting =
             monoio::spawn(async move { take(&vm, want(Class::Interactive, 9_000, 9_000)).await });
-        turn().await;
+        run_tasks().await;
 
         taken.mark_leaving();
         drop(taken);
@@ -374,21 +377,21 @@
     // good. The old home sees the difference and becomes the home anew.
     block_on(async {
         let server = backend(2);
-        let (a, b, time, wires) = two_vms(plan(&[&server], 2)).await;
+        let (a, b, time, network) = two_vms(plan(&[&server], 2)).await;
         let (old, other) = home_first(a, b);
-        let third = joining_home(&[&old.member, &other.member], &time, &wires);
-        wires.cut(&old.member.vm);
+        let third = joining_home(&[&old.member, &other.member], &time, &network);
+        network.cut(&old.member.vm);
         let all = members(2, &[&old.member, &other.member, &third.member]);
-        third.ready(&Arc::new(plan(&[&server], 2)), &all, &time);
-        settle(&[&third], &time).await;
-        wires.cut(&third.member.vm);
-        wires.mend(&old.member.vm);
+        third.configure(&Arc::new(plan(&[&server], 2)), &all, &time);
+        warm_up(&[&third], &time).await;
+        network.cut(&third.member.vm);
+        network.heal(&old.member.vm);
         let back = members(3, &[&old.member, &other.member]);
         other.gateway.on_members(back.clone());
         old.gateway.on_members(back);
 
         let first = take(&other, now_free()).await;
-        settle(&[&old, &other], &time).await;
+        warm_up(&[&old, &other], &time).await;
         let second = take(&other, now_free()).await;
 
         assert!(first.is_err());
@@ -403,17 +406,20 @@
     // another upstream of the place has free slots.
     block_on(async {
         let server = backend(2);
-        let (a, b, time, wires) = two_vms(plan(&[&server], 2)).await;
+        let (a, b, time, network) = two_vms(plan(&[&server], 2)).await;
         let (home, other) = home_first(a, b);
-        wires.silent.borrow_mut().insert(home.member.vm.clone());
+        network
+            .unresponsive
+            .borrow_mut()
+            .insert(home.member.vm.clone());
 
         let vm = Rc::clone(&other);
         let first = monoio::spawn(async move { take(&vm, now_free()).await });
-        turn().await;
+        run_tasks().await;
         time.advance(Millis(200));
         let first = first.await;
         let second = take(&other, now_free()).await;
-        wires.silent.borrow_mut().clear();
+        network.unresponsive.borrow_mut().clear();
         time.advance(Millis(1_000));
         let later = take(&other, now_free()).await;
 
@@ -434,14 +440,14 @@
         for service in settings.services.values_mut() {
             service.upstreams[0].connections = 4;
         }
-        let (a, b, _time, _wires) = two_vms(settings).await;
+        let (a, b, _time, _network) = two_vms(settings).await;
         let mut asks = Vec::new();
 
         for i in 0..6 {
-            asks.push(a.spawn_ask(Ask::get(&format!("a{i}"))));
-            asks.push(b.spawn_ask(Ask::get(&format!("b{i}"))));
+            asks.push(a.spawn_send(TestRequest::get(&format!("a{i}"))));
+            asks.push(b.spawn_send(TestRequest::get(&format!("b{i}"))));
         }
-        until("four run", || server.running() >= 4).await;
+        wait_until("four run", || server.running() >= 4).await;
         let most = server.connections();
         server.change(|b| b.held = false);
         for ask in asks {
--- a/crates/gateway/tests/slots_property.rs
+++ b/crates/gateway/tests/slots_property.rs
@@ -9,7 +9,7 @@
 use bolero::{TypeGenerator, produce};
 use common::member;
 use common::time::ManualTime;
-use common::wires::Wires;
+use common::wires::FakeNetwork;
 use heatherknot_gateway::slots::{
     Member, Members, Slot, SlotContext, SlotRequest, SlotTiming, Slots, UpstreamKey,
 };
@@ -53,7 +53,7 @@
 
 struct World {
     time: ManualTime,
-    wires: Rc<Wires>,
+    network: Rc<FakeNetwork>,
     vms: Vec<(Member, Rc<Slots>)>,
     ledger: Members,
     used: Vec<(Member, Slot)>,
@@ -80,10 +80,10 @@
 
 impl World {
     fn new() -> Self {
-        let (time, wires) = (ManualTime::new(), Wires::new());
+        let (time, network) = (ManualTime::new(), FakeNetwork::new());
         let mut world = Self {
             time,
-            wires,
+            network,
             vms: Vec::new(),
             ledger: Members {
                 version: 1,
@@ -104,14 +104,14 @@
         let own = member(&name_of(index), incarnation);
         let slots = Slots::new(SlotContext {
             own: own.clone(),
-            port: self.wires.slot_port(&own),
+            port: self.network.slot_port(&own),
             limit: Rc::new(|_| SLOTS),
             on_leaving: Rc::new(|_| {}),
             clock: self.time.clock(),
             timer: self.time.timer(),
             timing: SlotTiming::default(),
         });
-        self.wires.add_slots(&own, &slots);
+        self.network.add_slots(&own, &slots);
         slots.on_upstreams(HashSet::from([key()]));
         slots.on_members(self.ledger.clone());
         (own, slots)
@@ -132,19 +132,19 @@
             Step::Cut { vm, cut } => {
                 let name = VmName::from(name_of(pick(vm)));
                 match cut {
-                    true => self.wires.cut(&name),
-                    false => self.wires.mend(&name),
+                    true => self.network.cut(&name),
+                    false => self.network.heal(&name),
                 }
             }
             Step::Replace { vm } => self.replace(pick(vm)),
             Step::Resize { without } => self.resize(usize::from(without) % (VMS + 1)),
             Step::Read { vm } => self.vms[pick(vm)].1.on_members(self.ledger.clone()),
             Step::Delay { on } => {
-                let held = self.wires.hold_lent.take();
+                let held = self.network.hold_take_replies.take();
                 if let Some(held) = held {
                     held.fire();
                 }
-                *self.wires.hold_lent.borrow_mut() = on.then(Flag::new);
+                *self.network.hold_take_replies.borrow_mut() = on.then(Flag::new);
             }
             Step::Settle => {
                 self.time.advance(Millis(500));
@@ -200,9 +200,9 @@
     fn replace(&mut self, index: usize) {
         let old = self.vms[index].0.clone();
         // The process is gone and so are its messages; its backend connections are closed.
-        self.wires.lose_given.set(true);
+        self.network.lose_give_messages.set(true);
         self.used.retain(|(member, _)| *member != old);
-        self.wires.lose_given.set(false);
+        self.network.lose_give_messages.set(false);
         self.waiting.retain(|(member, _)| *member != old);
         let incarnation = self.next_incarnation;
         self.next_incarnation += 1;
