--- a/crates/gateway/tests/common/wires.rs
+++ b/crates/gateway/tests/common/wires.rs
@@ -23,13 +23,13 @@
     /// VMs whose calls are swallowed without an answer.
     pub unresponsive: RefCell<HashSet<VmName>>,
     /// Whether a slot that is lent is never heard of by its borrower.
-    pub lose_take_replies: Cell<bool>,
+    pub lose_acquire_replies: Cell<bool>,
     /// Where set, answers to those that ask for a slot are under way until it fires.
-    pub hold_take_replies: RefCell<Option<Flag>>,
+    pub hold_acquire_replies: RefCell<Option<Flag>>,
     /// Whether messages that give a slot back are lost.
-    pub lose_give_messages: Cell<bool>,
+    pub lose_release_messages: Cell<bool>,
     /// Slots taken by call so far.
-    pub take_calls: Cell<usize>,
+    pub acquire_calls: Cell<usize>,
     pub claims: Rc<Claims>,
     /// Where set, claims go here in place of the fake.
     pub claim_override: RefCell<Option<ClaimPort>>,
@@ -116,13 +116,13 @@
     pub fn slot_port(self: &Rc<Self>, own: &Member) -> SlotPort {
         SlotPort {
             acquire: self.call(own, |network, slots, take| {
-                network.take_calls.set(network.take_calls.get() + 1);
+                network.acquire_calls.set(network.acquire_calls.get() + 1);
                 Box::pin(async move {
                     let reply = slots.serve_acquire(take).await;
-                    if network.lose_take_replies.get() {
+                    if network.lose_acquire_replies.get() {
                         std::future::pending::<()>().await;
                     }
-                    let held = network.hold_take_replies.borrow().clone();
+                    let held = network.hold_acquire_replies.borrow().clone();
                     if let Some(held) = held {
                         held.wait().await;
                     }
@@ -130,7 +130,7 @@
                 })
             }),
             release: self.call(own, |network, slots, give| {
-                if !network.lose_give_messages.get() {
+                if !network.lose_release_messages.get() {
                     slots.serve_release(&give);
                 }
                 Box::pin(std::future::ready(Ok(())))
--- a/crates/gateway/tests/slots.rs
+++ b/crates/gateway/tests/slots.rs
@@ -82,7 +82,7 @@
         let server = backend(1);
         let (a, b, time, network) = two_vms(plan(&[&server], 1)).await;
         let (home, other) = home_first(a, b);
-        network.lose_give_messages.set(true);
+        network.lose_release_messages.set(true);
 
         let lent = take(&other, want(Class::Interactive, 0, 5_000));
         drop(lent.await.expect("a slot"));
@@ -107,7 +107,7 @@
         let server = backend(1);
         let (a, b, time, network) = two_vms(plan(&[&server], 1)).await;
         let (home, other) = home_first(a, b);
-        network.lose_give_messages.set(true);
+        network.lose_release_messages.set(true);
         let lent = take(&other, want(Class::Interactive, 0, 2_000));
         drop(lent.await.expect("a slot"));
         let vm = Rc::clone(&home);
@@ -132,7 +132,7 @@
         let server = backend(1);
         let (a, b, _time, network) = two_vms(plan(&[&server], 1)).await;
         let (home, other) = home_first(a, b);
-        network.lose_take_replies.set(true);
+        network.lose_acquire_replies.set(true);
         let vm = Rc::clone(&other);
 
         let asking = monoio::spawn(async move {
@@ -198,7 +198,7 @@
         let server = backend(1);
         let (a, b, time, network) = two_vms(plan(&[&server], 1)).await;
         let (old, other) = home_first(a, b);
-        network.lose_give_messages.set(true);
+        network.lose_release_messages.set(true);
         let lent = take(&other, want(Class::Interactive, 0, 5_000)).await;
         drop(lent.expect("a slot"));
 
@@ -276,7 +276,7 @@
         let (a, b, time, network) = two_vms(plan(&[&server], 1)).await;
         let (old, other) = home_first(a, b);
         let under_way = Flag::new();
-        *network.hold_take_replies.borrow_mut() = Some(under_way.clone());
+        *network.hold_acquire_replies.borrow_mut() = Some(under_way.clone());
         let vm = Rc::clone(&other);
         let asking = monoio::spawn(async move { take(&vm, now_free()).await });
         let lent = || old.gateway.slots().lent(&key("u0")) == Some(1);
--- a/crates/gateway/tests/slots_property.rs
+++ b/crates/gateway/tests/slots_property.rs
@@ -140,11 +140,11 @@
             Step::Resize { without } => self.resize(usize::from(without) % (VMS + 1)),
             Step::Read { vm } => self.vms[pick(vm)].1.on_members(self.ledger.clone()),
             Step::Delay { on } => {
-                let held = self.network.hold_take_replies.take();
+                let held = self.network.hold_acquire_replies.take();
                 if let Some(held) = held {
                     held.fire();
                 }
-                *self.network.hold_take_replies.borrow_mut() = on.then(Flag::new);
+                *self.network.hold_acquire_replies.borrow_mut() = on.then(Flag::new);
             }
             Step::Settle => {
                 self.time.advance(Millis(500));
@@ -200,9 +200,9 @@
     fn replace(&mut self, index: usize) {
         let old = self.vms[index].0.clone();
         // The process is gone and so are its messages; its backend connections are closed.
-        self.network.lose_give_messages.set(true);
+        self.network.lose_release_messages.set(true);
         self.used.retain(|(member, _)| *member != old);
-        self.network.lose_give_messages.set(false);
+        self.network.lose_release_messages.set(false);
         self.waiting.retain(|(member, _)| *member != old);
         let incarnation = self.next_incarnation;
         self.next_incarnation += 1;
