--- a/crates/gateway/examples/at_most_once.rs
+++ b/crates/gateway/examples/at_most_once.rs
@@ -16,8 +16,8 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
+use common::network::FakeNetwork;
 use common::time::ManualTime;
-use common::wires::FakeNetwork;
 use common::{SERVICE, TestRequest, Vm, backend, members, plan_with_addresses};
 use heatherknot_gateway::once::{ClaimError, ClaimOutcome, ClaimPort};
 use heatherknot_gateway::slots::Member;
--- a/crates/gateway/tests/common/mod.rs
+++ b/crates/gateway/tests/common/mod.rs
@@ -2,8 +2,8 @@
 //! fakes for the calls between VMs, the claims and the time.
 #![allow(dead_code)]
 
+pub mod network;
 pub mod time;
-pub mod wires;
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -29,8 +29,8 @@
 use monoio::net::TcpListener;
 use prometheus::Registry;
 
+use network::FakeNetwork;
 use time::ManualTime;
-use wires::FakeNetwork;
 
 pub const SERVICE: &str = "acme:shop";
 pub const PLACE: &str = "shop-a";
--- a/crates/gateway/tests/relay.rs
+++ b/crates/gateway/tests/relay.rs
@@ -5,8 +5,8 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
+use common::network::FakeNetwork;
 use common::time::ManualTime;
-use common::wires::FakeNetwork;
 use common::{
     DOMAIN, PLACE, SERVICE, TestRequest, Vm, backend, members, plan, wait_until, warm_up,
 };
--- a/crates/gateway/tests/request_path.rs
+++ b/crates/gateway/tests/request_path.rs
@@ -6,8 +6,8 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
+use common::network::FakeNetwork;
 use common::time::ManualTime;
-use common::wires::FakeNetwork;
 use common::{
     SERVICE, TestRequest, Vm, backend, one_vm, plan, plan_with_addresses, run_tasks, wait_until,
 };
--- a/crates/gateway/tests/slots.rs
+++ b/crates/gateway/tests/slots.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-use common::wires::FakeNetwork;
+use common::network::FakeNetwork;
 use common::{
     TestRequest, Vm, backend, members, plan, run_tasks, time::ManualTime, two_vms, wait_until,
     warm_up,
--- a/crates/gateway/tests/slots_property.rs
+++ b/crates/gateway/tests/slots_property.rs
@@ -8,8 +8,8 @@
 
 use bolero::{TypeGenerator, produce};
 use common::member;
+use common::network::FakeNetwork;
 use common::time::ManualTime;
-use common::wires::FakeNetwork;
 use heatherknot_gateway::slots::{
     Member, Members, Slot, SlotContext, SlotRequest, SlotTiming, Slots, UpstreamKey,
 };
