--- a/crates/daemon/examples/role_costs/main.rs
+++ b/crates/daemon/examples/role_costs/main.rs
@@ -405,7 +405,7 @@
     for at in 1..vms {
         let claim = Claim {
             id: peer_id(at),
-            count: 1,
+            version: 1,
             state: MemberState::Alive,
         };
         members.merge(claim, Source::Peer, Millis(1));
--- a/crates/daemon/src/assemble.rs
+++ b/crates/daemon/src/assemble.rs
@@ -229,8 +229,8 @@
         revision: Rc::new(move || holder.borrow().revision()),
         reports: None,
         hooks: MembershipHooks {
-            told_leaving: Rc::new(move || leaving.fire()),
-            peer_revision: relay.peer_revision_hook(),
+            on_leave_request: Rc::new(move || leaving.fire()),
+            on_peer_revision: relay.peer_revision_hook(),
             ..MembershipHooks::default()
         },
         options: MembershipOptions::default(),
--- a/crates/daemon/src/operators/fleet.rs
+++ b/crates/daemon/src/operators/fleet.rs
@@ -53,7 +53,7 @@
     let own = describe(
         &cx.me.vm,
         &cx.cfg.domain,
-        state_word(cx.membership.my_state()),
+        state_word(cx.membership.own_state()),
         own(&cx),
     );
     let others = stream::iter(views).map(|view| ask(Rc::clone(&cx), view));
@@ -81,7 +81,7 @@
         Ok(in_force) => describe(vm, domain, state, in_force),
         Err(error) => {
             log::warn!(step = "status", peer:% = vm, error:% = error; "no answer");
-            let age_ms = view.heard.unwrap_or(view.age).0;
+            let age_ms = view.since_heard.unwrap_or(view.age).0;
             DaemonStatus {
                 age_ms,
                 ..describe(vm, domain, state, nothing)
--- a/crates/daemon/src/ports/hand_over.rs
+++ b/crates/daemon/src/ports/hand_over.rs
@@ -35,7 +35,7 @@
 impl Pools {
     async fn send(&self, hand_over: HandOver) -> Result<heatherknot_http::Response, HandOverError> {
         let vm = hand_over.vm;
-        let Some(address) = self.net.known(&vm).and_then(|id| id.callers) else {
+        let Some(address) = self.net.identity_of(&vm).and_then(|id| id.callers) else {
             let cause = "its address for callers is not known".to_owned();
             return Err(HandOverError {
                 vm,
--- a/crates/edge/src/daemon.rs
+++ b/crates/edge/src/daemon.rs
@@ -292,9 +292,9 @@
         reports: None,
         hooks: MembershipHooks::default(),
         options: MembershipOptions {
-            suspicion: Millis(2_000),
-            periods_elsewhere: 3,
-            periods_platform: 2,
+            suspicion_timeout: Millis(2_000),
+            other_domain_periods: 3,
+            vm_list_periods: 2,
             answer_timeout: Millis(700),
             ..MembershipOptions::default()
         },
--- a/crates/peer/examples/peer_fleet/daemons.rs
+++ b/crates/peer/examples/peer_fleet/daemons.rs
@@ -182,7 +182,7 @@
             revision: Rc::new(move || held.get()),
             reports: Some(board.port()),
             hooks: MembershipHooks {
-                peer_revision: relay.peer_revision_hook(),
+                on_peer_revision: relay.peer_revision_hook(),
                 ..MembershipHooks::default()
             },
             options: MembershipOptions::default(),
--- a/crates/peer/src/heartbeat.rs
+++ b/crates/peer/src/heartbeat.rs
@@ -65,7 +65,7 @@
         if let (Some(port), Some(batch)) = (&self.reports, gossip.reports) {
             (port.merge)(self.scope(&from.domain), batch);
         }
-        (self.hooks.peer_revision)(from, Revision(gossip.revision));
+        (self.hooks.on_peer_revision)(from, Revision(gossip.revision));
         gossip.digest == self.members.borrow().digest()
     }
 
@@ -85,7 +85,7 @@
         let answer: Gossip = net.call_with(vm, HEARTBEAT, &gossip, opts).await?;
         // The connection has just proven the VM's identity to the book.
         let id = net
-            .known(vm)
+            .identity_of(vm)
             .ok_or_else(|| PeerError::new(Step::Resolve, vm, Handled::Yes, Cause::UnknownVm))?;
         Ok(self.take_gossip(&id, answer))
     }
--- a/crates/peer/src/members.rs
+++ b/crates/peer/src/members.rs
@@ -54,7 +54,7 @@
     pub id: PeerId,
     /// Grows each time that the VM itself speaks about its state.
     #[serde(rename = "k")]
-    pub count: u32,
+    pub version: u32,
     /// What is claimed.
     #[serde(rename = "s")]
     pub state: MemberState,
@@ -65,7 +65,7 @@
     fn beats(&self, other: &Claim) -> bool {
         let run = (self.id.epoch, self.id.incarnation);
         let other_run = (other.id.epoch, other.id.incarnation);
-        (run, self.count, self.state) > (other_run, other.count, other.state)
+        (run, self.version, self.state) > (other_run, other.version, other.state)
     }
 }
 
@@ -95,7 +95,7 @@
     pub age: Millis,
     /// How long ago the VM gave a sign of life, or for a VM of another domain, how long ago
     /// any VM of that domain did.
-    pub heard: Option<Millis>,
+    pub since_heard: Option<Millis>,
 }
 
 /// What came of a claim.
@@ -127,7 +127,7 @@
     pub fn new(me: PeerId) -> Self {
         let me = Claim {
             id: me,
-            count: 0,
+            version: 0,
             state: MemberState::Alive,
         };
         Self {
@@ -171,7 +171,7 @@
 
     /// Says something new about this daemon, which replaces all that others say of it.
     pub fn announce(&mut self, state: MemberState) {
-        self.me.count += 1;
+        self.me.version += 1;
         self.me.state = state;
         self.pending.insert(self.me.id.vm.clone(), 0);
     }
@@ -221,7 +221,7 @@
         if !claim.beats(&self.me) {
             return Merged::Stale;
         }
-        self.me.count = claim.count;
+        self.me.version = claim.version;
         let told = claim.state == MemberState::Leaving && self.me.state == MemberState::Alive;
         if told {
             self.announce(MemberState::Leaving);
@@ -393,7 +393,7 @@
             state: member.claim.state,
             source: member.source,
             age: now.since(member.since),
-            heard: heard.map(|at| now.since(at)),
+            since_heard: heard.map(|at| now.since(at)),
         }
     }
 
@@ -412,7 +412,7 @@
     let mut bytes = claim.id.vm.as_str().as_bytes().to_vec();
     bytes.extend_from_slice(&claim.id.epoch.to_be_bytes());
     bytes.extend_from_slice(&claim.id.incarnation.0.to_be_bytes());
-    bytes.extend_from_slice(&claim.count.to_be_bytes());
+    bytes.extend_from_slice(&claim.version.to_be_bytes());
     bytes.push(claim.state as u8);
     hash::digest(&bytes)
 }
--- a/crates/peer/src/members/tests.rs
+++ b/crates/peer/src/members/tests.rs
@@ -11,10 +11,10 @@
     }
 }
 
-fn claim(vm: &str, epoch: u64, count: u32, state: MemberState) -> Claim {
+fn claim(vm: &str, epoch: u64, version: u32, state: MemberState) -> Claim {
     Claim {
         id: id(vm, "a", epoch),
-        count,
+        version,
         state,
     }
 }
@@ -88,7 +88,7 @@
 
     assert_eq!(refuted, Merged::Refuted);
     assert_eq!(
-        (members.me().count, members.me().state),
+        (members.me().version, members.me().state),
         (8, MemberState::Alive)
     );
 }
@@ -101,7 +101,7 @@
 
     assert_eq!(told, Merged::ToldLeaving);
     assert_eq!(
-        (members.me().count, members.me().state),
+        (members.me().version, members.me().state),
         (1, MemberState::Leaving)
     );
 }
@@ -191,7 +191,7 @@
     let mut members = members();
     let far = |vm: &str| Claim {
         id: id(vm, "b", 1),
-        count: 0,
+        version: 0,
         state: MemberState::Alive,
     };
     merge(&mut members, far("x"));
@@ -200,7 +200,7 @@
     members.note_heard(&id("y", "b", 1), Millis(500));
 
     let views = members.views(Millis(800));
-    assert_eq!(views[0].heard, Some(Millis(300)));
+    assert_eq!(views[0].since_heard, Some(Millis(300)));
     assert_eq!(views[0].age, Millis(800));
 }
 
--- a/crates/peer/src/membership.rs
+++ b/crates/peer/src/membership.rs
@@ -31,29 +31,29 @@
     /// Between two heartbeats to VMs of this daemon's domain.
     pub period: Millis,
     /// Heartbeats inside the domain for each one to another domain.
-    pub periods_elsewhere: u64,
+    pub other_domain_periods: u64,
     /// Heartbeats inside the domain for each attempt on an address that does not answer.
-    pub periods_lost: u64,
+    pub unreachable_retry_periods: u64,
     /// Heartbeats inside the domain for each reading of the platform's list.
-    pub periods_platform: u64,
+    pub vm_list_periods: u64,
     /// Time allowed for a heartbeat's answer.
     pub answer_timeout: Millis,
     /// How long a VM is suspected before it counts as gone.
-    pub suspicion: Millis,
+    pub suspicion_timeout: Millis,
     /// How long a VM that is gone is remembered.
-    pub keep_gone: Millis,
+    pub gone_retention: Millis,
     /// A period that took longer than this beyond its time means that the process was
     /// paused.
-    pub pause_limit: Millis,
+    pub pause_threshold: Millis,
     /// The least between two comparisons of all beliefs that one daemon begins.
-    pub sync_pause: Millis,
+    pub sync_interval: Millis,
     /// The same for a daemon that has just started and knows few others.
-    pub sync_pause_start: Millis,
+    pub startup_sync_interval: Millis,
     /// How long nobody of a domain was heard from before its VMs that the platform's list
     /// does not show count as gone.
-    pub unlisted_after: Millis,
+    pub unlisted_timeout: Millis,
     /// How long a daemon counts as just started.
-    pub start: Millis,
+    pub startup_duration: Millis,
     /// VMs of each domain that read the platform's list and watch the store.
     pub watchers: usize,
 }
@@ -62,17 +62,17 @@
     fn default() -> Self {
         Self {
             period: Millis(1_000),
-            periods_elsewhere: 5,
-            periods_lost: 10,
-            periods_platform: 30,
+            other_domain_periods: 5,
+            unreachable_retry_periods: 10,
+            vm_list_periods: 30,
             answer_timeout: Millis(1_500),
-            suspicion: Millis(4_000),
-            keep_gone: Millis(600_000),
-            pause_limit: Millis(3_000),
-            sync_pause: Millis(10_000),
-            unlisted_after: Millis(10_000),
-            sync_pause_start: Millis(1_000),
-            start: Millis(30_000),
+            suspicion_timeout: Millis(4_000),
+            gone_retention: Millis(600_000),
+            pause_threshold: Millis(3_000),
+            sync_interval: Millis(10_000),
+            unlisted_timeout: Millis(10_000),
+            startup_sync_interval: Millis(1_000),
+            startup_duration: Millis(30_000),
             watchers: 2,
         }
     }
@@ -85,19 +85,19 @@
 #[derive(Clone)]
 pub struct MembershipHooks {
     /// The process was paused for the span given: whatever it held by time is void.
-    pub resumed: Rc<dyn Fn(Millis)>,
+    pub on_resume: Rc<dyn Fn(Millis)>,
     /// The platform says that this VM is leaving.
-    pub told_leaving: Rc<dyn Fn()>,
+    pub on_leave_request: Rc<dyn Fn()>,
     /// A peer holds the revision given; called for each heartbeat.
-    pub peer_revision: PeerRevision,
+    pub on_peer_revision: PeerRevision,
 }
 
 impl Default for MembershipHooks {
     fn default() -> Self {
         Self {
-            resumed: Rc::new(|_| {}),
-            told_leaving: Rc::new(|| {}),
-            peer_revision: Rc::new(|_, _| {}),
+            on_resume: Rc::new(|_| {}),
+            on_leave_request: Rc::new(|| {}),
+            on_peer_revision: Rc::new(|_, _| {}),
         }
     }
 }
@@ -185,7 +185,7 @@
     }
 
     /// Gives the state that this daemon announces of itself.
-    pub fn my_state(&self) -> MemberState {
+    pub fn own_state(&self) -> MemberState {
         self.state.members.borrow().me().state
     }
 
@@ -266,13 +266,13 @@
         state.heed_epoch();
         state.expire(now);
         state.heartbeat_in_domain();
-        if round % state.options.periods_elsewhere == 0 {
+        if round % state.options.other_domain_periods == 0 {
             state.heartbeat_elsewhere();
         }
-        if round % state.options.periods_lost == 0 {
+        if round % state.options.unreachable_retry_periods == 0 {
             state.try_lost(round);
         }
-        if round % state.options.periods_platform == 0 && state.is_watcher() {
+        if round % state.options.vm_list_periods == 0 && state.is_watcher() {
             state.read_platform();
         }
     }
@@ -296,14 +296,14 @@
     /// connections with whatever waits in them, tells the rest of the daemon, and announces
     /// itself anew.
     pub(crate) fn heed_pause(&self, late: Millis) {
-        if late < self.options.pause_limit {
+        if late < self.options.pause_threshold {
             return;
         }
         warn!(paused_ms = late.0; "this process was paused");
         if let Some(net) = self.net() {
             net.reset_connections();
         }
-        (self.hooks.resumed)(late);
+        (self.hooks.on_resume)(late);
         let mut members = self.members.borrow_mut();
         members.restart_suspicions(self.timer.now());
         let state = members.me().state;
@@ -319,11 +319,11 @@
 
     pub(crate) fn expire(&self, now: Millis) {
         let mut members = self.members.borrow_mut();
-        for vm in members.overdue(self.options.suspicion, now) {
+        for vm in members.overdue(self.options.suspicion_timeout, now) {
             info!(vm:% = vm; "a VM is gone");
             members.claim_state(&vm, MemberState::Gone, Source::Heartbeat, now);
         }
-        members.forget_gone(self.options.keep_gone, now);
+        members.forget_gone(self.options.gone_retention, now);
     }
 
     /// Notes a sign of life of a VM, and that it exists where it was not known.
@@ -331,7 +331,7 @@
         let mut members = self.members.borrow_mut();
         let claim = Claim {
             id: id.clone(),
-            count: 0,
+            version: 0,
             state: MemberState::Alive,
         };
         members.merge(claim, Source::Heartbeat, now);
@@ -366,7 +366,7 @@
             // The connections' own book may know a later run and keep it.
             Merged::Taken => drop(net.learn(&id)),
             Merged::ToldLeaving => {
-                (self.hooks.told_leaving)();
+                (self.hooks.on_leave_request)();
                 self.push_self();
             }
             Merged::Namesake => {
--- a/crates/peer/src/net.rs
+++ b/crates/peer/src/net.rs
@@ -252,7 +252,7 @@
     }
 
     /// Gives the known identity of a VM.
-    pub fn known(&self, vm: &VmName) -> Option<PeerId> {
+    pub fn identity_of(&self, vm: &VmName) -> Option<PeerId> {
         self.state.book.borrow().get(vm).cloned()
     }
 
--- a/crates/peer/src/platform.rs
+++ b/crates/peer/src/platform.rs
@@ -45,7 +45,7 @@
         let alive = self.members.borrow().me().state == MemberState::Alive;
         if alive && record.state == VmState::Leaving {
             self.members.borrow_mut().announce(MemberState::Leaving);
-            (self.hooks.told_leaving)();
+            (self.hooks.on_leave_request)();
             self.push_self();
         }
     }
@@ -77,7 +77,7 @@
         let listed = |vm: &VmName| vms.iter().any(|listed| listed.name == *vm);
         let silent = |domain: &DomainName| {
             let contact = members.contact(domain).unwrap_or_default();
-            now.since(contact) >= self.options.unlisted_after
+            now.since(contact) >= self.options.unlisted_timeout
         };
         let lost: Vec<_> = members
             .elsewhere()
--- a/crates/peer/src/relay.rs
+++ b/crates/peer/src/relay.rs
@@ -344,7 +344,8 @@
         let Some(net) = net.as_ref() else {
             return false;
         };
-        net.known(vm).is_none_or(|id| id.domain != net.me().domain)
+        net.identity_of(vm)
+            .is_none_or(|id| id.domain != net.me().domain)
     }
 
     /// Tells whether a peer's revision is worth a pull: newer than the one held, and not one
--- a/crates/peer/src/sync.rs
+++ b/crates/peer/src/sync.rs
@@ -30,10 +30,10 @@
     /// change is on its way most exchanges find that, so a pause lies between two comparisons.
     pub(crate) async fn sync_if_different(&self, vm: &VmName, same: bool) {
         let now = self.timer.now();
-        let pause = if now.since(self.begun) < self.options.start {
-            self.options.sync_pause_start
+        let pause = if now.since(self.begun) < self.options.startup_duration {
+            self.options.startup_sync_interval
         } else {
-            self.options.sync_pause
+            self.options.sync_interval
         };
         let paused = |last: Millis| now.since(last) < pause;
         if same || self.last_sync.get().is_some_and(paused) {
@@ -113,7 +113,7 @@
     /// Tries an address that does not answer: a VM believed gone, or one of the start
     /// settings. Both sides of a cut that has healed find each other by it.
     pub(crate) fn try_lost(self: &Rc<Self>, round: u64) {
-        let nth = (round / self.options.periods_lost) as usize;
+        let nth = (round / self.options.unreachable_retry_periods) as usize;
         let gone = self.members.borrow().gone_address(nth);
         let seed = nth.checked_rem(self.seeds.len()).map(|at| self.seeds[at]);
         let state = Rc::clone(self);
--- a/crates/peer/tests/authentication.rs
+++ b/crates/peer/tests/authentication.rs
@@ -136,7 +136,7 @@
 
         assert!(frames.is_empty());
         assert_eq!(touched.get(), 0);
-        assert!(net.known(&"stranger".into()).is_none());
+        assert!(net.identity_of(&"stranger".into()).is_none());
     });
 }
 
@@ -294,7 +294,7 @@
         assert_eq!(first.expect_err("refused once").handled, Handled::No);
         second.expect("accepted with a higher epoch");
         assert_eq!(restarted.superseded_by(), None);
-        assert_eq!(net.known(&"restarted".into()), Some(restarted.me()));
+        assert_eq!(net.identity_of(&"restarted".into()), Some(restarted.me()));
         assert_eq!(touched.get(), 1);
     });
 }
--- a/crates/peer/tests/calls.rs
+++ b/crates/peer/tests/calls.rs
@@ -74,7 +74,7 @@
         assert_eq!(sum, 5);
         assert_eq!(name, VmName::from("caller"));
         assert_eq!(
-            callee.net.known(&name).expect("learnt").address,
+            callee.net.identity_of(&name).expect("learnt").address,
             net.me().address
         );
     });
--- a/crates/peer/tests/membership.rs
+++ b/crates/peer/tests/membership.rs
@@ -145,8 +145,8 @@
             (near.state, far.state),
             (MemberState::Alive, MemberState::Alive)
         );
-        assert!(near.heard < Some(Millis(10_000)), "{near:?}");
-        assert!(far.heard > Some(Millis(30_000)), "{far:?}");
+        assert!(near.since_heard < Some(Millis(10_000)), "{near:?}");
+        assert!(far.since_heard > Some(Millis(30_000)), "{far:?}");
         assert_eq!(unaware, Some(MemberState::Alive));
     });
 }
@@ -209,7 +209,7 @@
         time.until("all know", || believe(&rest, &vm, MemberState::Leaving))
             .await;
 
-        assert_eq!(nodes[0].membership.my_state(), MemberState::Leaving);
+        assert_eq!(nodes[0].membership.own_state(), MemberState::Leaving);
     });
 }
 
@@ -256,7 +256,7 @@
             .await;
 
         assert_eq!(nodes[1].told_leaving.get(), 1);
-        assert_eq!(nodes[1].membership.my_state(), MemberState::Leaving);
+        assert_eq!(nodes[1].membership.own_state(), MemberState::Leaving);
     });
 }
 
--- a/crates/peer/tests/support/fleet.rs
+++ b/crates/peer/tests/support/fleet.rs
@@ -232,9 +232,9 @@
                 revision: Rc::new(move || held.revision()),
                 reports: self.reports,
                 hooks: MembershipHooks {
-                    resumed: Rc::new(move |_| on_resumed()),
-                    told_leaving: Rc::new(on_told),
-                    peer_revision: relay.peer_revision_hook(),
+                    on_resume: Rc::new(move |_| on_resumed()),
+                    on_leave_request: Rc::new(on_told),
+                    on_peer_revision: relay.peer_revision_hook(),
                 },
                 options: MembershipOptions::default(),
                 rng: fastrand::Rng::with_seed(7),
