--- a/crates/cli/tests/support/mod.rs
+++ b/crates/cli/tests/support/mod.rs
@@ -16,7 +16,7 @@
 use heatherknot_operator::api::{DaemonStatus, ExplainAnswer, ExplainStep};
 use heatherknot_operator::{Held, OperatorContext, handler};
 use heatherknot_settings::{ChainPoint, Change, FirstKey, Holder, NewKey, OperatorKey};
-use heatherknot_store::commit::history::{History, StoredChange};
+use heatherknot_store::commit::history::{HistoryPage, StoredChange};
 use heatherknot_store::commit::{CommandId, CommitOutcome, Proposal, Rejection};
 use heatherknot_test_support::layouts;
 use heatherknot_test_support::runtime::block_on;
@@ -126,7 +126,7 @@
         .last()
         .map_or(ChainPoint::default(), Change::point);
     if at.revision != proposal.base {
-        return CommitOutcome::NotAccepted(Rejection::Raced {
+        return CommitOutcome::NotAccepted(Rejection::Conflict {
             newest: at.revision,
             winner: None,
         });
@@ -138,7 +138,7 @@
     CommitOutcome::Accepted(revision)
 }
 
-fn history(memory: &Memory, after: Revision) -> History {
+fn history(memory: &Memory, after: Revision) -> HistoryPage {
     let later = memory
         .changes
         .iter()
@@ -147,7 +147,7 @@
         revision: change.revision,
         change: json!(change).to_string().into(),
     });
-    History {
+    HistoryPage {
         changes: changes.collect(),
         more: false,
     }
--- a/crates/daemon/examples/fleet/deployment.rs
+++ b/crates/daemon/examples/fleet/deployment.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use heatherknot_settings::{Author, ChainPoint, Change, Tree};
-use heatherknot_store::commit::{CommandId, CommitOutcome, Proposal, SettlePolicy, commit};
+use heatherknot_store::commit::{CommandId, CommitOutcome, Proposal, ResolvePolicy, commit};
 use heatherknot_store::http_store::{self, StoreConfig};
 use heatherknot_test_support::runtime;
 use heatherknot_types::prelude::*;
@@ -73,7 +73,7 @@
         };
         let outcome = runtime::block_on(async {
             let store = http_store::connect(StoreConfig::new(self.store));
-            commit(&store, &proposal, &SettlePolicy::default()).await
+            commit(&store, &proposal, &ResolvePolicy::default()).await
         });
         let CommitOutcome::Accepted(revision) = outcome else {
             return Err(format!("`{command}` was not accepted: {outcome:?}"));
--- a/crates/daemon/examples/lookup_bench.rs
+++ b/crates/daemon/examples/lookup_bench.rs
@@ -15,7 +15,7 @@
     Body, Flag, Limits, Pool, PoolConfig, RequestHead, Response, SendOptions, serve,
 };
 use heatherknot_settings::{Author, ChainPoint, Change, Tree};
-use heatherknot_store::commit::{CommandId, CommitOutcome, Proposal, SettlePolicy, commit};
+use heatherknot_store::commit::{CommandId, CommitOutcome, Proposal, ResolvePolicy, commit};
 use heatherknot_store::http_store::{self, StoreConfig};
 use heatherknot_test_support::platform::{Platform, PlatformConfig};
 use heatherknot_test_support::{layouts, runtime};
@@ -215,7 +215,7 @@
             change: serde_json::to_vec(&change).expect("JSON").into(),
             hash: change.hash.to_string().into(),
         };
-        let outcome = commit(&store, &proposal, &SettlePolicy::default()).await;
+        let outcome = commit(&store, &proposal, &ResolvePolicy::default()).await;
         assert!(matches!(outcome, CommitOutcome::Accepted(_)), "{outcome:?}");
     });
 }
--- a/crates/daemon/examples/walkthrough/daemons.rs
+++ b/crates/daemon/examples/walkthrough/daemons.rs
@@ -13,7 +13,7 @@
 use heatherknot_daemon::start::{self, Addresses};
 use heatherknot_http::{Body, Pool, PoolConfig, RequestHead, SendOptions};
 use heatherknot_settings::{Author, ChainPoint, Change, Tree};
-use heatherknot_store::commit::{CommandId, CommitOutcome, Proposal, SettlePolicy, commit};
+use heatherknot_store::commit::{CommandId, CommitOutcome, Proposal, ResolvePolicy, commit};
 use heatherknot_store::http_store::{self, StoreConfig};
 use heatherknot_test_support::platform::{PlatformHandle, PlatformVm, PlatformVmState};
 use heatherknot_test_support::runtime;
@@ -174,7 +174,7 @@
                 .into(),
             hash: change.hash.to_string().into(),
         };
-        match commit(&store, &proposal, &SettlePolicy::default()).await {
+        match commit(&store, &proposal, &ResolvePolicy::default()).await {
             CommitOutcome::Accepted(_) => Ok(()),
             other => Err(format!("settings were not accepted: {other:?}")),
         }
--- a/crates/daemon/src/assemble.rs
+++ b/crates/daemon/src/assemble.rs
@@ -181,7 +181,7 @@
         let known = cell.get().map_or(seeds, |cx| cx.membership.views().len());
         CallLimits::share_of(PlatformRates::default(), known as u32 + 1)
     };
-    budget::limited(store, limits, clock.clone(), Backoff::default())
+    budget::with_call_limits(store, limits, clock.clone(), Backoff::default())
 }
 
 /// Time allowed for reading the platform's list of VMs.
--- a/crates/daemon/src/capacity_task.rs
+++ b/crates/daemon/src/capacity_task.rs
@@ -9,7 +9,9 @@
 
 use heatherknot_gateway::slots::{Member, Members};
 use heatherknot_peer::MemberState;
-use heatherknot_store::capacity::{self, Departures, Holder, Keeper, Ledger, Round, Seen};
+use heatherknot_store::capacity::{
+    self, CapacityReconciler, CapacityState, Departures, Ledger, ObservedLedger, ReconcileOutcome,
+};
 use heatherknot_types::prelude::*;
 
 use crate::context::DaemonContext;
@@ -27,11 +29,11 @@
 const WHOLE: u16 = 1000;
 
 /// Makes the keeper of this VM's entry.
-pub fn keeper(cx: &Rc<DaemonContext>) -> Keeper {
-    let holder = Holder::new(cx.me.vm.clone(), cx.me.incarnation);
+pub fn keeper(cx: &Rc<DaemonContext>) -> CapacityReconciler {
+    let holder = CapacityState::new(cx.me.vm.clone(), cx.me.incarnation);
     let (steering, clock) = (Rc::clone(&cx.steering), cx.clock.clone());
     let used = move || used_part(&steering.borrow(), clock.now());
-    Keeper::new(cx.store.clone(), &cx.cfg.domain, holder, used)
+    CapacityReconciler::new(cx.store.clone(), &cx.cfg.domain, holder, used)
 }
 
 /// Gives the least part into which everything fits that this VM has lent out and in use.
@@ -105,11 +107,11 @@
 }
 
 /// Makes one round on the ledger, and says whether it is as it should be.
-async fn round(cx: &DaemonContext, keeper: &Keeper) -> bool {
+async fn round(cx: &DaemonContext, keeper: &CapacityReconciler) -> bool {
     let departures = departures(cx, keeper).await;
-    match keeper.round(&departures).await {
-        Ok(Round::Settled) => is_settled(cx, &keeper.seen()),
-        Ok(Round::Contended) => false,
+    match keeper.reconcile(&departures).await {
+        Ok(ReconcileOutcome::Settled) => is_settled(cx, &keeper.newest_ledger()),
+        Ok(ReconcileOutcome::Contended) => false,
         Err(error) => {
             log::warn!(step = "capacity", error:% = error; "keeping this VM's part");
             false
@@ -120,7 +122,7 @@
 /// Says whether nothing is left to wait for: the ledger names just the VMs that answer, and
 /// each holds its part. A VM that answers heartbeats before it has joined the ledger would
 /// otherwise stay without a part until the next round at rest.
-fn is_settled(cx: &DaemonContext, seen: &Seen) -> bool {
+fn is_settled(cx: &DaemonContext, seen: &ObservedLedger) -> bool {
     let ledger = &seen.ledger;
     let known = domain_state(cx);
     let alive: Vec<&Known> = known.iter().filter(|known| !known.gone).collect();
@@ -145,8 +147,8 @@
 /// Gives what the platform says of the VMs in the ledger. The list is read only where the
 /// ledger names a VM that does not answer: heartbeats tell when to look, and the platform
 /// alone decides whether the VM's part may be taken.
-async fn departures(cx: &DaemonContext, keeper: &Keeper) -> Departures {
-    let seen = keeper.seen();
+async fn departures(cx: &DaemonContext, keeper: &CapacityReconciler) -> Departures {
+    let seen = keeper.newest_ledger();
     let silent = names_silent(cx, &seen.ledger, &domain_state(cx));
     let mut departures = Departures::default();
     if silent {
@@ -162,7 +164,7 @@
 }
 
 /// Brings the part and the VMs of the ledger into force.
-fn take_in(cx: &Rc<DaemonContext>, keeper: &Keeper) {
+fn take_in(cx: &Rc<DaemonContext>, keeper: &CapacityReconciler) {
     let part = keeper.limit();
     if cx.steering.borrow().capacity_part() != part {
         cx.steering
@@ -171,15 +173,15 @@
         cx.metrics.capacity_part.set(i64::from(part));
         log::info!(part = part; "this VM's part of its failure domain's capacity");
     }
-    let seen = keeper.seen();
-    if seen.at.0 > cx.members_version.get() {
-        cx.members_version.set(seen.at.0);
+    let seen = keeper.newest_ledger();
+    if seen.revision.0 > cx.members_version.get() {
+        cx.members_version.set(seen.revision.0);
         let list = seen.ledger.entries.iter().map(|entry| Member {
             vm: entry.vm.clone(),
             incarnation: entry.incarnation,
         });
         cx.gateway.on_members(Members {
-            version: seen.at.0,
+            version: seen.revision.0,
             list: list.collect(),
         });
     }
--- a/crates/daemon/src/operators/calls.rs
+++ b/crates/daemon/src/operators/calls.rs
@@ -8,9 +8,9 @@
 use heatherknot_operator::{Held, OperatorContext};
 use heatherknot_steering::explain::{Explanation, Limit, PlaceExplanation};
 use heatherknot_store::commit::head::read_head;
-use heatherknot_store::commit::upkeep::{self, UpkeepRules};
+use heatherknot_store::commit::maintenance::{self, MaintenanceConfig};
 use heatherknot_store::commit::{
-    CommitOutcome, Proposal, SettlePolicy, commit, find_command, history,
+    CommitOutcome, Proposal, ResolvePolicy, commit, find_command, history,
 };
 use heatherknot_store::error::StoreError;
 use heatherknot_types::prelude::*;
@@ -83,7 +83,7 @@
 }
 
 async fn commit_change(cx: Rc<DaemonContext>, proposal: Proposal) -> CommitOutcome {
-    let outcome = commit(&cx.store, &proposal, &SettlePolicy::default()).await;
+    let outcome = commit(&cx.store, &proposal, &ResolvePolicy::default()).await;
     if let CommitOutcome::Accepted(revision) = &outcome {
         log::info!(revision:% = revision, command:% = proposal.command; "change accepted");
         // The domain hears of it from here; the watchers' own watch does the rest.
@@ -98,7 +98,7 @@
 /// Keeps what the store holds of the settings small. Where it fails, the next change does it.
 async fn keep_small(cx: Rc<DaemonContext>) {
     let whole = cx.holder.borrow().snapshot();
-    if let Err(error) = upkeep::run(&cx.store, &whole, &UpkeepRules::default()).await {
+    if let Err(error) = maintenance::run(&cx.store, &whole, &MaintenanceConfig::default()).await {
         log::warn!(step = "upkeep of the settings", error:% = error; "left to the next change");
     }
 }
--- a/crates/daemon/src/ports/claims.rs
+++ b/crates/daemon/src/ports/claims.rs
@@ -5,7 +5,7 @@
 
 use heatherknot_gateway::once::{ClaimError, ClaimOutcome, ClaimPort, ClaimRequest};
 use heatherknot_gateway::slots::Member;
-use heatherknot_store::claim::{Claim, ClaimConfig, ClaimKey, ClaimOwner, Claims};
+use heatherknot_store::claim::{ClaimConfig, ClaimKey, ClaimOwner, ClaimResult, Claims};
 use heatherknot_store::port::Store;
 use heatherknot_types::prelude::*;
 
@@ -45,12 +45,12 @@
     })?;
     match claimed {
         // The process was paused for longer than the claim lasts: another may hold it now.
-        Claim::Won { start_by } if clock.now() > start_by => {
+        ClaimResult::Won { start_by } if clock.now() > start_by => {
             let cause = "the claim ended before the request could start".to_owned();
             Err(ClaimError { step: STEP, cause })
         }
-        Claim::Won { start_by } => Ok(ClaimOutcome::New { start_by }),
-        Claim::Held(owner) => Ok(ClaimOutcome::Held(Member {
+        ClaimResult::Won { start_by } => Ok(ClaimOutcome::New { start_by }),
+        ClaimResult::Held(owner) => Ok(ClaimOutcome::Held(Member {
             vm: owner.vm,
             incarnation: owner.incarnation,
         })),
--- a/crates/daemon/src/ports/settings.rs
+++ b/crates/daemon/src/ports/settings.rs
@@ -7,7 +7,7 @@
 use futures_channel::oneshot;
 use heatherknot_peer::settings_port::{Delivery, RelayedChange, RelayedSnapshot, StorePort};
 use heatherknot_store::commit::history::StoredChange;
-use heatherknot_store::follow::{self, Follow, FollowConfig, Update};
+use heatherknot_store::follow::{self, FollowCallbacks, FollowConfig, SettingsUpdate};
 use heatherknot_store::port::Store;
 use heatherknot_types::prelude::*;
 use serde_json::value::RawValue;
@@ -28,8 +28,8 @@
 async fn next(store: Store, held: Revision) -> Result<Delivery, String> {
     let (tx, rx) = oneshot::channel();
     let tx = RefCell::new(Some(tx));
-    let follow = Follow {
-        held: Rc::new(move || held),
+    let follow = FollowCallbacks {
+        current_revision: Rc::new(move || held),
         deliver: Rc::new(move |update| {
             if let Some(tx) = tx.borrow_mut().take() {
                 let _ = tx.send(update);
@@ -46,14 +46,14 @@
 /// # Errors
 ///
 /// Returns what is wrong where the store holds something that is not JSON.
-pub fn delivery(update: Update) -> Result<Delivery, String> {
+pub fn delivery(update: SettingsUpdate) -> Result<Delivery, String> {
     match update {
-        Update::Changes(stored) => {
+        SettingsUpdate::Changes(stored) => {
             let changes: Result<Vec<RelayedChange>, String> =
                 stored.into_iter().map(relayed_change).collect();
             Ok(Delivery::Changes(changes?))
         }
-        Update::Snapshot { at, tree } => {
+        SettingsUpdate::Snapshot { at, tree } => {
             let body = raw(&tree, at.revision)?;
             Ok(Delivery::Snapshot(RelayedSnapshot {
                 revision: at.revision,
--- a/crates/gateway/examples/at_most_once.rs
+++ b/crates/gateway/examples/at_most_once.rs
@@ -22,7 +22,7 @@
 use heatherknot_gateway::once::{ClaimError, ClaimOutcome, ClaimPort};
 use heatherknot_gateway::slots::Member;
 use heatherknot_http::{Body, Pool, PoolConfig, SendOptions};
-use heatherknot_store::claim::{Claim, ClaimConfig, ClaimKey, ClaimOwner, Claims};
+use heatherknot_store::claim::{ClaimConfig, ClaimKey, ClaimOwner, ClaimResult, Claims};
 use heatherknot_store::http_store::{StoreConfig, connect};
 use heatherknot_test_support::platform::{Platform, PlatformConfig, PlatformHandle};
 use heatherknot_test_support::runtime::block_on;
@@ -164,8 +164,8 @@
                     address,
                 };
                 match claims.claim(key, owner).await {
-                    Ok(Claim::Won { start_by }) => Ok(ClaimOutcome::New { start_by }),
-                    Ok(Claim::Held(owner)) => Ok(ClaimOutcome::Held(Member {
+                    Ok(ClaimResult::Won { start_by }) => Ok(ClaimOutcome::New { start_by }),
+                    Ok(ClaimResult::Held(owner)) => Ok(ClaimOutcome::Held(Member {
                         vm: owner.vm,
                         incarnation: owner.incarnation,
                     })),
--- a/crates/operator/src/change.rs
+++ b/crates/operator/src/change.rs
@@ -209,7 +209,7 @@
                 ..answer(ChangeOutcome::Accepted, Some(revision))
             }
         }
-        CommitOutcome::NotAccepted(Rejection::Raced { newest, .. }) => {
+        CommitOutcome::NotAccepted(Rejection::Conflict { newest, .. }) => {
             return Settled::Raced(newest);
         }
         CommitOutcome::NotAccepted(Rejection::Withdrawn) => not_accepted(
--- a/crates/operator/src/context.rs
+++ b/crates/operator/src/context.rs
@@ -4,7 +4,7 @@
 
 use futures_util::future::LocalBoxFuture;
 use heatherknot_settings::{ChainPoint, FirstKey, Tree};
-use heatherknot_store::commit::history::History;
+use heatherknot_store::commit::history::HistoryPage;
 use heatherknot_store::commit::{CommandId, CommitOutcome, Proposal};
 use heatherknot_store::error::StoreError;
 use heatherknot_types::prelude::*;
@@ -35,7 +35,7 @@
     /// Finds the revision that a command has made.
     pub find_command: Rc<dyn Fn(CommandId) -> StoreFuture<Option<Revision>>>,
     /// Reads accepted changes after a revision, a page at a time, old packs included.
-    pub history: Rc<dyn Fn(Revision) -> StoreFuture<History>>,
+    pub history: Rc<dyn Fn(Revision) -> StoreFuture<HistoryPage>>,
     /// Gives what is known of every daemon.
     pub status: Rc<dyn Fn() -> LocalBoxFuture<'static, Vec<DaemonStatus>>>,
     /// Explains where callers of a service go; none for a service that isn't there.
--- a/crates/operator/tests/support/mod.rs
+++ b/crates/operator/tests/support/mod.rs
@@ -16,7 +16,7 @@
 use heatherknot_settings::{Change, FirstKey, Holder, NewKey, OperatorKey};
 use heatherknot_store::backoff::Backoff;
 use heatherknot_store::commit::history::audit_after;
-use heatherknot_store::commit::{SettlePolicy, commit, find_command};
+use heatherknot_store::commit::{ResolvePolicy, commit, find_command};
 use heatherknot_store::http_store::{StoreConfig, connect};
 use heatherknot_store::port::Store;
 use heatherknot_test_support::layouts;
@@ -248,9 +248,9 @@
     }
 }
 
-fn policy() -> SettlePolicy {
+fn policy() -> ResolvePolicy {
     let (first, longest) = (Duration::from_millis(1), Duration::from_millis(4));
-    SettlePolicy {
+    ResolvePolicy {
         tries: 3,
         backoff: Backoff::new(first, longest, fastrand::Rng::with_seed(7)),
     }
--- a/crates/replay/src/brain.rs
+++ b/crates/replay/src/brain.rs
@@ -6,7 +6,7 @@
 use heatherknot_steering::{
     Arrival, GrantReply, GrantRequest, GrantToken, RefusalReason, Steering, Ticket, Verdict,
 };
-use heatherknot_store::capacity::WHOLE;
+use heatherknot_store::capacity::TOTAL_PARTS;
 use heatherknot_types::prelude::*;
 
 use crate::baseline::Baseline;
@@ -289,7 +289,7 @@
         let Brain::Steering(steering) = self else {
             return 0;
         };
-        let (mut low, mut high) = (0, WHOLE);
+        let (mut low, mut high) = (0, TOTAL_PARTS);
         while low < high {
             let middle = (low + high) / 2;
             if steering.fits_capacity_part(middle, now) {
--- a/crates/replay/src/fleet.rs
+++ b/crates/replay/src/fleet.rs
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 
 use heatherknot_steering::Peer;
-use heatherknot_store::capacity::{Departures, Holder, Ledger};
+use heatherknot_store::capacity::{CapacityState, Departures, Ledger};
 use heatherknot_store::port::StoreRevision;
 use heatherknot_types::plan::Plan;
 use heatherknot_types::prelude::*;
@@ -35,7 +35,7 @@
     /// When the platform's list tells its last change.
     listed: Option<Millis>,
     /// Its side of the capacity ledger.
-    holder: Holder,
+    holder: CapacityState,
     /// The part that it was told of.
     part: u16,
 }
@@ -123,7 +123,7 @@
             incarnation: Incarnation(self.incarnations),
             left: false,
             listed: None,
-            holder: Holder::new(name.clone(), Incarnation(self.incarnations)),
+            holder: CapacityState::new(name.clone(), Incarnation(self.incarnations)),
             part: 0,
         };
         if number == self.vms.len() {
@@ -296,8 +296,8 @@
         let target = book.ledger.target(name, &departures.leaving);
         let shrinks = target < book.ledger.part_of(name, state.incarnation);
         let used = if shrinks { (cx.used)(vm) } else { 0 };
-        if let Some(intent) = holder.plan(&book.ledger, book.at, used, departures) {
-            holder.sending(&intent);
+        if let Some(intent) = holder.plan_write(&book.ledger, book.at, used, departures) {
+            holder.record_send(&intent);
             book.ledger = intent.ledger;
             book.at = StoreRevision(book.at.0 + 1);
             holder.observe(&book.ledger, book.at).expect(fault);
--- a/crates/store/examples/store_cost.rs
+++ b/crates/store/examples/store_cost.rs
@@ -12,12 +12,14 @@
 use std::time::{Duration, Instant};
 
 use futures_util::future::join_all;
-use heatherknot_store::capacity::{Departures, Holder, Keeper, Round};
-use heatherknot_store::claim::{Claim, ClaimConfig, ClaimKey, ClaimOwner, Claims};
+use heatherknot_store::capacity::{
+    CapacityReconciler, CapacityState, Departures, ReconcileOutcome,
+};
+use heatherknot_store::claim::{ClaimConfig, ClaimKey, ClaimOwner, ClaimResult, Claims};
 use heatherknot_store::commit::{
-    CommandId, CommitOutcome, Proposal, Rejection, SettlePolicy, commit,
+    CommandId, CommitOutcome, Proposal, Rejection, ResolvePolicy, commit,
 };
-use heatherknot_store::follow::{Follow, FollowConfig, Update, start};
+use heatherknot_store::follow::{FollowCallbacks, FollowConfig, SettingsUpdate, start};
 use heatherknot_store::http_store::{StoreConfig, connect};
 use heatherknot_store::port::Store;
 use heatherknot_test_support::platform::{Platform, PlatformConfig, PlatformHandle, Rates};
@@ -84,7 +86,7 @@
         for base in 0..COMMITS {
             let started = Instant::now();
             let next = proposal(format!("c{base}"), base);
-            let outcome = commit(&store, &next, &SettlePolicy::default()).await;
+            let outcome = commit(&store, &next, &ResolvePolicy::default()).await;
             assert_eq!(outcome, CommitOutcome::Accepted(Revision(base + 1)));
             times.push(started.elapsed());
         }
@@ -128,9 +130,9 @@
     loop {
         tries.set(tries.get() + 1);
         let next = proposal(format!("r{racer}-{turn}"), base);
-        match commit(store, &next, &SettlePolicy::default()).await {
+        match commit(store, &next, &ResolvePolicy::default()).await {
             CommitOutcome::Accepted(revision) => return revision.0,
-            CommitOutcome::NotAccepted(Rejection::Raced { newest, .. }) => base = newest.0,
+            CommitOutcome::NotAccepted(Rejection::Conflict { newest, .. }) => base = newest.0,
             other => panic!("unexpected outcome {other:?}"),
         }
     }
@@ -156,8 +158,8 @@
                 turn += 1;
                 let asked = Instant::now();
                 match claims.claim(claim_key(caller, turn), owner()).await {
-                    Ok(Claim::Won { .. }) => times.borrow_mut().push(asked.elapsed()),
-                    Ok(Claim::Held(_)) => panic!("every key is claimed once"),
+                    Ok(ClaimResult::Won { .. }) => times.borrow_mut().push(asked.elapsed()),
+                    Ok(ClaimResult::Held(_)) => panic!("every key is claimed once"),
                     Err(_) => failed.set(failed.get() + 1),
                 }
             }
@@ -193,10 +195,10 @@
     let platform = platform(delay, UNLIMITED);
     let store = store(&platform);
     let domain = DomainName::from("north-a");
-    let keepers: Vec<Keeper> = (0..vms)
+    let keepers: Vec<CapacityReconciler> = (0..vms)
         .map(|vm| {
-            let holder = Holder::new(VmName::from(format!("vm-{vm}")), Incarnation(vm + 1));
-            Keeper::new(store.clone(), &domain, holder, || 0)
+            let holder = CapacityState::new(VmName::from(format!("vm-{vm}")), Incarnation(vm + 1));
+            CapacityReconciler::new(store.clone(), &domain, holder, || 0)
         })
         .collect();
     let started = Instant::now();
@@ -208,7 +210,7 @@
     );
 }
 
-async fn settle_all(keepers: &[Keeper], vms: u64) -> u32 {
+async fn settle_all(keepers: &[CapacityReconciler], vms: u64) -> u32 {
     let fair = 1000 / vms as u16;
     let mut rounds = 0;
     while keepers.iter().any(|keeper| keeper.limit() < fair) {
@@ -216,10 +218,10 @@
         let outcomes = join_all(
             keepers
                 .iter()
-                .map(|keeper| async { keeper.round(&Departures::default()).await }),
+                .map(|keeper| async { keeper.reconcile(&Departures::default()).await }),
         );
         for outcome in outcomes.await {
-            let _: Round = outcome.expect("the stand-in answers");
+            let _: ReconcileOutcome = outcome.expect("the stand-in answers");
         }
     }
     rounds
@@ -230,13 +232,13 @@
     let store = store(&platform);
     let held = Rc::new(Cell::new(Revision::NONE));
     let (read, write) = (held.clone(), held.clone());
-    let follow = Follow {
-        held: Rc::new(move || read.get()),
+    let follow = FollowCallbacks {
+        current_revision: Rc::new(move || read.get()),
         deliver: Rc::new(move |update| match update {
-            Update::Changes(changes) => {
+            SettingsUpdate::Changes(changes) => {
                 write.set(changes.last().map_or(write.get(), |stored| stored.revision));
             }
-            Update::Snapshot { at, .. } => write.set(at.revision),
+            SettingsUpdate::Snapshot { at, .. } => write.set(at.revision),
         }),
     };
     let commits = if quiet { 6 } else { 100 };
@@ -252,7 +254,7 @@
         let mut times = Vec::new();
         for base in 0..commits {
             let next = proposal(format!("f{base}"), base);
-            commit(&store, &next, &SettlePolicy::default()).await;
+            commit(&store, &next, &ResolvePolicy::default()).await;
             let accepted = Instant::now();
             while held.get() < Revision(base + 1) {
                 monoio::time::sleep(Duration::from_micros(200)).await;
--- a/crates/store/src/budget.rs
+++ b/crates/store/src/budget.rs
@@ -154,7 +154,7 @@
 /// `limits` is asked for each call, so that a daemon's share can follow the size of the fleet.
 /// A call over the limit is refused at once with [`Cause::HeldBack`], which says when to come
 /// back; it does not wait.
-pub fn limited(
+pub fn with_call_limits(
     store: Store,
     limits: impl Fn() -> CallLimits + 'static,
     clock: Clock,
--- a/crates/store/src/capacity/ledger.rs
+++ b/crates/store/src/capacity/ledger.rs
@@ -5,7 +5,7 @@
 use snafu::Snafu;
 
 /// The parts that a failure domain's capacity is divided into.
-pub const WHOLE: u16 = 1000;
+pub const TOTAL_PARTS: u16 = 1000;
 
 /// One VM's entry.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -16,7 +16,7 @@
     /// The run of its daemon that holds the part.
     #[serde(rename = "i")]
     pub incarnation: Incarnation,
-    /// Its part of [`WHOLE`].
+    /// Its part of [`TOTAL_PARTS`].
     #[serde(rename = "p")]
     pub part: u16,
 }
@@ -31,9 +31,9 @@
 
 /// What is wrong with a ledger that was read.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
-pub enum LedgerFault {
+pub enum LedgerError {
     /// The parts sum above the whole.
-    #[snafu(display("parts sum to {sum}, more than {WHOLE}"))]
+    #[snafu(display("parts sum to {sum}, more than {TOTAL_PARTS}"))]
     TooMuch {
         /// The sum.
         sum: u32,
@@ -52,16 +52,16 @@
     /// # Errors
     ///
     /// Returns the first fault.
-    pub fn check(&self) -> Result<(), LedgerFault> {
+    pub fn check(&self) -> Result<(), LedgerError> {
         for pair in self.entries.windows(2) {
             if pair[0].vm >= pair[1].vm {
                 let vm = pair[1].vm.clone();
-                return Err(LedgerFault::Order { vm });
+                return Err(LedgerError::Order { vm });
             }
         }
         let sum = self.sum();
-        match sum > u32::from(WHOLE) {
-            true => Err(LedgerFault::TooMuch { sum }),
+        match sum > u32::from(TOTAL_PARTS) {
+            true => Err(LedgerError::TooMuch { sum }),
             false => Ok(()),
         }
     }
@@ -73,7 +73,7 @@
 
     /// Gives the parts that no VM holds.
     pub fn free(&self) -> u16 {
-        WHOLE.saturating_sub(self.sum().min(u32::from(WHOLE)) as u16)
+        TOTAL_PARTS.saturating_sub(self.sum().min(u32::from(TOTAL_PARTS)) as u16)
     }
 
     /// Finds a VM's entry.
@@ -113,7 +113,7 @@
     }
 
     /// Removes the entries of VMs that the platform's list reports gone.
-    pub fn strike_off(&mut self, gone: &[VmName]) {
+    pub fn remove_vms(&mut self, gone: &[VmName]) {
         self.entries.retain(|entry| !gone.contains(&entry.vm));
     }
 
@@ -141,7 +141,7 @@
             return 0;
         };
         let count = sharing.len() as u16;
-        let left_over = WHOLE % count;
-        WHOLE / count + u16::from((rank as u16) < left_over)
+        let left_over = TOTAL_PARTS % count;
+        TOTAL_PARTS / count + u16::from((rank as u16) < left_over)
     }
 }
--- a/crates/store/src/capacity/mod.rs
+++ b/crates/store/src/capacity/mod.rs
@@ -1,8 +1,8 @@
 //! How the VMs of a failure domain share its capacity: a ledger in the store that is changed
 //! only by compare-and-swap. See `docs/capacity-ledger.md` for the ways that were weighed.
 
-pub mod holder;
 pub mod ledger;
+pub mod state;
 
 use std::cell::RefCell;
 use std::fmt;
@@ -15,8 +15,8 @@
 use crate::port::{Compare, KeyValue, Op, Store, StoreRevision, Txn};
 use crate::vm_list::{VmRecord, VmState};
 
-pub use holder::{Departures, Holder, Intent};
-pub use ledger::{Entry, Ledger, LedgerFault, WHOLE};
+pub use ledger::{Entry, Ledger, LedgerError, TOTAL_PARTS};
+pub use state::{CapacityState, Departures, PlannedWrite};
 
 /// How often one round starts over because another VM changed the ledger meanwhile.
 const MAX_CONFLICTS: u32 = 6;
@@ -41,7 +41,7 @@
 
 /// What a round came to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Round {
+pub enum ReconcileOutcome {
     /// The ledger holds what this VM wants of it.
     Settled,
     /// Other VMs changed the ledger each time; the next round goes on.
@@ -50,21 +50,21 @@
 
 /// Keeps one VM's entry in the ledger of its failure domain, round by round.
 #[derive(Clone)]
-pub struct Keeper {
+pub struct CapacityReconciler {
     store: Store,
     key: Rc<str>,
-    holder: Rc<RefCell<Holder>>,
+    holder: Rc<RefCell<CapacityState>>,
     used: Rc<dyn Fn() -> u16>,
-    seen: Rc<RefCell<Seen>>,
+    seen: Rc<RefCell<ObservedLedger>>,
 }
 
 /// The newest ledger that a keeper saw.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Seen {
+pub struct ObservedLedger {
     /// The ledger.
     pub ledger: Ledger,
     /// The store's revision that wrote it; it grows with each change of the ledger.
-    pub at: StoreRevision,
+    pub revision: StoreRevision,
 }
 
 struct Read {
@@ -72,7 +72,7 @@
     at: StoreRevision,
 }
 
-impl Keeper {
+impl CapacityReconciler {
     /// Makes a keeper for a VM that has bound its address.
     ///
     /// `used` gives what the VM's requests in progress and its grants to others take up, in
@@ -81,7 +81,7 @@
     pub fn new(
         store: Store,
         domain: &DomainName,
-        holder: Holder,
+        holder: CapacityState,
         used: impl Fn() -> u16 + 'static,
     ) -> Self {
         Self {
@@ -99,7 +99,7 @@
     }
 
     /// Gives the newest ledger that a round saw.
-    pub fn seen(&self) -> Seen {
+    pub fn newest_ledger(&self) -> ObservedLedger {
         self.seen.borrow().clone()
     }
 
@@ -117,17 +117,17 @@
     ///
     /// Returns an error where the store does not answer, or holds a ledger that breaks its
     /// rules. The limit is right all the same.
-    pub async fn round(&self, departures: &Departures) -> Result<Round, StoreError> {
+    pub async fn reconcile(&self, departures: &Departures) -> Result<ReconcileOutcome, StoreError> {
         let kv = self.store.get(&self.key).await?;
         let mut read = self.observe(Step::Range, kv.as_ref())?;
         for _ in 0..MAX_CONFLICTS {
             let used = (self.used)();
-            let intent = self
-                .holder
-                .borrow_mut()
-                .plan(&read.ledger, read.at, used, departures);
+            let intent =
+                self.holder
+                    .borrow_mut()
+                    .plan_write(&read.ledger, read.at, used, departures);
             let Some(intent) = intent else {
-                return Ok(Round::Settled);
+                return Ok(ReconcileOutcome::Settled);
             };
             let answer = self.write(&intent).await?;
             if answer.succeeded {
@@ -136,11 +136,11 @@
                 read = self.observe(Step::Txn, answer.first_of(0))?;
             }
         }
-        Ok(Round::Contended)
+        Ok(ReconcileOutcome::Contended)
     }
 
-    async fn write(&self, intent: &Intent) -> Result<crate::port::TxnResponse, StoreError> {
-        self.holder.borrow_mut().sending(intent);
+    async fn write(&self, intent: &PlannedWrite) -> Result<crate::port::TxnResponse, StoreError> {
+        self.holder.borrow_mut().record_send(intent);
         let txn = Txn {
             compares: vec![Compare::unchanged(&*self.key, intent.compare)],
             success: vec![Op::put(&*self.key, to_json(&intent.ledger))],
@@ -164,15 +164,15 @@
             unreadable(&self.store, step, message)
         })?;
         let mut seen = self.seen.borrow_mut();
-        if at >= seen.at {
+        if at >= seen.revision {
             seen.ledger.clone_from(&ledger);
-            seen.at = at;
+            seen.revision = at;
         }
         Ok(Read { ledger, at })
     }
 }
 
-impl fmt::Debug for Keeper {
+impl fmt::Debug for CapacityReconciler {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "Keeper({}, limit {})", self.key, self.limit())
     }
--- a/crates/store/src/capacity/holder.rs
+++ b/crates/store/src/capacity/state.rs
@@ -2,7 +2,7 @@
 
 use heatherknot_types::prelude::*;
 
-use super::ledger::{Entry, Ledger, LedgerFault};
+use super::ledger::{Entry, Ledger, LedgerError};
 use crate::port::StoreRevision;
 
 /// What the platform's list says of other VMs of the failure domain, as VM names.
@@ -17,7 +17,7 @@
 
 /// A write of the ledger that is to be sent.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Intent {
+pub struct PlannedWrite {
     /// The revision that the ledger's key must have for the write to take effect.
     pub compare: StoreRevision,
     /// The ledger to write.
@@ -37,7 +37,7 @@
 /// The limit is never above the VM's entry in the store. It rises only by what an answer of
 /// the store shows, and it falls before the entry does.
 #[derive(Clone, Debug)]
-pub struct Holder {
+pub struct CapacityState {
     vm: VmName,
     incarnation: Incarnation,
     /// The least that the entry in the store can be, now and after any write on its way.
@@ -61,7 +61,7 @@
     Replaced,
 }
 
-impl Holder {
+impl CapacityState {
     /// Makes a holder that may use nothing yet.
     pub fn new(vm: VmName, incarnation: Incarnation) -> Self {
         Self {
@@ -105,7 +105,7 @@
     /// # Errors
     ///
     /// Returns what is wrong with a ledger that breaks its rules, and changes nothing.
-    pub fn observe(&mut self, ledger: &Ledger, at: StoreRevision) -> Result<(), LedgerFault> {
+    pub fn observe(&mut self, ledger: &Ledger, at: StoreRevision) -> Result<(), LedgerError> {
         ledger.check()?;
         let part = ledger.part_of(&self.vm, self.incarnation);
         if at < self.seen {
@@ -130,13 +130,13 @@
     /// `used` is what the VM's requests in progress and its grants to others take up, in
     /// thousandths. The entry is lowered no further than that: requests in flight go on
     /// after the limit fell, and until they end another VM must not get their part.
-    pub fn plan(
+    pub fn plan_write(
         &mut self,
         ledger: &Ledger,
         at: StoreRevision,
         used: u16,
         departures: &Departures,
-    ) -> Option<Intent> {
+    ) -> Option<PlannedWrite> {
         // A VM that is reported gone has lost its entry to the others, or is about to. It
         // must not join again, or each round would add the entry and remove it.
         // A run that was replaced must not take the entry back: a paused process that wakes
@@ -146,7 +146,7 @@
             return None;
         }
         let mut next = ledger.clone();
-        next.strike_off(&departures.gone);
+        next.remove_vms(&departures.gone);
         if !self.is_own(next.entry(&self.vm)) {
             next.join(&self.vm, self.incarnation);
         }
@@ -156,7 +156,7 @@
         // An unanswered write at this revision may still take effect. Writing the ledger
         // again moves the key's revision, which puts the other one out of the way.
         let unresolved = self.pending.is_some();
-        (wrong_entries || unresolved).then_some(Intent {
+        (wrong_entries || unresolved).then_some(PlannedWrite {
             compare: at,
             ledger: next,
         })
@@ -164,7 +164,7 @@
 
     /// Notes that a write is about to be sent. Its part counts from now on, since the store
     /// may apply it at any moment, before an answer or without one.
-    pub fn sending(&mut self, intent: &Intent) {
+    pub fn record_send(&mut self, intent: &PlannedWrite) {
         let part = intent.ledger.part_of(&self.vm, self.incarnation);
         let same = self.pending;
         let same = same.filter(|pending| pending.compare == intent.compare);
--- a/crates/store/src/claim/batch.rs
+++ b/crates/store/src/claim/batch.rs
@@ -3,14 +3,14 @@
 use std::time::Duration;
 
 use super::record::ClaimValue;
-use super::{Claim, ClaimConfig, ClaimError, ClaimRecord};
+use super::{ClaimConfig, ClaimError, ClaimRecord, ClaimResult};
 use crate::commit::head::{from_json, to_json};
 use crate::error::{Cause, Step, StoreError};
 use crate::lease_book::{LeaseBook, LeaseTerm};
 use crate::port::{Compare, KeyValue, Op, Store, Txn, TxnResponse};
 
 /// Claims of one batch that have an outcome, by their place in the batch.
-type Outcomes = Vec<Option<Claim>>;
+type Outcomes = Vec<Option<ClaimResult>>;
 
 /// Claims every key of a batch, and gives one outcome for each in the same order.
 ///
@@ -22,7 +22,7 @@
     leases: &LeaseBook,
     cfg: &ClaimConfig,
     records: &[ClaimRecord],
-) -> Vec<Result<Claim, ClaimError>> {
+) -> Vec<Result<ClaimResult, ClaimError>> {
     let mut outcomes: Outcomes = vec![None; records.len()];
     let mut failures = 0;
     let mut failure = None;
@@ -117,8 +117,8 @@
     term: LeaseTerm,
     place: usize,
     answer: &TxnResponse,
-) -> Result<Option<Claim>, StoreError> {
-    let won = Claim::Won {
+) -> Result<Option<ClaimResult>, StoreError> {
+    let won = ClaimResult::Won {
         start_by: term.until,
     };
     if answer.succeeded {
@@ -131,7 +131,7 @@
     // The own nonce in the store is the trace of a try whose answer was lost.
     match held.nonce == record.nonce {
         true => Ok(Some(won)),
-        false => Ok(Some(Claim::Held(held.owner))),
+        false => Ok(Some(ClaimResult::Held(held.owner))),
     }
 }
 
--- a/crates/store/src/claim/mod.rs
+++ b/crates/store/src/claim/mod.rs
@@ -28,7 +28,7 @@
 
 /// Who may run the request.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Claim {
+pub enum ClaimResult {
     /// The asker, and nobody else ever, if it starts the run in time.
     Won {
         /// The time on the own clock by which the run must have started. A holder that was
@@ -108,7 +108,7 @@
 
 struct Waiting {
     record: ClaimRecord,
-    tx: oneshot::Sender<Result<Claim, ClaimError>>,
+    tx: oneshot::Sender<Result<ClaimResult, ClaimError>>,
 }
 
 impl ClaimError {
@@ -144,7 +144,7 @@
     /// # Errors
     ///
     /// Returns an error where nothing was found out. The request must then not be run here.
-    pub async fn claim(&self, key: ClaimKey, owner: ClaimOwner) -> Result<Claim, ClaimError> {
+    pub async fn claim(&self, key: ClaimKey, owner: ClaimOwner) -> Result<ClaimResult, ClaimError> {
         let nonce = Nonce(self.inner.nonces.borrow_mut().u64(..));
         let record = ClaimRecord { key, owner, nonce };
         let (tx, rx) = oneshot::channel();
--- a/crates/store/src/commit/history.rs
+++ b/crates/store/src/commit/history.rs
@@ -28,7 +28,7 @@
 
 /// Some accepted changes, in order and without a gap.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct History {
+pub struct HistoryPage {
     /// The changes.
     pub changes: Vec<StoredChange>,
     /// Whether there are more after these.
@@ -43,11 +43,14 @@
 /// # Errors
 ///
 /// Returns an error where the store does not answer or holds a key of another form.
-pub async fn changes_after(store: &Store, after: Revision) -> Result<Option<History>, StoreError> {
+pub async fn changes_after(
+    store: &Store,
+    after: Revision,
+) -> Result<Option<HistoryPage>, StoreError> {
     let found = store.range(single_changes(after)).await?;
     let more = found.more;
     Ok(match in_order(store, found.kvs, after)? {
-        Run::Whole(changes) => Some(History { changes, more }),
+        Run::Whole(changes) => Some(HistoryPage { changes, more }),
         Run::Lacks(_) => None,
     })
 }
@@ -67,7 +70,7 @@
 ///
 /// Returns an error where the store does not answer, holds a value of another form, or lacks
 /// a change that was accepted: the error then names the first one missing.
-pub async fn audit_after(store: &Store, after: Revision) -> Result<History, StoreError> {
+pub async fn audit_after(store: &Store, after: Revision) -> Result<HistoryPage, StoreError> {
     let mut lacking = after.next();
     for _ in 0..MAX_MOVES {
         if let Some(history) = packed_after(store, after).await? {
@@ -75,7 +78,7 @@
         }
         let (run, more) = single_after(store, after).await?;
         match run {
-            Run::Whole(changes) => return Ok(History { changes, more }),
+            Run::Whole(changes) => return Ok(HistoryPage { changes, more }),
             // It may have been packed between the two reads, so the packs are read again.
             Run::Lacks(revision) => lacking = revision,
         }
@@ -104,7 +107,7 @@
 }
 
 /// Reads the pack that holds the change after `after`; `None` where there is none.
-async fn packed_after(store: &Store, after: Revision) -> Result<Option<History>, StoreError> {
+async fn packed_after(store: &Store, after: Revision) -> Result<Option<HistoryPage>, StoreError> {
     let first = keys::pack(after.next());
     let req = RangeRequest::between(first, prefix_end(keys::PACKS)).limit(1);
     let found = store.range(req).await?;
@@ -118,7 +121,7 @@
         return Err(missing(store, after.next()));
     }
     let more = true;
-    Ok(Some(History { changes, more }))
+    Ok(Some(HistoryPage { changes, more }))
 }
 
 /// Reads single changes and the head in one step, so that the last page is known to reach
--- a/crates/store/src/commit/upkeep.rs
+++ b/crates/store/src/commit/maintenance.rs
@@ -14,7 +14,7 @@
 
 /// What is kept.
 #[derive(Clone, Copy, Debug)]
-pub struct UpkeepRules {
+pub struct MaintenanceConfig {
     /// The number of changes from one snapshot to the next.
     pub snapshot_every: u64,
     /// Which changes are packed.
@@ -25,7 +25,7 @@
     pub keep_commands: u64,
 }
 
-impl Default for UpkeepRules {
+impl Default for MaintenanceConfig {
     /// Makes a snapshot each 64 changes, and keeps the records of 8,192 commands: four weeks
     /// at 290 changes a day.
     fn default() -> Self {
@@ -40,7 +40,7 @@
 
 /// What an upkeep did.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Upkeep {
+pub struct MaintenanceReport {
     /// Whether it wrote a snapshot. Where not, it left the rest alone too.
     pub wrote_snapshot: bool,
     /// The packs made.
@@ -61,24 +61,24 @@
 pub async fn run(
     store: &Store,
     whole: &Snapshot,
-    rules: &UpkeepRules,
-) -> Result<Upkeep, StoreError> {
+    rules: &MaintenanceConfig,
+) -> Result<MaintenanceReport, StoreError> {
     let newest = whole.at.revision;
     let head = read_head(store).await?.head;
     if head.revision != newest || !snapshot::is_due(&head, rules.snapshot_every) {
-        return Ok(Upkeep::default());
+        return Ok(MaintenanceReport::default());
     }
     let outcome = snapshot::write(store, newest, &to_json(whole)).await?;
     if outcome == SnapshotOutcome::Superseded {
-        return Ok(Upkeep::default());
+        return Ok(MaintenanceReport::default());
     }
     // The snapshot before this one stays for those who are reading it.
     if let Some(previous) = head.snapshot {
         snapshot::remove_old(store, previous.revision).await?;
     }
-    let mut done = Upkeep {
+    let mut done = MaintenanceReport {
         wrote_snapshot: true,
-        ..Upkeep::default()
+        ..MaintenanceReport::default()
     };
     while done.packs < rules.packs_at_once
         && let Some(_) = pack_oldest(store, newest, rules.pack, &shorten).await?
--- a/crates/store/src/commit/mod.rs
+++ b/crates/store/src/commit/mod.rs
@@ -5,10 +5,10 @@
 pub mod head;
 pub mod history;
 pub mod keys;
+pub mod maintenance;
 pub mod pack;
-mod settle;
+mod resolve;
 pub mod snapshot;
-pub mod upkeep;
 
 use std::sync::Arc;
 
@@ -21,7 +21,7 @@
 
 use head::{Head, HeadRead, from_json, head_of, to_json};
 pub use keys::CommandId;
-pub use settle::{SettlePolicy, settle};
+pub use resolve::{ResolvePolicy, resolve_command};
 
 /// How often a commit starts over because the head's snapshot moved, not its revision.
 const MAX_SNAPSHOT_RACES: u32 = 8;
@@ -47,7 +47,7 @@
     /// The change was not accepted and no write of this call will take effect any more.
     NotAccepted(Rejection),
     /// The change may have been accepted or may still be. The same command run again, or
-    /// [`settle`], finds it out once the store answers.
+    /// [`resolve_command`], finds it out once the store answers.
     Unknown(StoreError),
 }
 
@@ -55,7 +55,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Rejection {
     /// Another change came first.
-    Raced {
+    Conflict {
         /// The newest revision.
         newest: Revision,
         /// The change that followed the proposal's base, where the store still holds it
@@ -88,7 +88,7 @@
 /// Has a change accepted by one transaction, or says why not.
 ///
 /// Two calls on the store where nothing goes wrong: a read and the transaction.
-pub async fn commit(store: &Store, proposal: &Proposal, policy: &SettlePolicy) -> CommitOutcome {
+pub async fn commit(store: &Store, proposal: &Proposal, policy: &ResolvePolicy) -> CommitOutcome {
     let mut before = match read_before(store, proposal).await {
         Ok(before) => before,
         Err(outcome) => return outcome,
@@ -101,7 +101,7 @@
     }
     let newest = before.head.revision;
     let winner = None;
-    CommitOutcome::NotAccepted(Rejection::Raced { newest, winner })
+    CommitOutcome::NotAccepted(Rejection::Conflict { newest, winner })
 }
 
 /// Finds the revision that a command has made, if any.
@@ -141,14 +141,14 @@
     store: &Store,
     proposal: &Proposal,
     before: &HeadRead,
-    policy: &SettlePolicy,
+    policy: &ResolvePolicy,
 ) -> Tried {
     let answer = match store.txn(accept(proposal, before)).await {
         Ok(answer) => answer,
         Err(err) if err.is_not_applied() => return Tried::Done(failed(err)),
         Err(err) => {
             log::warn!(command = proposal.command.as_str(), err:% = err; "commit unanswered");
-            let outcome = settle(store, &proposal.command, policy).await;
+            let outcome = resolve_command(store, &proposal.command, policy).await;
             return Tried::Done(outcome);
         }
     };
@@ -225,7 +225,7 @@
         Err(err) => return Tried::Done(failed(err)),
     };
     if head.head.revision != proposal.base {
-        let rejection = Rejection::Raced {
+        let rejection = Rejection::Conflict {
             newest: head.head.revision,
             winner: found.winner.map(|kv| kv.value.clone()),
         };
--- a/crates/store/src/commit/settle.rs
+++ b/crates/store/src/commit/resolve.rs
@@ -9,14 +9,14 @@
 
 /// How long a lost answer is searched for.
 #[derive(Clone, Debug)]
-pub struct SettlePolicy {
+pub struct ResolvePolicy {
     /// The most calls on the store.
     pub tries: u32,
     /// The wait between them.
     pub backoff: Backoff,
 }
 
-impl Default for SettlePolicy {
+impl Default for ResolvePolicy {
     fn default() -> Self {
         Self {
             tries: 5,
@@ -36,7 +36,11 @@
 /// A withdrawn command stays withdrawn, whoever runs it again: a daemon that was paused with
 /// an earlier copy of it could otherwise have it accepted after the operator was told "not
 /// accepted". The same change is made by a new command.
-pub async fn settle(store: &Store, command: &CommandId, policy: &SettlePolicy) -> CommitOutcome {
+pub async fn resolve_command(
+    store: &Store,
+    command: &CommandId,
+    policy: &ResolvePolicy,
+) -> CommitOutcome {
     let mut tries = 0;
     loop {
         let err = match withdraw(store, command).await {
--- a/crates/store/src/follow.rs
+++ b/crates/store/src/follow.rs
@@ -23,7 +23,7 @@
 
 /// What a follower brings, in the order of revisions.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Update {
+pub enum SettingsUpdate {
     /// The changes that follow what the daemon holds.
     Changes(Vec<StoredChange>),
     /// A whole tree, newer than what the daemon holds.
@@ -37,11 +37,11 @@
 
 /// The daemon's side of a follower.
 #[derive(Clone)]
-pub struct Follow {
+pub struct FollowCallbacks {
     /// Gives the revision that the daemon holds now, from the store or from a peer.
-    pub held: Rc<dyn Fn() -> Revision>,
-    /// Takes an update. The daemon may refuse it, and [`held`](Self::held) then stays.
-    pub deliver: Rc<dyn Fn(Update)>,
+    pub current_revision: Rc<dyn Fn() -> Revision>,
+    /// Takes an update. The daemon may refuse it, and [`current_revision`](Self::current_revision) then stays.
+    pub deliver: Rc<dyn Fn(SettingsUpdate)>,
 }
 
 /// How a follower follows.
@@ -105,7 +105,7 @@
 }
 
 /// Starts following on a task of the current runtime.
-pub fn start(store: Store, follow: Follow, cfg: FollowConfig) -> Follower {
+pub fn start(store: Store, follow: FollowCallbacks, cfg: FollowConfig) -> Follower {
     let status = Rc::new(Cell::new(FollowStatus::default()));
     let task = Task {
         store,
@@ -120,7 +120,7 @@
 
 struct Task {
     store: Store,
-    follow: Follow,
+    follow: FollowCallbacks,
     cfg: FollowConfig,
     status: Rc<Cell<FollowStatus>>,
 }
@@ -226,7 +226,7 @@
     async fn catch_up(&self, head: &Head) -> Result<(), StoreError> {
         self.count(|status| status.newest = status.newest.max(head.revision));
         loop {
-            let held = (self.follow.held)();
+            let held = (self.follow.current_revision)();
             if held >= head.revision {
                 return Ok(());
             }
@@ -237,19 +237,23 @@
             (self.follow.deliver)(update);
             // A daemon that can't read a revision keeps its own; asking again would bring
             // the same, so it waits for the next one.
-            if (self.follow.held)() == held {
+            if (self.follow.current_revision)() == held {
                 return Ok(());
             }
         }
     }
 
-    async fn read_update(&self, held: Revision, head: &Head) -> Result<Option<Update>, StoreError> {
+    async fn read_update(
+        &self,
+        held: Revision,
+        head: &Head,
+    ) -> Result<Option<SettingsUpdate>, StoreError> {
         let behind = head.revision.0 - held.0;
         if behind <= self.cfg.max_changes
             && let Some(history) = changes_after(&self.store, held).await?
             && !history.changes.is_empty()
         {
-            return Ok(Some(Update::Changes(history.changes)));
+            return Ok(Some(SettingsUpdate::Changes(history.changes)));
         }
         self.read_snapshot(held, head).await
     }
@@ -258,15 +262,15 @@
         &self,
         held: Revision,
         head: &Head,
-    ) -> Result<Option<Update>, StoreError> {
+    ) -> Result<Option<SettingsUpdate>, StoreError> {
         let newer = head.snapshot.as_ref().filter(|at| at.revision > held);
         let Some(at) = newer else {
             let history = changes_after(&self.store, held).await?;
             let changes = history.map(|history| history.changes).unwrap_or_default();
-            return Ok((!changes.is_empty()).then_some(Update::Changes(changes)));
+            return Ok((!changes.is_empty()).then_some(SettingsUpdate::Changes(changes)));
         };
         let tree = snapshot::read(&self.store, at).await?;
-        Ok(tree.map(|tree| Update::Snapshot {
+        Ok(tree.map(|tree| SettingsUpdate::Snapshot {
             at: at.clone(),
             tree,
         }))
--- a/crates/store/src/http_client.rs
+++ b/crates/store/src/http_client.rs
@@ -45,7 +45,7 @@
 }
 
 /// A whole answer.
-pub struct Answer {
+pub struct FullResponse {
     /// The status.
     pub status: StatusCode,
     /// The whole body.
@@ -53,7 +53,7 @@
 }
 
 /// An answer whose body arrives bit by bit.
-pub struct Streaming {
+pub struct StreamingResponse {
     /// The status.
     pub status: StatusCode,
     body: Body,
@@ -95,7 +95,7 @@
     }
 
     /// Makes a call and reads the whole answer.
-    pub async fn call(&self, call: Call) -> Result<Answer, StoreError> {
+    pub async fn call(&self, call: Call) -> Result<FullResponse, StoreError> {
         let deadline = self.deadline(&call);
         let pool = match is_read(&call) {
             true => &self.reads,
@@ -109,14 +109,14 @@
             Err(_) => Err(timeout(call.limit)),
         };
         let body = body.map_err(|source| self.error(call.step, Effect::MayBeApplied, source))?;
-        Ok(Answer { status, body })
+        Ok(FullResponse { status, body })
     }
 
     /// Makes a call and reads the head of the answer.
-    pub async fn open(&self, call: Call) -> Result<Streaming, StoreError> {
+    pub async fn open(&self, call: Call) -> Result<StreamingResponse, StoreError> {
         let deadline = self.deadline(&call);
         let resp = self.send(&self.watches, &call, deadline).await?;
-        Ok(Streaming {
+        Ok(StreamingResponse {
             status: resp.status,
             body: resp.body,
             limit: self.watch_limit,
@@ -166,7 +166,7 @@
     }
 }
 
-impl Streaming {
+impl StreamingResponse {
     /// Reads the next part of the body; `None` at its end.
     pub async fn next(&mut self) -> Option<Result<Bytes, Cause>> {
         let part = self.body.next_chunk().await?;
--- a/crates/store/src/http_store/mod.rs
+++ b/crates/store/src/http_store/mod.rs
@@ -22,7 +22,7 @@
     WireTxnAnswer,
 };
 use crate::error::{Cause, Effect, Step, StoreError};
-use crate::http_client::{Answer, Call, Client};
+use crate::http_client::{Call, Client, FullResponse};
 use crate::port::{
     Lease, LeaseId, RangeRequest, RangeResponse, Store, StoreFuture, Txn, TxnResponse,
     WatchRequest, WatchStream,
@@ -147,7 +147,7 @@
                 let body = streaming.next().await.and_then(Result::ok);
                 let status = streaming.status;
                 let body = body.unwrap_or_default();
-                return Err(self.refusal(Step::Watch, &Answer { status, body }));
+                return Err(self.refusal(Step::Watch, &FullResponse { status, body }));
             }
             Watching::confirm(self, streaming).await
         })
@@ -182,7 +182,7 @@
 
     /// Reads a refusal. Only a refusal that the service gives before it runs a call counts
     /// as "not applied"; a gateway's or a replica's failure leaves the effect open.
-    fn refusal(&self, step: Step, answer: &Answer) -> StoreError {
+    fn refusal(&self, step: Step, answer: &FullResponse) -> StoreError {
         let err: WireError = serde_json::from_slice(&answer.body).unwrap_or_default();
         let status = answer.status;
         let cause = match err.code {
--- a/crates/store/src/http_store/watch.rs
+++ b/crates/store/src/http_store/watch.rs
@@ -8,7 +8,7 @@
 use super::convert::watch_from_wire;
 use super::wire::{Streamed, WireWatchAnswer};
 use crate::error::{Cause, Step, StoreError};
-use crate::http_client::Streaming;
+use crate::http_client::StreamingResponse;
 use crate::port::{WatchMessage, WatchStream};
 
 /// The longest single message of a watch: a handful of values of up to a megabyte each.
@@ -17,7 +17,7 @@
 /// A watch whose answer is being read.
 pub(super) struct Watching {
     adapter: Adapter,
-    streaming: Streaming,
+    streaming: StreamingResponse,
     buf: Vec<u8>,
     ended: bool,
 }
@@ -26,7 +26,7 @@
     /// Waits until the service confirms a watch, and gives its messages.
     pub(super) async fn confirm(
         adapter: Adapter,
-        streaming: Streaming,
+        streaming: StreamingResponse,
     ) -> Result<WatchStream, StoreError> {
         let limit = adapter.cfg.call_limit;
         let mut watching = Self {
--- a/crates/store/tests/budget.rs
+++ b/crates/store/tests/budget.rs
@@ -5,7 +5,7 @@
 use std::cell::Cell;
 use std::rc::Rc;
 
-use heatherknot_store::budget::{CallLimits, PlatformRates, limited};
+use heatherknot_store::budget::{CallLimits, PlatformRates, with_call_limits};
 use heatherknot_store::error::{Cause, Effect, Step};
 use heatherknot_store::port::Store;
 use heatherknot_test_support::platform::{Down, PlatformHandle};
@@ -29,7 +29,7 @@
     let now = Rc::new(Cell::new(Millis(0)));
     let read = now.clone();
     let clock = Clock::new(move || read.get());
-    let store = limited(store(platform), || LIMITS, clock, backoff());
+    let store = with_call_limits(store(platform), || LIMITS, clock, backoff());
     Fixture { store, now }
 }
 
@@ -138,7 +138,7 @@
     let limits = Rc::new(Cell::new(LIMITS));
     let read = limits.clone();
     let clock = Clock::new(|| Millis(0));
-    let store = limited(store(&platform), move || read.get(), clock, backoff());
+    let store = with_call_limits(store(&platform), move || read.get(), clock, backoff());
 
     let second = block_on(async {
         store.get("k").await.unwrap();
--- a/crates/store/tests/capacity.rs
+++ b/crates/store/tests/capacity.rs
@@ -6,7 +6,8 @@
 use std::rc::Rc;
 
 use heatherknot_store::capacity::{
-    Departures, Holder, Keeper, Ledger, LedgerFault, Round, departures, key,
+    CapacityReconciler, CapacityState, Departures, Ledger, LedgerError, ReconcileOutcome,
+    departures, key,
 };
 use heatherknot_store::port::{Store, StoreRevision};
 use heatherknot_store::vm_list::{VmRecord, VmState};
@@ -16,16 +17,16 @@
 use support::{platform, store};
 
 struct Vm {
-    keeper: Keeper,
+    keeper: CapacityReconciler,
     used: Rc<Cell<u16>>,
 }
 
 fn vm(store: &Store, name: &str, incarnation: u64) -> Vm {
     let used = Rc::new(Cell::new(0));
-    let holder = Holder::new(VmName::from(name), Incarnation(incarnation));
+    let holder = CapacityState::new(VmName::from(name), Incarnation(incarnation));
     let domain = DomainName::from("north-a");
     let reported = used.clone();
-    let keeper = Keeper::new(store.clone(), &domain, holder, move || reported.get());
+    let keeper = CapacityReconciler::new(store.clone(), &domain, holder, move || reported.get());
     Vm { keeper, used }
 }
 
@@ -42,7 +43,7 @@
 async fn rounds(vms: &[&Vm], departures: &Departures) {
     for _ in 0..3 {
         for vm in vms {
-            vm.keeper.round(departures).await.unwrap();
+            vm.keeper.reconcile(departures).await.unwrap();
         }
     }
 }
@@ -86,8 +87,8 @@
     let calls = block_on(async {
         rounds(&[&a], &nobody()).await;
         let before = platform.calls();
-        let round = a.keeper.round(&nobody()).await.unwrap();
-        assert_eq!(round, Round::Settled);
+        let round = a.keeper.reconcile(&nobody()).await.unwrap();
+        assert_eq!(round, ReconcileOutcome::Settled);
         platform.calls().total() - before.total()
     });
 
@@ -123,7 +124,7 @@
 
     let limit = block_on(async {
         rounds(&[&a, &old], &nobody()).await;
-        new.keeper.round(&nobody()).await.unwrap();
+        new.keeper.reconcile(&nobody()).await.unwrap();
         limits(&[&a, &new])
     });
 
@@ -185,8 +186,8 @@
     let limits = block_on(async {
         rounds(&[&a], &nobody()).await;
         platform.faults(|faults| faults.down = Some(Down::Closes));
-        assert!(a.keeper.round(&nobody()).await.is_err());
-        assert!(b.keeper.round(&nobody()).await.is_err());
+        assert!(a.keeper.reconcile(&nobody()).await.is_err());
+        assert!(b.keeper.reconcile(&nobody()).await.is_err());
         limits(&[&a, &b])
     });
 
@@ -204,10 +205,10 @@
 
     let (reread, after) = block_on(async {
         rounds(&[&a], &nobody()).await;
-        b.keeper.round(&nobody()).await.unwrap();
+        b.keeper.reconcile(&nobody()).await.unwrap();
         platform.faults(|faults| faults.hold_writes = 2);
-        assert!(a.keeper.round(&nobody()).await.is_err());
-        assert!(a.keeper.round(&nobody()).await.is_err());
+        assert!(a.keeper.reconcile(&nobody()).await.is_err());
+        assert!(a.keeper.reconcile(&nobody()).await.is_err());
         let reread = a.keeper.limit();
         platform.release_held();
         rounds(&[&b, &a], &nobody()).await;
@@ -228,9 +229,9 @@
     platform.faults(|faults| faults.lose_answers = 1);
 
     let (lost, seen) = block_on(async {
-        assert!(a.keeper.round(&nobody()).await.is_err());
+        assert!(a.keeper.reconcile(&nobody()).await.is_err());
         let lost = a.keeper.limit();
-        a.keeper.round(&nobody()).await.unwrap();
+        a.keeper.reconcile(&nobody()).await.unwrap();
         (lost, a.keeper.limit())
     });
 
@@ -247,10 +248,10 @@
     let round = block_on(async {
         rounds(&[&a], &nobody()).await;
         platform.faults(|faults| faults.conflicts = 2);
-        b.keeper.round(&nobody()).await.unwrap()
+        b.keeper.reconcile(&nobody()).await.unwrap()
     });
 
-    assert_eq!(round, Round::Settled);
+    assert_eq!(round, ReconcileOutcome::Settled);
     assert_eq!(ledger(&platform).entries.len(), 2);
 }
 
@@ -262,7 +263,7 @@
     let broken = r#"{"e":[{"v":"x","i":1,"p":800},{"v":"y","i":2,"p":300}]}"#;
     platform.put("hk/capacity/north-a", broken);
 
-    let failure = block_on(a.keeper.round(&nobody())).unwrap_err();
+    let failure = block_on(a.keeper.reconcile(&nobody())).unwrap_err();
 
     let text = failure.to_string();
     assert!(
@@ -280,7 +281,7 @@
     let fault = ledger.check().unwrap_err();
 
     let vm = VmName::from("x");
-    assert_eq!(fault, LedgerFault::Order { vm });
+    assert_eq!(fault, LedgerError::Order { vm });
 }
 
 #[test]
@@ -343,13 +344,13 @@
         leaving: vec![VmName::from("b")],
         gone: Vec::new(),
     };
-    let mut holder = Holder::new(VmName::from("a"), Incarnation(1));
+    let mut holder = CapacityState::new(VmName::from("a"), Incarnation(1));
     holder.observe(&ledger, before).unwrap();
-    let lowering = holder.plan(&ledger, before, 0, &nobody()).unwrap();
-    holder.sending(&lowering);
+    let lowering = holder.plan_write(&ledger, before, 0, &nobody()).unwrap();
+    holder.record_send(&lowering);
     holder.observe(&ledger, before).unwrap();
-    let raising = holder.plan(&ledger, before, 0, &b_leaves).unwrap();
-    holder.sending(&raising);
+    let raising = holder.plan_write(&ledger, before, 0, &b_leaves).unwrap();
+    holder.record_send(&raising);
 
     holder.observe(&ledger, before).unwrap();
     let unresolved = holder.limit();
--- a/crates/store/tests/capacity_model.rs
+++ b/crates/store/tests/capacity_model.rs
@@ -5,7 +5,7 @@
 //! list lags; processes die and come back. After every step the parts in use are checked.
 
 use bolero::TypeGenerator;
-use heatherknot_store::capacity::{Departures, Holder, Intent, Ledger, WHOLE};
+use heatherknot_store::capacity::{CapacityState, Departures, Ledger, PlannedWrite, TOTAL_PARTS};
 use heatherknot_store::port::StoreRevision;
 use heatherknot_types::prelude::*;
 
@@ -28,7 +28,7 @@
 }
 
 struct Process {
-    holder: Holder,
+    holder: CapacityState,
     incarnation: Incarnation,
     used: u16,
     seen: Option<(Ledger, StoreRevision)>,
@@ -40,7 +40,7 @@
     id: u64,
     vm: usize,
     incarnation: Incarnation,
-    intent: Intent,
+    intent: PlannedWrite,
 }
 
 #[derive(Default)]
@@ -98,7 +98,7 @@
         self.next_id += 1;
         let incarnation = Incarnation(self.next_id);
         self.processes[vm] = Some(Process {
-            holder: Holder::new(name(vm), incarnation),
+            holder: CapacityState::new(name(vm), incarnation),
             incarnation,
             used: 0,
             seen: None,
@@ -129,11 +129,13 @@
         let Some((ledger, at)) = process.seen.clone().filter(|_| process.awaits.is_none()) else {
             return;
         };
-        let planned = process.holder.plan(&ledger, at, process.used, &departures);
+        let planned = process
+            .holder
+            .plan_write(&ledger, at, process.used, &departures);
         let Some(intent) = planned else {
             return;
         };
-        process.holder.sending(&intent);
+        process.holder.record_send(&intent);
         self.next_id += 1;
         process.awaits = Some(self.next_id);
         self.network.push(Write {
@@ -186,7 +188,7 @@
             );
             in_use += own;
         }
-        assert!(in_use <= WHOLE, "{in_use} in use");
+        assert!(in_use <= TOTAL_PARTS, "{in_use} in use");
     }
 }
 
--- a/crates/store/tests/claim.rs
+++ b/crates/store/tests/claim.rs
@@ -7,9 +7,9 @@
 use std::rc::Rc;
 
 use futures_util::future::join_all;
-use heatherknot_store::budget::{CallLimits, limited};
+use heatherknot_store::budget::{CallLimits, with_call_limits};
 use heatherknot_store::claim::{
-    Claim, ClaimConfig, ClaimError, ClaimKey, ClaimOwner, Claims, KEEP,
+    ClaimConfig, ClaimError, ClaimKey, ClaimOwner, ClaimResult, Claims, KEEP,
 };
 use heatherknot_store::port::Store;
 use heatherknot_test_support::platform::Down;
@@ -52,8 +52,8 @@
     )
 }
 
-fn is_won(claim: &Result<Claim, ClaimError>) -> bool {
-    matches!(claim, Ok(Claim::Won { .. }))
+fn is_won(claim: &Result<ClaimResult, ClaimError>) -> bool {
+    matches!(claim, Ok(ClaimResult::Won { .. }))
 }
 
 /// A caller sends the same approval to two entry VMs at once. One of them wins the claim;
@@ -70,7 +70,7 @@
     });
 
     assert!(is_won(&first));
-    assert_eq!(second, Ok(Claim::Held(owner("vm-a"))));
+    assert_eq!(second, Ok(ClaimResult::Held(owner("vm-a"))));
 }
 
 /// The claim takes effect and its answer is lost. The daemon must find out that the claim
@@ -104,7 +104,7 @@
         claims.claim(key("k"), owner("vm-a")).await
     });
 
-    assert_eq!(second, Ok(Claim::Held(owner("vm-a"))));
+    assert_eq!(second, Ok(ClaimResult::Held(owner("vm-a"))));
 }
 
 #[test]
@@ -140,7 +140,7 @@
 
     let held = outcomes.iter().map(|claim| !is_won(claim));
     assert_eq!(held.collect::<Vec<_>>(), [false, false, true, false, false]);
-    assert_eq!(outcomes[2], Ok(Claim::Held(owner("vm-a"))));
+    assert_eq!(outcomes[2], Ok(ClaimResult::Held(owner("vm-a"))));
 }
 
 #[test]
@@ -200,8 +200,8 @@
 
     let start_by = block_on(async {
         match claims.claim(key("k"), owner("vm-a")).await.unwrap() {
-            Claim::Won { start_by } => start_by,
-            Claim::Held(_) => panic!("nobody else claimed the key"),
+            ClaimResult::Won { start_by } => start_by,
+            ClaimResult::Held(_) => panic!("nobody else claimed the key"),
         }
     });
     let asked = now.get();
@@ -243,7 +243,7 @@
         write_burst: 2.0,
     };
     let clock = Clock::new(|| Millis(1_000));
-    let store = limited(store(&platform), move || limits, clock, backoff());
+    let store = with_call_limits(store(&platform), move || limits, clock, backoff());
     let claims = claims(&store, 1);
 
     let (first, held_back) = block_on(async {
--- a/crates/store/tests/commit.rs
+++ b/crates/store/tests/commit.rs
@@ -7,7 +7,7 @@
 use bytes::Bytes;
 use heatherknot_store::commit::head::read_head;
 use heatherknot_store::commit::{
-    CommandId, CommitOutcome, Rejection, commit, find_command, keys, settle,
+    CommandId, CommitOutcome, Rejection, commit, find_command, keys, resolve_command,
 };
 use heatherknot_store::http_store::{StoreConfig, connect};
 use heatherknot_store::port::Store;
@@ -71,7 +71,7 @@
     });
 
     assert_eq!(first, CommitOutcome::Accepted(Revision(1)));
-    let lost = Rejection::Raced {
+    let lost = Rejection::Conflict {
         newest: Revision(1),
         winner: Some(Bytes::from("change of a")),
     };
@@ -94,7 +94,7 @@
 
     let outcome = block_on(commit(&store, &proposal("a", 0), &policy(3)));
 
-    let lost = Rejection::Raced {
+    let lost = Rejection::Conflict {
         newest: Revision(1),
         winner: Some(change.clone()),
     };
@@ -210,7 +210,7 @@
 
     let outcome = block_on(async {
         commit(&store, &proposal("a", 0), &policy(0)).await;
-        settle(&store, &command, &policy(3)).await
+        resolve_command(&store, &command, &policy(3)).await
     });
     platform.release_held();
 
--- a/crates/store/tests/follow.rs
+++ b/crates/store/tests/follow.rs
@@ -8,7 +8,7 @@
 
 use bytes::Bytes;
 use heatherknot_store::commit::{commit, keys, pack, snapshot};
-use heatherknot_store::follow::{Follow, FollowConfig, Follower, Update, start};
+use heatherknot_store::follow::{FollowCallbacks, FollowConfig, Follower, SettingsUpdate, start};
 use heatherknot_store::port::Store;
 use heatherknot_test_support::platform::Down;
 use heatherknot_test_support::runtime::block_on;
@@ -30,28 +30,28 @@
 }
 
 impl Daemon {
-    fn follow(&self) -> Follow {
+    fn follow(&self) -> FollowCallbacks {
         let (held, daemon) = (self.held.clone(), self.clone());
-        Follow {
-            held: Rc::new(move || held.get()),
+        FollowCallbacks {
+            current_revision: Rc::new(move || held.get()),
             deliver: Rc::new(move |update| daemon.take(update)),
         }
     }
 
-    fn take(&self, update: Update) {
+    fn take(&self, update: SettingsUpdate) {
         if self.refuses.get() {
             self.log.borrow_mut().push("refused".to_owned());
             return;
         }
         match update {
-            Update::Changes(changes) => {
+            SettingsUpdate::Changes(changes) => {
                 for stored in changes {
                     assert_eq!(stored.revision, self.held.get().next());
                     self.held.set(stored.revision);
                     self.log.borrow_mut().push(stored.revision.to_string());
                 }
             }
-            Update::Snapshot { at, tree } => {
+            SettingsUpdate::Snapshot { at, tree } => {
                 assert!(at.revision > self.held.get());
                 self.held.set(at.revision);
                 let tree = String::from_utf8(tree.to_vec()).unwrap();
--- a/crates/store/tests/history.rs
+++ b/crates/store/tests/history.rs
@@ -4,7 +4,7 @@
 
 use bytes::Bytes;
 use heatherknot_store::commit::head::read_head;
-use heatherknot_store::commit::history::{History, audit_after, changes_after};
+use heatherknot_store::commit::history::{HistoryPage, audit_after, changes_after};
 use heatherknot_store::commit::pack::{PackRule, pack_oldest};
 use heatherknot_store::commit::snapshot::{self, SnapshotOutcome};
 use heatherknot_store::commit::{commit, keys};
@@ -61,7 +61,7 @@
         (first, rest, none)
     });
 
-    let revisions = |history: History| -> Vec<u64> {
+    let revisions = |history: HistoryPage| -> Vec<u64> {
         history
             .changes
             .iter()
@@ -284,7 +284,7 @@
         (audit_after(&store, Revision::NONE).await, middle, end)
     });
 
-    let text = |outcome: Result<History, StoreError>| outcome.unwrap_err().to_string();
+    let text = |outcome: Result<HistoryPage, StoreError>| outcome.unwrap_err().to_string();
     assert!(text(pack).contains("change r1 is missing"));
     assert!(text(middle).contains("change r9 is missing"));
     assert!(text(end).contains("change r11 is missing"));
--- a/crates/store/tests/upkeep.rs
+++ b/crates/store/tests/maintenance.rs
@@ -5,10 +5,10 @@
 use heatherknot_settings::{ChainPoint, Change, Digest, Snapshot};
 use heatherknot_store::commit::head::read_head;
 use heatherknot_store::commit::history::audit_after;
+use heatherknot_store::commit::maintenance::{self, MaintenanceConfig, MaintenanceReport};
 use heatherknot_store::commit::pack::PackRule;
-use heatherknot_store::commit::upkeep::{self, Upkeep, UpkeepRules};
 use heatherknot_store::commit::{
-    CommandId, CommitOutcome, Proposal, commands, commit, keys, settle,
+    CommandId, CommitOutcome, Proposal, commands, commit, keys, resolve_command,
 };
 use heatherknot_store::port::Store;
 use heatherknot_test_support::runtime::block_on;
@@ -16,7 +16,7 @@
 use serde_json::json;
 use support::{platform, policy, proposal, store};
 
-const RULES: UpkeepRules = UpkeepRules {
+const RULES: MaintenanceConfig = MaintenanceConfig {
     snapshot_every: 4,
     pack: PackRule {
         changes: 3,
@@ -35,11 +35,15 @@
     Snapshot::new(at, &document)
 }
 
-async fn accept_with_upkeep(store: &Store, from: u64, to: u64) -> Vec<Upkeep> {
+async fn accept_with_upkeep(store: &Store, from: u64, to: u64) -> Vec<MaintenanceReport> {
     let mut done = Vec::new();
     for base in from..to {
         commit(store, &proposal(&format!("c{base}"), base), &policy(3)).await;
-        done.push(upkeep::run(store, &whole(base + 1), &RULES).await.unwrap());
+        done.push(
+            maintenance::run(store, &whole(base + 1), &RULES)
+                .await
+                .unwrap(),
+        );
     }
     done
 }
@@ -111,10 +115,10 @@
         for base in 0..5 {
             commit(&store, &proposal(&format!("c{base}"), base), &policy(3)).await;
         }
-        upkeep::run(&store, &whole(4), &RULES).await.unwrap()
+        maintenance::run(&store, &whole(4), &RULES).await.unwrap()
     });
 
-    assert_eq!(done, Upkeep::default());
+    assert_eq!(done, MaintenanceReport::default());
     assert_eq!(platform.keys(keys::SNAPSHOTS).len(), 0);
 }
 
@@ -140,7 +144,7 @@
             };
             commit(&store, &long, &policy(3)).await;
         }
-        upkeep::run(&store, &whole(8), &RULES).await.unwrap();
+        maintenance::run(&store, &whole(8), &RULES).await.unwrap();
         audit_after(&store, Revision::NONE).await.unwrap().changes
     });
 
@@ -158,11 +162,11 @@
     let id = |text: &str| CommandId::parse(text).unwrap();
 
     let (removed, left, again) = block_on(async {
-        settle(&store, &id("early"), &policy(3)).await;
+        resolve_command(&store, &id("early"), &policy(3)).await;
         for base in 0..6 {
             commit(&store, &proposal(&format!("c{base}"), base), &policy(3)).await;
         }
-        settle(&store, &id("late"), &policy(3)).await;
+        resolve_command(&store, &id("late"), &policy(3)).await;
         let removed = commands::remove_up_to(&store, Revision(4)).await.unwrap();
         let left = platform.keys(keys::COMMANDS);
         let again = commit(&store, &proposal("c5", 5), &policy(3)).await;
--- a/crates/store/tests/support/mod.rs
+++ b/crates/store/tests/support/mod.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use heatherknot_store::backoff::Backoff;
-use heatherknot_store::commit::{CommandId, Proposal, SettlePolicy};
+use heatherknot_store::commit::{CommandId, Proposal, ResolvePolicy};
 use heatherknot_store::http_store::{StoreConfig, connect};
 use heatherknot_store::port::Store;
 use heatherknot_test_support::platform::{Platform, PlatformConfig, PlatformHandle};
@@ -23,9 +23,9 @@
     Backoff::new(first, longest, fastrand::Rng::with_seed(7))
 }
 
-pub fn policy(tries: u32) -> SettlePolicy {
+pub fn policy(tries: u32) -> ResolvePolicy {
     let backoff = backoff();
-    SettlePolicy { tries, backoff }
+    ResolvePolicy { tries, backoff }
 }
 
 pub fn proposal(command: &str, base: u64) -> Proposal {
