--- a/crates/daemon/src/assemble.rs
+++ b/crates/daemon/src/assemble.rs
@@ -181,7 +181,7 @@
         let known = cell.get().map_or(seeds, |cx| cx.membership.views().len());
         CallLimits::share_of(PlatformRates::default(), known as u32 + 1)
     };
-    budget::limited(store, limits, clock.clone(), Backoff::default())
+    budget::with_call_limits(store, limits, clock.clone(), Backoff::default())
 }
 
 /// Time allowed for reading the platform's list of VMs.
@@ -229,8 +229,8 @@
         revision: Rc::new(move || holder.borrow().revision()),
         reports: None,
         hooks: MembershipHooks {
-            told_leaving: Rc::new(move || leaving.fire()),
-            peer_revision: relay.peer_revision_hook(),
+            on_leave_request: Rc::new(move || leaving.fire()),
+            on_peer_revision: relay.peer_revision_hook(),
             ..MembershipHooks::default()
         },
         options: MembershipOptions::default(),
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -20,14 +20,14 @@
 use crate::context::GatewayContext;
 use crate::hop::{Hop, HopReason};
 use crate::leaving::{Leaving, LeavingSource};
-use crate::line::Lines;
 use crate::mac::TokenKey;
 use crate::metrics::GatewayMetrics;
-use crate::once::{Memory, Ticket};
-use crate::pace::Pace;
+use crate::once::{RecordTable, Ticket};
 use crate::payload::Payload;
 use crate::probe::Probes;
+use crate::queues::RequestQueues;
 use crate::slots::{Members, SlotContext, Slots, UpstreamKey};
+use crate::wait_estimator::WaitEstimator;
 
 /// The status of an answer that nobody waits for.
 const CLIENT_CLOSED: u16 = 499;
@@ -36,13 +36,13 @@
 pub struct Gateway {
     pub(crate) cx: GatewayContext,
     pub(crate) slots: Rc<Slots>,
-    pub(crate) lines: Rc<Lines>,
-    pub(crate) memory: Rc<Memory>,
+    pub(crate) queues: Rc<RequestQueues>,
+    pub(crate) records: Rc<RecordTable>,
     pub(crate) tokens: TokenKey,
     pub(crate) metrics: GatewayMetrics,
     pub(crate) pools: RefCell<HashMap<UpstreamKey, UpstreamPool>>,
     pub(crate) probes: Probes,
-    pub(crate) pace: Pace,
+    pub(crate) wait_estimator: WaitEstimator,
     leaving: Rc<Leaving>,
     in_flight: Rc<InFlight>,
 }
@@ -69,7 +69,7 @@
     /// How long it took until no request was in flight, or until time ran out.
     pub took: Millis,
     /// Requests still in flight then.
-    pub left: usize,
+    pub remaining: usize,
 }
 
 #[derive(Default)]
@@ -79,11 +79,11 @@
 }
 
 /// Counts a request as in flight until its answer has been passed on whole.
-pub(crate) struct FlightGuard {
+pub(crate) struct InFlightGuard {
     flights: Rc<InFlight>,
 }
 
-impl Drop for FlightGuard {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
         let left = self.flights.count.get() - 1;
         self.flights.count.set(left);
@@ -104,13 +104,13 @@
         let leaving = Rc::new(Leaving::default());
         let make = |weak: &Weak<Self>| Self {
             slots: Slots::new(slot_context(&cx, weak)),
-            lines: Lines::new(),
-            memory: Memory::new(cx.settings.memory, cx.clock.clone()),
+            queues: RequestQueues::new(),
+            records: RecordTable::new(cx.settings.records, cx.clock.clone()),
             tokens: TokenKey::new(&cx.secret),
             metrics,
             pools: RefCell::default(),
             probes: Probes::default(),
-            pace: Pace::default(),
+            wait_estimator: WaitEstimator::default(),
             leaving,
             in_flight: Rc::default(),
             cx,
@@ -175,11 +175,11 @@
             for class in Class::ALL {
                 let labels = [service.as_str(), class.as_str()];
                 let gauge = self.metrics.queued.with_label_values(&labels);
-                gauge.set(self.lines.len(service, class) as i64);
+                gauge.set(self.queues.len(service, class) as i64);
             }
         }
         let remembered = self.metrics.remembered.with_label_values(&[] as &[&str]);
-        remembered.set(self.memory.len() as i64);
+        remembered.set(self.records.len() as i64);
     }
 
     /// Makes a ticket for a look-up answer: the bearer's request to `service` runs here, once.
@@ -199,7 +199,7 @@
     }
 
     /// Waits until no request is in flight, for at most `limit`.
-    pub async fn drained(&self, limit: Millis) -> DrainReport {
+    pub async fn wait_idle(&self, limit: Millis) -> DrainReport {
         let started = self.cx.clock.now();
         while self.in_flight() > 0 {
             let passed = self.cx.clock.now().since(started);
@@ -211,7 +211,7 @@
         }
         DrainReport {
             took: self.cx.clock.now().since(started),
-            left: self.in_flight(),
+            remaining: self.in_flight(),
         }
     }
 
@@ -241,7 +241,7 @@
         self: &Rc<Self>,
         req: Request,
         started: Millis,
-        flight: FlightGuard,
+        flight: InFlightGuard,
     ) -> (Class, Result<Response, Refusal>) {
         let mut exchange = Exchange {
             head: req.head,
@@ -261,7 +261,7 @@
         self: &Rc<Self>,
         call: Call,
         mut exchange: Exchange,
-        flight: FlightGuard,
+        flight: InFlightGuard,
     ) -> Result<Response, Refusal> {
         let settings = call.settings();
         exchange
@@ -295,9 +295,9 @@
         Arc::clone(self.cx.steering.borrow().plan())
     }
 
-    pub(crate) fn fly(&self) -> FlightGuard {
+    pub(crate) fn fly(&self) -> InFlightGuard {
         self.in_flight.count.set(self.in_flight.count.get() + 1);
-        FlightGuard {
+        InFlightGuard {
             flights: Rc::clone(&self.in_flight),
         }
     }
@@ -364,7 +364,7 @@
 
 fn slot_context(cx: &GatewayContext, gateway: &Weak<Gateway>) -> SlotContext {
     let (for_limit, for_leaving) = (gateway.clone(), gateway.clone());
-    let leaving_for = cx.settings.leaving_for;
+    let leaving_ttl = cx.settings.leaving_ttl;
     let clock = cx.clock.clone();
     SlotContext {
         own: cx.own.clone(),
@@ -372,7 +372,7 @@
         limit: Rc::new(move |key| for_limit.upgrade().map_or(0, |g| g.slot_limit(key))),
         on_leaving: Rc::new(move |key| {
             if let Some(gateway) = for_leaving.upgrade() {
-                let until = clock.now() + leaving_for;
+                let until = clock.now() + leaving_ttl;
                 gateway.mark_leaving(key, LeavingSource::Answer, Some(until));
             }
         }),
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -13,11 +13,11 @@
 use crate::answer::{Reason, Refusal};
 use crate::call::Call;
 use crate::context::{HandOver, HandOverError};
-use crate::deliver::InUse;
-use crate::gateway::{Exchange, FlightGuard, Gateway};
+use crate::deliver::RequestResources;
+use crate::gateway::{Exchange, Gateway, InFlightGuard};
 use crate::hop::{HOP_HEADER, Hop, HopReason, target_digest};
-use crate::local::{body_gone, not_tried};
-use crate::run::{Failure, Tries};
+use crate::local::{body_consumed, not_attempted};
+use crate::run::{AttemptFailure, Attempts};
 use crate::slots::Member;
 
 /// When a caller may come back after another daemon failed.
@@ -29,21 +29,21 @@
         clippy::too_many_arguments,
         reason = "an attempt needs all of its parts"
     )]
-    pub(crate) async fn send_there(
+    pub(crate) async fn forward_under_grant(
         self: &Rc<Self>,
         call: &Call,
         exchange: &mut Exchange,
-        tries: &Tries,
+        tries: &Attempts,
         admission: AdmissionGuard,
         vm: VmName,
         token: GrantToken,
-        flight: &mut Option<FlightGuard>,
-    ) -> Result<Response, Failure> {
+        flight: &mut Option<InFlightGuard>,
+    ) -> Result<Response, AttemptFailure> {
         let Some(body) = exchange.payload.take() else {
-            return Err(not_tried(body_gone()));
+            return Err(not_attempted(body_consumed()));
         };
         let now = self.cx.clock.now();
-        let mut head = self.head_for(call, &exchange.head, tries, now);
+        let mut head = self.forwarded_head(call, &exchange.head, tries, now);
         self.add_hop(&mut head, call, &vm, HopReason::Grant(token));
         self.metrics.hand_over(&call.service, "grant");
         let sent = (self.cx.hand_over)(HandOver {
@@ -53,7 +53,7 @@
             deadline: call.deadline,
             idempotent: !call.at_most_once,
         });
-        let in_use = InUse {
+        let in_use = RequestResources {
             slot: None,
             admission,
             flight: None,
@@ -61,7 +61,7 @@
         let response = match sent.await {
             Ok(response) => response,
             Err(error) => {
-                in_use.admission.set_end(RequestOutcome::Failed);
+                in_use.admission.set_outcome(RequestOutcome::Failed);
                 return Err(lost(&error));
             }
         };
@@ -69,11 +69,11 @@
             return Err(failure);
         }
         let delivered = self.deliver(response, in_use, flight, &exchange.cancelled);
-        delivered.await.map_err(|refusal| Failure {
+        delivered.await.map_err(|refusal| AttemptFailure {
             refusal,
             avoid: None,
             stale_connection: false,
-            may_help: true,
+            retryable: true,
         })
     }
 
@@ -83,16 +83,16 @@
     ///
     /// Returns "unknown" where that daemon gives no answer, as it may have run the request
     /// before.
-    pub(crate) async fn send_to_owner(
+    pub(crate) async fn forward_to_owner(
         self: &Rc<Self>,
         call: &Call,
         mut exchange: Exchange,
         owner: &Member,
     ) -> Result<Response, Refusal> {
-        let body = exchange.payload.take().ok_or_else(body_gone)?;
+        let body = exchange.payload.take().ok_or_else(body_consumed)?;
         let now = self.cx.clock.now();
-        let tries = Tries::first();
-        let mut head = self.head_for(call, &exchange.head, &tries, now);
+        let tries = Attempts::new();
+        let mut head = self.forwarded_head(call, &exchange.head, &tries, now);
         let reason = HopReason::Owner(owner.incarnation);
         self.add_hop(&mut head, call, &owner.vm, reason);
         self.metrics.hand_over(&call.service, "owner");
@@ -121,22 +121,22 @@
     }
 }
 
-fn lost(error: &HandOverError) -> Failure {
+fn lost(error: &HandOverError) -> AttemptFailure {
     let detail = error.to_string();
     let refusal = match error.may_have_run {
         true => Refusal::unknown(Reason::ConnectionLost, detail),
         false => Refusal::not_run(Reason::PeerFailed, detail),
     };
-    Failure {
+    AttemptFailure {
         refusal: refusal.retry_after(RETRY_AFTER_FAILURE),
         avoid: None,
         stale_connection: true,
-        may_help: true,
+        retryable: true,
     }
 }
 
 /// Reads another daemon's word that it did not run the request, or doesn't know.
-fn refused_there(response: &Response, in_use: &InUse) -> Option<Failure> {
+fn refused_there(response: &Response, in_use: &RequestResources) -> Option<AttemptFailure> {
     let header = |name: &str| response.headers.get(name).and_then(|v| v.to_str().ok());
     let outcome = header(OUTCOME_HEADER).unwrap_or("");
     if outcome == Outcome::Answered.as_str() {
@@ -152,14 +152,14 @@
         true => Refusal::not_run(Reason::PeerFailed, detail),
         false => Refusal::unknown(Reason::ConnectionLost, detail),
     };
-    in_use.admission.set_end(match not_run {
+    in_use.admission.set_outcome(match not_run {
         true => RequestOutcome::Cancelled,
         false => RequestOutcome::Failed,
     });
-    Some(Failure {
+    Some(AttemptFailure {
         refusal: refusal.retry_after(after),
         avoid: None,
         stale_connection: false,
-        may_help: true,
+        retryable: true,
     })
 }
