--- a/crates/daemon/tests/soak/callers.rs
+++ b/crates/daemon/tests/soak/callers.rs
@@ -54,8 +54,8 @@
                     let (method, path) = if once { ("POST", ONCE) } else { ("GET", SAFE) };
                     let id = new_id();
                     let asked = kept.as_mut().map(|c| {
-                        c.further_headers = key_header(key);
-                        c.ask(method, HOST, path, &id)
+                        c.extra_headers = key_header(key);
+                        c.request(method, HOST, path, &id)
                     });
                     if let Some(answer) = asked {
                         let is_last = answer.as_ref().is_none_or(|a| a.has("connection"));
@@ -154,7 +154,7 @@
     let name = seen.account.map(|account| ACCOUNTS[account].0);
     let told = fleet
         .servers()
-        .flat_map(|server| server.server.told_of(&seen.id));
+        .flat_map(|server| server.server.received_of(&seen.id));
     let is_wrong = |accounts: &[String], has_key| {
         has_key || name.is_none_or(|name| accounts != [name.to_owned()])
     };
@@ -170,7 +170,7 @@
         .iter()
         .filter(|(_, _, per_second)| *per_second > 0.0);
     let over = limited.filter_map(|(name, _, per_second)| {
-        let told = fleet.servers().flat_map(|server| server.server.all_told());
+        let told = fleet.servers().flat_map(|server| server.server.received());
         let mine = told.filter(|told| told.accounts == [name.to_string()]);
         let mut ran: Vec<Instant> = mine.map(|told| told.at).collect();
         ran.sort();
--- a/crates/daemon/tests/soak/fleet.rs
+++ b/crates/daemon/tests/soak/fleet.rs
@@ -10,11 +10,11 @@
 
 use crate::mortal::{self, Mortals};
 use crate::support::caller::{Connection, new_id};
-use crate::support::daemon::{Listening, settings};
-use crate::support::proxy::{Passage, Proxy};
-use crate::support::server::{FakeServer, Manner};
-use crate::support::store::{FakeStore, TestAccount, Turned};
-use crate::support::{free_address, until};
+use crate::support::daemon::{ListenAddresses, settings};
+use crate::support::proxy::{Proxy, ProxyMode};
+use crate::support::server::{Behavior, FakeServer};
+use crate::support::store::{FakeStore, StoreMode, TestAccount};
+use crate::support::{free_address, wait_until};
 
 /// The host of all routes.
 pub const HOST: &str = "shots.example";
@@ -57,7 +57,7 @@
 /// One VM: its settings, and its process while there is one.
 struct Vm {
     name: String,
-    at: Listening,
+    at: ListenAddresses,
     door: SocketAddr,
     proxy: Proxy,
     file: PathBuf,
@@ -126,15 +126,15 @@
 
     /// Waits until every daemon serves.
     pub fn until_served(&self) {
-        until("all daemons serve", || self.all_serve());
+        wait_until("all daemons serve", || self.all_serve());
     }
 
     /// Says whether every daemon serves.
     pub fn all_serve(&self) -> bool {
         let serves = |vm: &Vm| {
             let answer = Connection::open(vm.at.requests).and_then(|mut caller| {
-                caller.further_headers = key_header(ACCOUNTS[0].1);
-                caller.ask("GET", HOST, SAFE, &new_id())
+                caller.extra_headers = key_header(ACCOUNTS[0].1);
+                caller.request("GET", HOST, SAFE, &new_id())
             });
             answer.is_some_and(|answer| answer.status == 200)
         };
@@ -142,7 +142,7 @@
     }
 
     fn vm(&self, number: usize) -> Vm {
-        let at = Listening {
+        let at = ListenAddresses {
             requests: free_address(),
             ready: free_address(),
             lookups: free_address(),
@@ -150,7 +150,7 @@
             metrics: free_address(),
             handed: free_address(),
         };
-        let door = self.store.door();
+        let door = self.store.open_endpoint();
         let proxy = Proxy::start(door);
         let name = format!("vm-{number}");
         let seeds: Vec<SocketAddr> = self.vms.iter().map(|vm| vm.at.peers).collect();
@@ -224,19 +224,19 @@
             2 => self.pause(vm, pause),
             3 => self
                 .store
-                .turn(self.vms[vm].door, *rng.choice(&TURNS).expect("some")),
+                .set_mode(self.vms[vm].door, *rng.choice(&TURNS).expect("some")),
             4 => self.vms[vm]
                 .proxy
-                .set(*rng.choice(&PASSAGES).expect("some")),
+                .set_mode(*rng.choice(&PASSAGES).expect("some")),
             5 => self.servers[server]
                 .proxy
-                .set(*rng.choice(&PASSAGES).expect("some")),
+                .set_mode(*rng.choice(&PASSAGES).expect("some")),
             6 => self.servers[server]
                 .server
-                .behave(rng.choice(&MANNERS).expect("some").clone()),
+                .set_behavior(rng.choice(&MANNERS).expect("some").clone()),
             7 => self.register(server, "draining"),
             8 => self.register(server, "ready"),
-            9 => self.store.drop_history(),
+            9 => self.store.compact(),
             10 => self.store.lose_answers(rng.u32(1..3)),
             _ => self.configure(),
         }
@@ -279,12 +279,12 @@
             if vm.paused_until.take().is_some() {
                 signal(vm, libc::SIGCONT);
             }
-            vm.proxy.set(Passage::Open);
-            self.store.turn(vm.door, Turned::Served);
+            vm.proxy.set_mode(ProxyMode::Forward);
+            self.store.set_mode(vm.door, StoreMode::Normal);
         }
         for number in 0..SERVERS {
-            self.servers[number].proxy.set(Passage::Open);
-            self.servers[number].server.behave(Manner::Answers);
+            self.servers[number].proxy.set_mode(ProxyMode::Forward);
+            self.servers[number].server.set_behavior(Behavior::Answers);
             self.register(number, "ready");
         }
     }
@@ -325,20 +325,25 @@
     }
 }
 
-const TURNS: [Turned; 4] = [Turned::Served, Turned::Served, Turned::Busy, Turned::Silent];
-const PASSAGES: [Passage; 6] = [
-    Passage::Open,
-    Passage::Open,
-    Passage::Slow,
-    Passage::Silent,
-    Passage::OneWay,
-    Passage::Broken,
+const TURNS: [StoreMode; 4] = [
+    StoreMode::Normal,
+    StoreMode::Normal,
+    StoreMode::Unavailable,
+    StoreMode::Hanging,
 ];
-const MANNERS: [Manner; 4] = [
-    Manner::Answers,
-    Manner::Answers,
-    Manner::RunsSilently,
-    Manner::Refuses,
+const PASSAGES: [ProxyMode; 6] = [
+    ProxyMode::Forward,
+    ProxyMode::Forward,
+    ProxyMode::Delay,
+    ProxyMode::Stall,
+    ProxyMode::StallReplies,
+    ProxyMode::Disconnect,
+];
+const MANNERS: [Behavior; 4] = [
+    Behavior::Answers,
+    Behavior::Answers,
+    Behavior::NeverAnswers,
+    Behavior::Refuses,
 ];
 
 fn server(seed: u64, number: usize) -> Server {
--- a/crates/daemon/tests/soak/mortal.rs
+++ b/crates/daemon/tests/soak/mortal.rs
@@ -8,7 +8,7 @@
 
 use crate::fleet::{ACCOUNTS, HOST, key_header};
 use crate::support::caller::{Connection, new_id};
-use crate::support::server::{DEADLY, FakeServer};
+use crate::support::server::{CRASH_SUFFIX, FakeServer};
 use crate::support::store::FakeStore;
 
 /// The beginning of the paths of these servers' route, and their service.
@@ -71,7 +71,7 @@
     pub fn step(&mut self, store: &FakeStore) {
         for n in 0..SERVERS {
             let mortal = &mut self.all[n];
-            if !mortal.server.has_ended() {
+            if !mortal.server.has_crashed() {
                 continue;
             }
             let ended = *mortal.ended.get_or_insert_with(Instant::now);
@@ -82,7 +82,7 @@
                 mortal.ended = None;
                 mortal.starts += 1;
                 mortal.id = format!("m-{n}-{}", mortal.starts);
-                mortal.server.start_again(&mortal.id);
+                mortal.server.restart(&mortal.id);
                 self.enter(store, n);
             }
         }
@@ -90,7 +90,10 @@
 
     /// Says what was broken: attempts that reached servers when every daemon had to know.
     pub fn broken(&self) -> Option<String> {
-        let reached = self.all.iter().flat_map(|mortal| mortal.server.deadly());
+        let reached = self
+            .all
+            .iter()
+            .flat_map(|mortal| mortal.server.crash_requests());
         let mut reached: Vec<Instant> = reached.map(|(_, at)| at).collect();
         reached.sort();
         let known = *reached.get(ENDS - 1)? + KNOWN_AFTER;
@@ -115,14 +118,14 @@
     pub fn start(addresses: Vec<SocketAddr>, seed: u64) -> Self {
         let stop = Arc::new(AtomicBool::new(false));
         let stopped = Arc::clone(&stop);
-        let path = format!("{PREFIX}soak{DEADLY}");
+        let path = format!("{PREFIX}soak{CRASH_SUFFIX}");
         let thread = std::thread::spawn(move || {
             let mut rng = fastrand::Rng::with_seed(seed);
             while !stopped.load(Ordering::Relaxed) {
                 let at = addresses[rng.usize(..addresses.len())];
                 if let Some(mut caller) = Connection::open(at) {
-                    caller.further_headers = key_header(ACCOUNTS[0].1);
-                    caller.ask("GET", HOST, &path, &new_id());
+                    caller.extra_headers = key_header(ACCOUNTS[0].1);
+                    caller.request("GET", HOST, &path, &new_id());
                 }
                 std::thread::sleep(Duration::from_millis(rng.u64(PAUSE_MS)));
             }
--- a/crates/daemon/tests/walks.rs
+++ b/crates/daemon/tests/walks.rs
@@ -10,10 +10,10 @@
 
 use heatherknot_cli::env::Env;
 use support::caller::{Answer, Connection, new_id};
-use support::daemon::{Listening, settings};
-use support::server::{FakeServer, Manner};
+use support::daemon::{ListenAddresses, settings};
+use support::server::{Behavior, FakeServer};
 use support::store::FakeStore;
-use support::{caller, free_address, until};
+use support::{caller, free_address, wait_until};
 
 const HOST: &str = "shots.example";
 const SAFE: &str = "/a/x";
@@ -22,7 +22,7 @@
 /// A daemon process and what it writes.
 struct Process {
     child: Child,
-    at: Listening,
+    at: ListenAddresses,
     log: PathBuf,
 }
 
@@ -33,7 +33,7 @@
         std::fs::create_dir_all(&dir).expect("the directory can be made");
         let [requests, ready, lookups, peers, metrics, handed] =
             std::array::from_fn(|_| free_address());
-        let at = Listening {
+        let at = ListenAddresses {
             requests,
             ready,
             lookups,
@@ -41,7 +41,7 @@
             metrics,
             handed,
         };
-        let cfg = settings(name, "port-1", &at, store.door(), &[]);
+        let cfg = settings(name, "port-1", &at, store.open_endpoint(), &[]);
         let (file, log) = (dir.join("settings.json"), dir.join("log"));
         std::fs::write(&file, cfg.to_string()).expect("the directory can be written");
         let child = Command::new(env!("CARGO_BIN_EXE_heatherknotd"))
@@ -52,8 +52,8 @@
             .spawn()
             .expect("the daemon starts");
         let process = Self { child, at, log };
-        until("the daemon serves", || {
-            caller::ask(process.at.requests, "GET", HOST, SAFE).is_some_and(|a| a.status == 200)
+        wait_until("the daemon serves", || {
+            caller::request(process.at.requests, "GET", HOST, SAFE).is_some_and(|a| a.status == 200)
         });
         process
     }
@@ -62,7 +62,9 @@
     fn ask(&self, method: &str, path: &str) -> (String, Answer) {
         let id = new_id();
         let mut connection = Connection::open(self.at.requests).expect("the daemon listens");
-        let answer = connection.ask(method, HOST, path, &id).expect("an answer");
+        let answer = connection
+            .request(method, HOST, path, &id)
+            .expect("an answer");
         (id, answer)
     }
 
@@ -70,7 +72,7 @@
     fn story(&self, id: &str) -> String {
         let log = self.log.to_str().expect("the path is text");
         let mut told = String::new();
-        until("the request's end is in the log", || {
+        wait_until("the request's end is in the log", || {
             let args = ["trace", "--around", id, log].map(Into::into).to_vec();
             told = heatherknot_cli::run(args, &Env::default()).out;
             told.contains("request ended")
@@ -111,7 +113,7 @@
 fn a_refused_request_leads_to_the_server_that_refused_it() {
     let (store, server) = deployment();
     let process = Process::start("refused", &store);
-    server.behave(Manner::Refuses);
+    server.set_behavior(Behavior::Refuses);
 
     let (id, answer) = process.ask("GET", SAFE);
 
@@ -136,7 +138,7 @@
 fn a_late_answer_leads_to_the_server_that_was_slow() {
     let (store, server) = deployment();
     let process = Process::start("late", &store);
-    server.behave(Manner::AnswersLate);
+    server.set_behavior(Behavior::AnswersLate);
 
     let (id, answer) = process.ask("GET", SAFE);
 
@@ -159,7 +161,7 @@
 fn an_unknown_outcome_leads_to_the_send_without_an_answer() {
     let (store, server) = deployment();
     let process = Process::start("unknown", &store);
-    server.behave(Manner::RunsSilently);
+    server.set_behavior(Behavior::NeverAnswers);
 
     let (id, answer) = process.ask("POST", ONCE);
 
