--- a/crates/gateway/src/admit.rs
+++ b/crates/gateway/src/admit.rs
@@ -1,4 +1,4 @@
-//! Admission of a request: at once, after a wait in its class's queue, or not at all.
+//! Admission of a request: immediately, after a wait in the queue of its class, or not at all.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -13,20 +13,20 @@
 use crate::hop::HopReason;
 use crate::slots::UpstreamKey;
 
-/// When a caller that found a full queue may come back.
+/// `Retry-After` of a request that found its queue full.
 const QUEUE_FULL_RETRY_AFTER: Millis = Millis(1_000);
-/// When a caller whose deadline was too short may come back.
+/// `Retry-After` of a request whose deadline was too short.
 const DEADLINE_RETRY_AFTER: Millis = Millis(1_000);
 
-/// Where an admitted request goes.
+/// The destination of an admitted request.
 pub(crate) enum Admitted {
-    /// To a backend server of this failure domain.
+    /// A backend server of this failure domain.
     Local {
         admission: AdmissionGuard,
         place: PlaceName,
         upstream: UpstreamName,
     },
-    /// To another VM, under a grant.
+    /// Another VM, which has issued a grant for the request.
     Remote {
         admission: AdmissionGuard,
         vm: VmName,
@@ -34,22 +34,24 @@
     },
 }
 
-/// A request that counts as in progress. Dropping it gives its part of the caps back.
+/// Counts a request as in progress. Dropping it releases the request's share of the caps and
+/// wakes queued requests.
 pub(crate) struct AdmissionGuard {
     gateway: Rc<Gateway>,
     ticket: Ticket,
     service: ServiceName,
-    admitted: Millis,
-    end: Cell<RequestOutcome>,
+    admitted_at: Millis,
+    outcome: Cell<RequestOutcome>,
 }
 
 impl AdmissionGuard {
-    /// Notes how the request ended; without that it counts as given up by the caller.
-    pub(crate) fn set_outcome(&self, end: RequestOutcome) {
-        self.end.set(end);
+    /// Sets the outcome that is reported on drop. Until it is set, the outcome is
+    /// [`RequestOutcome::Cancelled`].
+    pub(crate) fn set_outcome(&self, outcome: RequestOutcome) {
+        self.outcome.set(outcome);
     }
 
-    /// Gives the ticket of the request.
+    /// Returns the ticket under which the steering tracks the request.
     pub(crate) fn ticket(&self) -> Ticket {
         self.ticket
     }
@@ -59,10 +61,10 @@
     fn drop(&mut self) {
         let now = self.gateway.cx.clock.now();
         let mut steering = self.gateway.cx.steering.borrow_mut();
-        steering.finish(self.ticket, self.end.get(), now);
+        steering.finish(self.ticket, self.outcome.get(), now);
         drop(steering);
-        if self.end.get() == RequestOutcome::Good {
-            let span = now.since(self.admitted);
+        if self.outcome.get() == RequestOutcome::Good {
+            let span = now.since(self.admitted_at);
             self.gateway.wait_estimator.record(&self.service, span);
         }
         self.gateway.queues.wake_all();
@@ -70,17 +72,17 @@
 }
 
 enum Decision {
-    Go(Admitted),
+    Admit(Admitted),
     Wait(Millis),
     Refuse(Refusal),
 }
 
 impl Gateway {
-    /// Admits a request, waiting for its turn where there is no room now.
+    /// Admits a request, queueing it if there is no room now.
     ///
     /// # Errors
     ///
-    /// Returns the answer to a request that is not admitted. Nothing of it was sent.
+    /// Returns the response to a request that is not admitted. No part of it has been sent.
     pub(crate) async fn admit(
         self: &Rc<Self>,
         call: &Call,
@@ -88,53 +90,53 @@
     ) -> Result<Admitted, Refusal> {
         if !self.queues.has_waiting_ahead(&call.service, call.class) {
             match self.decide(call, attempt, false) {
-                Decision::Go(admitted) => return Ok(admitted),
+                Decision::Admit(admitted) => return Ok(admitted),
                 Decision::Refuse(refusal) => return Err(refusal),
                 Decision::Wait(_) => {}
             }
         } else {
-            self.count_queued(call, attempt);
+            self.report_queued(call, attempt);
         }
-        self.check_queue(call)?;
+        self.check_expected_wait(call)?;
         let max = call.settings().queue_len as usize;
-        let Some(mut spot) = self.queues.enqueue(&call.service, call.class, max) else {
+        let Some(mut position) = self.queues.enqueue(&call.service, call.class, max) else {
             let detail = format!("{max} requests wait for {} already", call.service);
             let refusal = Refusal::not_run(Reason::QueueFull, detail);
             return Err(refusal.retry_after(QUEUE_FULL_RETRY_AFTER));
         };
         loop {
-            let look = spot.next_wakeup();
+            let wakeup = position.next_wakeup();
             let mut until = call.deadline;
-            if spot.is_next() {
+            if position.is_next() {
                 match self.decide(call, attempt, true) {
-                    Decision::Go(admitted) => {
-                        spot.dequeue();
+                    Decision::Admit(admitted) => {
+                        position.dequeue();
                         return Ok(admitted);
                     }
                     Decision::Refuse(refusal) => return Err(refusal),
-                    Decision::Wait(again) => until = until.min(again),
+                    Decision::Wait(retry_at) => until = until.min(retry_at),
                 }
-                spot.yield_turn();
+                position.yield_turn();
             }
             let now = self.cx.clock.now();
             if now >= call.deadline {
                 return Err(deadline_passed());
             }
             let span = until.since(now).max(Millis(1));
-            self.cx.timer.limit(span, look.wait()).await;
+            self.cx.timer.limit(span, wakeup.wait()).await;
         }
     }
 
-    /// Refuses a request at once that would most likely still wait at its deadline: it would
-    /// lengthen the queue for the others and end unanswered.
-    fn check_queue(&self, call: &Call) -> Result<(), Refusal> {
-        let before = Class::ALL.into_iter().filter(|other| *other <= call.class);
-        let ahead = before
+    /// Rejects a request whose estimated queueing time exceeds its deadline. In the queue it
+    /// would delay other requests and still end unanswered.
+    fn check_expected_wait(&self, call: &Call) -> Result<(), Refusal> {
+        let classes_ahead = Class::ALL.into_iter().filter(|other| *other <= call.class);
+        let ahead = classes_ahead
             .map(|class| self.queues.len(&call.service, class))
             .sum();
         let upstreams = call.settings().upstreams.iter();
-        let own = upstreams.filter(|u| self.is_own(&call.plan, u));
-        let keys = own.map(|u| UpstreamKey::new(call.service.clone(), u.name.clone()));
+        let local = upstreams.filter(|u| self.is_local(&call.plan, u));
+        let keys = local.map(|u| UpstreamKey::new(call.service.clone(), u.name.clone()));
         let slots = keys.map(|key| self.slot_limit(&key)).sum();
         let wait = self
             .wait_estimator
@@ -146,8 +148,9 @@
         Err(Refusal::not_run(Reason::Deadline, detail).retry_after(wait))
     }
 
-    /// Counts a request that waits behind others, or finds no room to wait, as demand.
-    fn count_queued(&self, call: &Call, attempt: u8) {
+    /// Reports a request that queues behind others, or finds the queue full, to the steering as
+    /// demand.
+    fn report_queued(&self, call: &Call, attempt: u8) {
         let now = self.cx.clock.now();
         let arrival = self.arrival(call, attempt, false, now);
         let mut rng = self.cx.rng.borrow_mut();
@@ -178,8 +181,8 @@
             gateway: Rc::clone(self),
             ticket,
             service: call.service.clone(),
-            admitted: now,
-            end: Cell::new(RequestOutcome::Cancelled),
+            admitted_at: now,
+            outcome: Cell::new(RequestOutcome::Cancelled),
         };
         match verdict {
             Verdict::Run {
@@ -188,7 +191,7 @@
                 upstream,
             } => {
                 self.metrics.sent(&call.service, &place);
-                Decision::Go(Admitted::Local {
+                Decision::Admit(Admitted::Local {
                     admission: guard(ticket),
                     place,
                     upstream,
@@ -196,7 +199,7 @@
             }
             Verdict::Relay { ticket, vm, token } => {
                 self.metrics.sent(&call.service, &token.place);
-                Decision::Go(Admitted::Remote {
+                Decision::Admit(Admitted::Remote {
                     admission: guard(ticket),
                     vm,
                     token,
@@ -206,18 +209,18 @@
             Verdict::Refuse {
                 reason,
                 retry_after,
-            } => Decision::Refuse(refusal_of(reason, call, retry_after)),
+            } => Decision::Refuse(refusal_for(reason, call, retry_after)),
         }
     }
 }
 
-/// Gives the answer to a request whose deadline passed before anything of it was sent.
+/// Returns the response to a request whose deadline passed before any part of it was sent.
 pub(crate) fn deadline_passed() -> Refusal {
     let detail = "the deadline passed before the request was sent";
     Refusal::not_run(Reason::Deadline, detail).retry_after(DEADLINE_RETRY_AFTER)
 }
 
-fn refusal_of(reason: RefusalReason, call: &Call, retry_after: Millis) -> Refusal {
+fn refusal_for(reason: RefusalReason, call: &Call, retry_after: Millis) -> Refusal {
     let service = &call.service;
     let (reason, detail) = match reason {
         RefusalReason::UnknownService => (Reason::NoService, format!("no service `{service}`")),
--- a/crates/gateway/src/call.rs
+++ b/crates/gateway/src/call.rs
@@ -1,4 +1,4 @@
-//! A caller's request as the gateway understands it.
+//! Parsing of a request's headers into a [`Call`].
 
 use std::sync::Arc;
 
@@ -13,11 +13,12 @@
 use crate::answer::{Reason, Refusal};
 use crate::hop::{HOP_HEADER, Hop, HopReason, MAX_DAEMONS};
 
-/// The request header that holds the number of the attempt, from 1. A caller that sends a
-/// request again states it too.
+/// The request header with the number of the attempt, starting at 1. Callers that retry a
+/// request set it too.
 pub const ATTEMPT_HEADER: &str = "heatherknot-attempt";
 
-/// The system's own request headers that reach the gateway; others are removed before.
+/// The system's own request headers that are passed to the gateway; the server removes all
+/// others.
 pub const KEPT_HEADERS: &[&str] = &[
     SERVICE_HEADER,
     CLASS_HEADER,
@@ -29,34 +30,36 @@
 /// The longest idempotency key, in bytes.
 const MAX_KEY_LEN: usize = 512;
 
-/// A request and what its headers and the settings in force say of it.
+/// The metadata of a request, taken from its headers and the settings in force.
 #[derive(Clone, Debug)]
 pub struct Call {
-    /// The service.
+    /// The requested service.
     pub service: ServiceName,
-    /// The settings in force when the request came.
+    /// The settings in force when the request arrived.
     pub plan: Arc<Plan>,
-    /// How urgent it is.
+    /// The priority class of the request.
     pub class: Class,
-    /// When the gateway gives up, on its own clock.
+    /// When the gateway gives up, on its own clock, in milliseconds.
     pub deadline: Millis,
-    /// The attempt that the caller states, from 1.
+    /// The number of the attempt as stated by the caller, starting at 1.
     pub attempt: u8,
-    /// Whether it must not run twice.
+    /// Whether the request must not run twice.
     pub at_most_once: bool,
-    /// The ticket or the caller's own key, where the request must not run twice.
+    /// The ticket or the caller's own idempotency key; only set if the request must not run
+    /// twice.
     pub key: Option<Arc<str>>,
-    /// What the daemon before says, where there is one.
+    /// The hop header, if another daemon forwarded the request.
     pub hop: Option<Hop>,
 }
 
 impl Call {
-    /// Reads a request's headers.
+    /// Parses a request's headers.
     ///
     /// # Errors
     ///
-    /// Returns the answer to a request that can't be understood.
-    pub fn of_head(
+    /// Returns the response to a request whose headers are invalid, whose service does not exist
+    /// or which has passed too many daemons.
+    pub fn from_head(
         head: &RequestHead,
         plan: Arc<Plan>,
         hop: Option<Hop>,
@@ -64,29 +67,31 @@
         max_deadline: Millis,
     ) -> Result<Call, Refusal> {
         let headers = &head.headers;
-        let name = text_of(headers, SERVICE_HEADER)?
-            .ok_or_else(|| bad(format!("the header {SERVICE_HEADER} is missing")))?;
+        let name = header_text(headers, SERVICE_HEADER)?
+            .ok_or_else(|| bad_request(format!("the header {SERVICE_HEADER} is missing")))?;
         let service = ServiceName::from(name);
         let Some(settings) = plan.services.get(&service) else {
             let detail = format!("no service `{service}` at {}", plan.revision);
             return Err(Refusal::not_run(Reason::NoService, detail));
         };
-        let class = class_of(headers)?.unwrap_or(settings.class);
-        let span = number_of(headers, DEADLINE_HEADER)?.map(Millis);
-        let span = span.unwrap_or(settings.deadline).min(max_deadline);
-        let attempt = number_of(headers, ATTEMPT_HEADER)?.unwrap_or(1);
+        let class = parse_class(headers)?.unwrap_or(settings.class);
+        let time_limit = parse_number(headers, DEADLINE_HEADER)?.map(Millis);
+        let time_limit = time_limit.unwrap_or(settings.deadline).min(max_deadline);
+        let attempt = parse_number(headers, ATTEMPT_HEADER)?.unwrap_or(1);
         let at_most_once = !is_idempotent(head, settings);
         let key = match at_most_once {
-            true => key_of(headers)?,
+            true => parse_idempotency_key(headers)?,
             false => None,
         };
         if hop.as_ref().is_some_and(|hop| hop.passed >= MAX_DAEMONS) {
-            return Err(bad("the request passed too many daemons".to_owned()));
+            return Err(bad_request(
+                "the request passed too many daemons".to_owned(),
+            ));
         }
         Ok(Call {
             service,
             class,
-            deadline: now + span,
+            deadline: now + time_limit,
             attempt: attempt.clamp(1, u64::from(u8::MAX)) as u8,
             at_most_once,
             key,
@@ -95,21 +100,22 @@
         })
     }
 
-    /// Gives the settings of the service.
+    /// Returns the settings of the service.
     ///
     /// # Panics
     ///
-    /// Panics where the service is not in the plan, which [`Call::of_head`] rules out.
+    /// Panics if the service is not in the plan, which [`Call::from_head`] rules out.
     pub fn settings(&self) -> &ServicePlan {
         &self.plan.services[&self.service]
     }
 
-    /// Gives the time left.
+    /// Returns the time left until the deadline, in milliseconds.
     pub fn time_left(&self, now: Millis) -> Millis {
         self.deadline.since(now)
     }
 
-    /// Says whether the daemon before handed the request to this one as its owner.
+    /// Returns the incarnation to which the previous daemon forwarded the request as its owner,
+    /// if it did.
     pub fn owner_incarnation(&self) -> Option<Incarnation> {
         match self.hop.as_ref().map(|hop| &hop.reason) {
             Some(HopReason::Owner(incarnation)) => Some(*incarnation),
@@ -118,81 +124,84 @@
     }
 }
 
-/// Says whether a request may run twice without harm.
+/// Returns whether running a request twice is harmless.
 pub fn is_idempotent(head: &RequestHead, settings: &ServicePlan) -> bool {
     if head.method == Method::GET || head.method == Method::HEAD {
         return true;
     }
-    let path = normal_path(head.path());
-    let matches = |route: &String| match route.split_once(' ') {
+    let path = normalize_path(head.path());
+    let matches = |pattern: &String| match pattern.split_once(' ') {
         Some((method, prefix)) => {
             head.method.as_str() == method && is_under(&path, prefix.trim_start())
         }
-        None if route.starts_with('/') => is_under(&path, route),
-        None => head.method.as_str() == route,
+        None if pattern.starts_with('/') => is_under(&path, pattern),
+        None => head.method.as_str() == pattern,
     };
     !settings.at_most_once.iter().any(matches)
 }
 
-/// Says whether a path lies under a prefix, by whole segments.
+/// Returns whether `path` lies under `prefix`, comparing whole segments.
 fn is_under(path: &str, prefix: &str) -> bool {
     let prefix = prefix.trim_end_matches('/');
     path.strip_prefix(prefix)
         .is_some_and(|rest| rest.is_empty() || rest.starts_with('/'))
 }
 
-/// Undoes the spellings with which a backend server would still find the same route. A request
-/// that escaped a pattern by its spelling would be retried although it must not run twice.
-fn normal_path(path: &str) -> String {
-    let decoded = percent_decoded(path);
-    let mut normal = String::with_capacity(decoded.len());
+/// Normalizes a path: decodes percent-encoding and removes empty segments.
+///
+/// A backend server may route differently spelled paths to the same handler. Without
+/// normalization, such a path would not match an `at_most_once` pattern, and a request that must
+/// not run twice would be retried.
+fn normalize_path(path: &str) -> String {
+    let decoded = percent_decode(path);
+    let mut normalized = String::with_capacity(decoded.len());
     for segment in decoded.split('/').filter(|s| !s.is_empty()) {
-        normal.push('/');
-        normal.push_str(segment);
+        normalized.push('/');
+        normalized.push_str(segment);
     }
-    normal
+    normalized
 }
 
-fn percent_decoded(path: &str) -> String {
+fn percent_decode(path: &str) -> String {
     let bytes = path.as_bytes();
     let mut decoded = Vec::with_capacity(bytes.len());
-    let mut at = 0;
-    while at < bytes.len() {
-        let hex = path.get(at + 1..at + 3);
+    let mut pos = 0;
+    while pos < bytes.len() {
+        let hex = path.get(pos + 1..pos + 3);
         let byte = hex.and_then(|hex| u8::from_str_radix(hex, 16).ok());
         match byte {
-            Some(byte) if bytes[at] == b'%' => {
+            Some(byte) if bytes[pos] == b'%' => {
                 decoded.push(byte);
-                at += 3;
+                pos += 3;
             }
             _ => {
-                decoded.push(bytes[at]);
-                at += 1;
+                decoded.push(bytes[pos]);
+                pos += 1;
             }
         }
     }
     String::from_utf8_lossy(&decoded).into_owned()
 }
 
-fn class_of(headers: &HeaderMap) -> Result<Option<Class>, Refusal> {
-    let Some(text) = text_of(headers, CLASS_HEADER)? else {
+fn parse_class(headers: &HeaderMap) -> Result<Option<Class>, Refusal> {
+    let Some(text) = header_text(headers, CLASS_HEADER)? else {
         return Ok(None);
     };
     let class = Class::ALL.into_iter().find(|class| class.as_str() == text);
     match class {
         Some(class) => Ok(Some(class)),
-        None => Err(bad(format!(
+        None => Err(bad_request(format!(
             "{CLASS_HEADER} is `{text}`, expected `interactive` or `bulk`"
         ))),
     }
 }
 
-fn key_of(headers: &HeaderMap) -> Result<Option<Arc<str>>, Refusal> {
-    let Some(text) = text_of(headers, IDEMPOTENCY_HEADER)? else {
+fn parse_idempotency_key(headers: &HeaderMap) -> Result<Option<Arc<str>>, Refusal> {
+    let Some(text) = header_text(headers, IDEMPOTENCY_HEADER)? else {
         return Ok(None);
     };
     if text.is_empty() || text.len() > MAX_KEY_LEN {
-        return Err(bad(format!(
+        return Err(bad_request(format!(
             "{IDEMPOTENCY_HEADER} has {} bytes, expected 1 to {MAX_KEY_LEN}",
             text.len()
         )));
@@ -200,31 +209,33 @@
     Ok(Some(Arc::from(text)))
 }
 
-fn number_of(headers: &HeaderMap, name: &str) -> Result<Option<u64>, Refusal> {
-    let Some(text) = text_of(headers, name)? else {
+fn parse_number(headers: &HeaderMap, name: &str) -> Result<Option<u64>, Refusal> {
+    let Some(text) = header_text(headers, name)? else {
         return Ok(None);
     };
     match text.parse() {
         Ok(number) => Ok(Some(number)),
-        Err(_) => Err(bad(format!("{name} is `{text}`, expected a whole number"))),
+        Err(_) => Err(bad_request(format!(
+            "{name} is `{text}`, expected a whole number"
+        ))),
     }
 }
 
-/// Gives the text of a header that may stand once.
-fn text_of<'a>(headers: &'a HeaderMap, name: &str) -> Result<Option<&'a str>, Refusal> {
+/// Returns the text of a header that may occur at most once.
+fn header_text<'a>(headers: &'a HeaderMap, name: &str) -> Result<Option<&'a str>, Refusal> {
     let mut values = headers.get_all(name).iter();
     let Some(value) = values.next() else {
         return Ok(None);
     };
     if values.next().is_some() {
-        return Err(bad(format!("the header {name} stands twice")));
+        return Err(bad_request(format!("the header {name} stands twice")));
     }
     match value.to_str() {
         Ok(text) => Ok(Some(text)),
-        Err(_) => Err(bad(format!("the header {name} is not plain text"))),
+        Err(_) => Err(bad_request(format!("the header {name} is not plain text"))),
     }
 }
 
-fn bad(detail: String) -> Refusal {
+fn bad_request(detail: String) -> Refusal {
     Refusal::not_run(Reason::BadRequest, detail)
 }
--- a/crates/gateway/src/context.rs
+++ b/crates/gateway/src/context.rs
@@ -1,4 +1,4 @@
-//! What the gateway needs from the daemon around it.
+//! The dependencies that the daemon passes to the gateway.
 
 use std::cell::RefCell;
 use std::fmt;
@@ -15,63 +15,64 @@
 use crate::settings::GatewaySettings;
 use crate::slots::{Member, SlotPort};
 
-/// A request that goes to another daemon.
+/// A request to forward to another daemon.
 #[derive(Debug)]
 pub struct HandOver {
-    /// The VM that it goes to.
+    /// The VM to forward it to.
     pub vm: VmName,
-    /// The method, path and headers, the hop header included.
+    /// The method, path and headers, including the hop header.
     pub head: RequestHead,
-    /// The body.
+    /// The request body.
     pub body: Body,
-    /// When to give up, on this daemon's clock.
+    /// When to give up, on this daemon's clock, in milliseconds.
     pub deadline: Millis,
-    /// Whether the request may run twice without harm.
+    /// Whether running the request twice is harmless.
     pub idempotent: bool,
 }
 
-/// A request could not be handed over, or no answer came.
+/// A request could not be forwarded, or no response came.
 #[derive(Clone, Debug, Snafu)]
-#[snafu(display("handing over to {vm}: {cause}"))]
+#[snafu(display("failed to forward the request to {vm}: {cause}"))]
 pub struct HandOverError {
-    /// The VM that it was to go to.
+    /// The VM that the request was to be forwarded to.
     pub vm: VmName,
-    /// Whether a byte of the request was handed to a connection.
+    /// Whether any byte of the request was written to a connection.
     pub may_have_run: bool,
-    /// What was found.
+    /// Why forwarding failed.
     pub cause: String,
 }
 
-/// Sends a request to another daemon's address for callers.
+/// Sends a request to the address at which another daemon serves callers.
 pub type HandOverPort =
     Rc<dyn Fn(HandOver) -> LocalBoxFuture<'static, Result<Response, HandOverError>>>;
 
-/// Everything that a [`Gateway`](crate::Gateway) is made of.
+/// The dependencies and settings of a [`Gateway`](crate::Gateway).
 #[derive(Clone)]
 pub struct GatewayContext {
-    /// This run of this VM.
+    /// This VM and its current incarnation.
     pub own: Member,
-    /// The VM's failure domain.
+    /// The failure domain of this VM.
     pub domain: DomainName,
-    /// The decisions; the daemon drives the rest of them.
+    /// The steering, which decides about admission. It is shared with the daemon, which drives its
+    /// other inputs.
     pub steering: Rc<RefCell<Steering>>,
-    /// The time.
+    /// The clock for deadlines and expiry.
     pub clock: Clock,
-    /// Waiting, on the same clock.
+    /// The timer, on the same clock.
     pub timer: Timer,
-    /// Chance.
+    /// The source of randomness.
     pub rng: Rc<RefCell<fastrand::Rng>>,
-    /// The deployment's secret, with which daemons know each other's headers and tickets.
+    /// The deployment's secret, with which daemons authenticate hop headers and tickets.
     pub secret: Rc<[u8]>,
-    /// Calls about slots to the VMs of the failure domain.
+    /// Calls to the other VMs of the failure domain to share slots.
     pub slot_port: SlotPort,
-    /// Claims of callers' own idempotency keys.
+    /// Claims of idempotency keys that callers chose themselves.
     pub claims: ClaimPort,
-    /// Requests to other daemons.
+    /// Forwards requests to other daemons.
     pub hand_over: HandOverPort,
-    /// Where the metrics are added.
+    /// The registry to which the gateway adds its metrics.
     pub registry: Registry,
-    /// Bounds and signals.
+    /// The settings of the request path.
     pub settings: GatewaySettings,
 }
 
--- a/crates/gateway/src/deliver.rs
+++ b/crates/gateway/src/deliver.rs
@@ -1,4 +1,4 @@
-//! Passing an answer on, and holding what the request uses until its last byte.
+//! Delivery of a response to the caller. The request's resources are held until the last byte.
 
 use std::pin::pin;
 
@@ -13,55 +13,55 @@
 use crate::gateway::{Gateway, InFlightGuard};
 use crate::slots::Slot;
 
-/// How many times the interval between two prolongations a slot is kept for, so that one lost
-/// message does no harm.
-const KEEP_TERMS: u64 = 3;
+/// The number of renewal intervals by which each renewal extends a slot's term. Above one, so
+/// that the slot survives a lost message.
+const RENEWAL_TERM_INTERVALS: u64 = 3;
 
-/// What a request holds while it is in progress. Dropping it gives all of it back.
+/// The resources of a request in progress. Dropping it releases all of them.
 pub(crate) struct RequestResources {
     pub(crate) slot: Option<Slot>,
     pub(crate) admission: AdmissionGuard,
     pub(crate) flight: Option<InFlightGuard>,
 }
 
-/// Prolongs the use of a slot while an answer is streamed, which may take longer than the
-/// request's deadline allowed for its head.
-struct Keeper {
+/// Renews a slot while a response is streamed. Streaming may outlast the request's deadline,
+/// which only limits the time until the response head.
+struct SlotRenewer {
     timer: Timer,
-    every: Millis,
+    interval: Millis,
 }
 
-impl Keeper {
-    async fn keeping<T>(&self, slot: Option<&Slot>, future: impl Future<Output = T>) -> T {
+impl SlotRenewer {
+    async fn renew_during<T>(&self, slot: Option<&Slot>, future: impl Future<Output = T>) -> T {
         let mut future = pin!(future);
         loop {
-            match select(&mut future, self.timer.wait(self.every)).await {
+            match select(&mut future, self.timer.wait(self.interval)).await {
                 Either::Left((value, _)) => return value,
                 Either::Right(((), _)) => {
-                    self.keep(slot);
+                    self.renew(slot);
                 }
             }
         }
     }
 
-    fn keep(&self, slot: Option<&Slot>) {
+    fn renew(&self, slot: Option<&Slot>) {
         if let Some(slot) = slot {
-            slot.extend(Millis(self.every.0 * KEEP_TERMS));
+            slot.extend(Millis(self.interval.0 * RENEWAL_TERM_INTERVALS));
         }
     }
 }
 
 impl Gateway {
-    /// Passes an answer on. A short one is read whole first; of a longer one the rest is
-    /// streamed by a task of its own.
+    /// Delivers a response to the caller. A short body is read completely first; a longer one is
+    /// streamed by a separate task.
     ///
     /// # Errors
     ///
-    /// Returns the answer to a request whose short answer broke off.
+    /// Returns the refusal to send if a short response broke off.
     pub(crate) async fn deliver(
         &self,
         response: Response,
-        mut in_use: RequestResources,
+        mut resources: RequestResources,
         flight: &mut Option<InFlightGuard>,
         cancelled: &Flag,
     ) -> Result<Response, Refusal> {
@@ -71,25 +71,27 @@
             body,
         } = response;
         let len = body.known_len();
-        let is_short = len.is_some_and(|len| len <= self.cx.settings.whole_answer);
+        let is_short = len.is_some_and(|len| len <= self.cx.settings.buffered_response_limit);
         let body = if is_short {
-            let bytes = body.collect(self.cx.settings.whole_answer as usize).await;
-            Body::full(bytes.map_err(|error| broken(&error, &in_use))?)
+            let bytes = body
+                .collect(self.cx.settings.buffered_response_limit as usize)
+                .await;
+            Body::full(bytes.map_err(|error| response_broken(&error, &resources))?)
         } else {
             let (tx, rx) = Body::channel_with_len(len);
-            in_use.flight = flight.take();
-            let keeper = Keeper {
+            resources.flight = flight.take();
+            let renewer = SlotRenewer {
                 timer: self.cx.timer.clone(),
-                every: self.cx.settings.slot_keep,
+                interval: self.cx.settings.slot_renew_interval,
             };
-            monoio::spawn(stream(body, tx, in_use, keeper, cancelled.clone()));
+            monoio::spawn(stream(body, tx, resources, renewer, cancelled.clone()));
             return Ok(Response {
                 status,
                 headers,
                 body: rx,
             });
         };
-        in_use.admission.set_outcome(RequestOutcome::Good);
+        resources.admission.set_outcome(RequestOutcome::Good);
         Ok(Response {
             status,
             headers,
@@ -98,29 +100,29 @@
     }
 }
 
-fn broken(error: &BodyError, in_use: &RequestResources) -> Refusal {
-    in_use.admission.set_outcome(RequestOutcome::Failed);
+fn response_broken(error: &BodyError, resources: &RequestResources) -> Refusal {
+    resources.admission.set_outcome(RequestOutcome::Failed);
     let detail = format!("the answer broke off: {error}");
     Refusal::unknown(Reason::ConnectionLost, detail).retry_after(Millis(1_000))
 }
 
-/// Streams a body to the caller. A caller that leaves, or whose connection takes no more, ends
-/// it; the upstream connection is closed with the body.
+/// Streams a body to the caller. Ends early if the caller disconnects or its connection fails;
+/// dropping the body then closes the upstream connection.
 async fn stream(
     mut body: Body,
     mut tx: BodySender,
-    in_use: RequestResources,
-    keeper: Keeper,
+    resources: RequestResources,
+    renewer: SlotRenewer,
     cancelled: Flag,
 ) {
-    let slot = in_use.slot.as_ref();
-    // The term ends with the deadline, which may be nearer than the first prolongation.
-    keeper.keep(slot);
+    let slot = resources.slot.as_ref();
+    // The slot's term ends at the deadline, which may come before the first periodic renewal.
+    renewer.renew(slot);
     loop {
         let next = {
             let chunk = pin!(body.next_chunk());
             let step = select(chunk, cancelled.wait());
-            match keeper.keeping(slot, step).await {
+            match renewer.renew_during(slot, step).await {
                 Either::Left((next, _)) => next,
                 Either::Right(((), _)) => return,
             }
@@ -128,18 +130,20 @@
         match next {
             None => break,
             Some(Ok(chunk)) => {
-                let sent: Result<(), _> = keeper.keeping(slot, tx.send(Bytes::clone(&chunk))).await;
+                let sent: Result<(), _> = renewer
+                    .renew_during(slot, tx.send(Bytes::clone(&chunk)))
+                    .await;
                 if sent.is_err() {
                     return;
                 }
             }
             Some(Err(error)) => {
-                in_use.admission.set_outcome(RequestOutcome::Failed);
+                resources.admission.set_outcome(RequestOutcome::Failed);
                 tx.fail(error);
                 return;
             }
         }
     }
-    in_use.admission.set_outcome(RequestOutcome::Good);
+    resources.admission.set_outcome(RequestOutcome::Good);
     tx.finish();
 }
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -1,4 +1,4 @@
-//! The gateway: takes a request and gives its one answer.
+//! The gateway, which turns each request into exactly one response.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, HashSet};
@@ -29,8 +29,8 @@
 use crate::slots::{Members, SlotContext, Slots, UpstreamKey};
 use crate::wait_estimator::WaitEstimator;
 
-/// The status of an answer that nobody waits for.
-const CLIENT_CLOSED: u16 = 499;
+/// The status of a response to a caller that has disconnected, as nginx uses it.
+const CLIENT_CLOSED_REQUEST: u16 = 499;
 
 /// The request path of one daemon.
 pub struct Gateway {
@@ -47,14 +47,14 @@
     in_flight: Rc<InFlight>,
 }
 
-/// The connections to one upstream, and what they were made for.
+/// The connection pool of one upstream, and the parameters it was created with.
 pub(crate) struct UpstreamPool {
     pub(crate) address: SocketAddr,
     pub(crate) max: usize,
     pub(crate) pool: Pool,
 }
 
-/// A request with its body, ready to be sent.
+/// A received request with its body, to be sent to a backend server or another daemon.
 #[derive(Debug)]
 pub(crate) struct Exchange {
     pub(crate) head: RequestHead,
@@ -63,12 +63,12 @@
     pub(crate) started: Millis,
 }
 
-/// How a planned stop ended.
+/// The result of draining the gateway for a planned stop.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DrainReport {
-    /// How long it took until no request was in flight, or until time ran out.
+    /// The time until no request was in flight, or until the limit was reached, in milliseconds.
     pub took: Millis,
-    /// Requests still in flight then.
+    /// The number of requests that were still in flight at that time.
     pub remaining: usize,
 }
 
@@ -78,31 +78,31 @@
     idle: RefCell<Flag>,
 }
 
-/// Counts a request as in flight until its answer has been passed on whole.
+/// Counts a request as in flight until its response has been delivered completely.
 pub(crate) struct InFlightGuard {
-    flights: Rc<InFlight>,
+    in_flight: Rc<InFlight>,
 }
 
 impl Drop for InFlightGuard {
     fn drop(&mut self) {
-        let left = self.flights.count.get() - 1;
-        self.flights.count.set(left);
-        if left == 0 {
-            self.flights.idle.take().fire();
+        let remaining = self.in_flight.count.get() - 1;
+        self.in_flight.count.set(remaining);
+        if remaining == 0 {
+            self.in_flight.idle.take().fire();
         }
     }
 }
 
 impl Gateway {
-    /// Makes a gateway that has no settings and no members yet.
+    /// Creates a gateway without settings and members.
     ///
     /// # Errors
     ///
-    /// Returns an error where the registry already has the gateway's metrics.
+    /// Returns an error if the registry already has the gateway's metrics.
     pub fn new(cx: GatewayContext) -> Result<Rc<Self>, prometheus::Error> {
         let metrics = GatewayMetrics::register(&cx.registry)?;
         let leaving = Rc::new(Leaving::default());
-        let make = |weak: &Weak<Self>| Self {
+        let build = |weak: &Weak<Self>| Self {
             slots: Slots::new(slot_context(&cx, weak)),
             queues: RequestQueues::new(),
             records: RecordTable::new(cx.settings.records, cx.clock.clone()),
@@ -115,32 +115,32 @@
             in_flight: Rc::default(),
             cx,
         };
-        Ok(Rc::new_cyclic(make))
+        Ok(Rc::new_cyclic(build))
     }
 
-    /// Takes over settings, and hands them to the decisions.
+    /// Applies new settings and passes them to the steering.
     pub fn on_plan(self: &Rc<Self>, plan: Arc<Plan>) {
         let now = self.cx.clock.now();
         let mut steering = self.cx.steering.borrow_mut();
         steering.on_plan(plan, now);
         let plan = Arc::clone(steering.plan());
         drop(steering);
-        let keys = self.own_upstreams(&plan);
+        let keys = self.local_upstreams(&plan);
         self.pools.borrow_mut().retain(|key, _| keys.contains(key));
         self.slots.on_upstreams(keys);
     }
 
-    /// Takes over the VMs of the failure domain's capacity ledger.
+    /// Applies a new list of the VMs in the failure domain's capacity ledger.
     pub fn on_members(self: &Rc<Self>, members: Members) {
         self.slots.on_members(members);
     }
 
-    /// Gives this VM's part in the sharing of slots, to answer the other VMs' messages.
+    /// Returns the slots that this VM shares, to serve the messages of the other VMs.
     pub fn slots(&self) -> &Rc<Slots> {
         &self.slots
     }
 
-    /// Notes that `source` says that a backend server is leaving, or that it no longer does.
+    /// Records whether `source` reports that a backend server is leaving.
     pub fn set_leaving(&self, key: &UpstreamKey, source: LeavingSource, leaving: bool) {
         if leaving {
             self.mark_leaving(key, source, None);
@@ -152,8 +152,8 @@
         }
     }
 
-    /// Forgets what is past its time, sweeps idle connections, probes the upstreams of which
-    /// this VM is the home and brings gauges up to date. Call it about once a second.
+    /// Runs periodic work: probes the upstreams of which this VM is the home, removes expired
+    /// leaving marks, closes idle connections and updates the gauges. Call it about once a second.
     pub fn tick(self: &Rc<Self>) {
         self.probe_upstreams();
         let now = self.cx.clock.now();
@@ -182,32 +182,33 @@
         remembered.set(self.records.len() as i64);
     }
 
-    /// Makes a ticket for a look-up answer: the bearer's request to `service` runs here, once.
+    /// Issues a ticket for the response to a look-up. A request to `service` that bears the ticket
+    /// runs on this VM, at most once.
     pub fn new_ticket(&self, service: &ServiceName) -> String {
         let ticket = Ticket {
             owner: self.cx.own.clone(),
             service: service.clone(),
-            expires: self.cx.clock.now() + self.cx.settings.ticket_term,
+            expires: self.cx.clock.now() + self.cx.settings.ticket_ttl,
             nonce: self.cx.rng.borrow_mut().u64(..),
         };
         ticket.to_text(&self.tokens)
     }
 
-    /// Gives the number of requests whose answers have not been passed on whole.
+    /// Returns the number of requests whose responses have not been delivered completely.
     pub fn in_flight(&self) -> usize {
         self.in_flight.count.get()
     }
 
-    /// Waits until no request is in flight, for at most `limit`.
+    /// Waits until no request is in flight, for at most `limit` milliseconds.
     pub async fn wait_idle(&self, limit: Millis) -> DrainReport {
         let started = self.cx.clock.now();
         while self.in_flight() > 0 {
-            let passed = self.cx.clock.now().since(started);
-            if passed >= limit {
+            let elapsed = self.cx.clock.now().since(started);
+            if elapsed >= limit {
                 break;
             }
             let idle = self.in_flight.idle.borrow().clone();
-            self.cx.timer.limit(limit - passed, idle.wait()).await;
+            self.cx.timer.limit(limit - elapsed, idle.wait()).await;
         }
         DrainReport {
             took: self.cx.clock.now().since(started),
@@ -215,29 +216,30 @@
         }
     }
 
-    /// Answers a request.
+    /// Handles a request and returns its response.
     pub async fn handle(self: Rc<Self>, req: Request) -> Response {
         let started = self.cx.clock.now();
         let cancelled = req.cancelled.clone();
         let service = req.head.headers.get(SERVICE_HEADER).cloned();
-        let flight = self.fly();
-        let answering = pin!(self.answer(req, started, flight));
-        let (class, result) = match select(answering, cancelled.wait()).await {
+        let flight = self.track_in_flight();
+        let responding = pin!(self.respond(req, started, flight));
+        let (class, result) = match select(responding, cancelled.wait()).await {
             Either::Left((answered, _)) => answered,
-            // Dropping the request leaves its queue, gives its slot back and closes the
-            // upstream connection, which tells the backend server to stop.
-            Either::Right(((), _)) => (Class::default(), Ok(nobody_waits())),
+            // The caller has disconnected. Dropping the request's future removes it from its
+            // queue, releases its slot and closes the upstream connection, which tells the backend
+            // server to stop.
+            Either::Right(((), _)) => (Class::default(), Ok(client_closed_response())),
         };
         let response = result.unwrap_or_else(|refusal| refusal.to_response());
-        let known = service
+        let known_service = service
             .as_ref()
             .and_then(|name| name.to_str().ok())
             .filter(|name| self.plan().services.contains_key(*name));
-        self.count(known.unwrap_or(""), class, &response, started);
+        self.record_metrics(known_service.unwrap_or(""), class, &response, started);
         response
     }
 
-    async fn answer(
+    async fn respond(
         self: &Rc<Self>,
         req: Request,
         started: Millis,
@@ -249,7 +251,7 @@
             cancelled: req.cancelled,
             started,
         };
-        let call = match self.read_call(&mut exchange.head, started) {
+        let call = match self.parse_call(&mut exchange.head, started) {
             Ok(call) => call,
             Err(refusal) => return (Class::default(), Err(refusal)),
         };
@@ -266,39 +268,39 @@
         let settings = call.settings();
         exchange
             .payload
-            .prepare(settings.max_body, self.cx.settings.replay_body)
+            .prepare(settings.max_body, self.cx.settings.buffered_request_limit)
             .await?;
         let granted = matches!(
             call.hop.as_ref().map(|hop| &hop.reason),
             Some(HopReason::Grant(_))
         );
         match call.key.clone() {
-            // The daemon before keeps the record of a request that it hands over under a grant.
+            // For a request forwarded under a grant, the previous daemon keeps the record.
             Some(key) if !granted => self.run_once(call, exchange, key, flight).await,
             _ => self.run(&call, exchange, flight).await,
         }
     }
 
-    fn read_call(&self, head: &mut RequestHead, now: Millis) -> Result<Call, Refusal> {
+    fn parse_call(&self, head: &mut RequestHead, now: Millis) -> Result<Call, Refusal> {
         let plan = self.plan();
         if plan.revision == Revision::NONE {
             let refusal = Refusal::not_run(Reason::NoSettings, "no settings are in force yet");
             return Err(refusal.retry_after(Millis(1_000)));
         }
-        let hop = Hop::of_head(head, &self.tokens, &self.cx.own.vm);
+        let hop = Hop::from_head(head, &self.tokens, &self.cx.own.vm);
         let hop = hop.map_err(|error| Refusal::not_run(Reason::BadRequest, error.to_string()))?;
         head.headers.remove(crate::hop::HOP_HEADER);
-        Call::of_head(head, plan, hop, now, self.cx.settings.max_deadline)
+        Call::from_head(head, plan, hop, now, self.cx.settings.max_deadline)
     }
 
     pub(crate) fn plan(&self) -> Arc<Plan> {
         Arc::clone(self.cx.steering.borrow().plan())
     }
 
-    pub(crate) fn fly(&self) -> InFlightGuard {
+    pub(crate) fn track_in_flight(&self) -> InFlightGuard {
         self.in_flight.count.set(self.in_flight.count.get() + 1);
         InFlightGuard {
-            flights: Rc::clone(&self.in_flight),
+            in_flight: Rc::clone(&self.in_flight),
         }
     }
 
@@ -317,7 +319,8 @@
         }
     }
 
-    /// Gives the slots of an upstream that may be used now.
+    /// Returns the number of slots of an upstream that may be used now, zero if it accepts no new
+    /// work.
     pub(crate) fn slot_limit(&self, key: &UpstreamKey) -> usize {
         let plan = self.plan();
         let service = plan.services.get(&key.service);
@@ -328,50 +331,50 @@
         }
     }
 
-    /// Says whether an upstream lies in this VM's failure domain.
-    pub(crate) fn is_own(&self, plan: &Plan, upstream: &UpstreamPlan) -> bool {
+    /// Returns whether an upstream lies in this VM's failure domain.
+    pub(crate) fn is_local(&self, plan: &Plan, upstream: &UpstreamPlan) -> bool {
         let place = plan.places.get(&upstream.place);
         place.is_some_and(|place| place.domain == self.cx.domain)
     }
 
-    /// Lists the upstreams of this VM's failure domain.
-    pub(crate) fn own_upstreams(&self, plan: &Plan) -> HashSet<UpstreamKey> {
+    /// Returns the upstreams in this VM's failure domain.
+    pub(crate) fn local_upstreams(&self, plan: &Plan) -> HashSet<UpstreamKey> {
         let mut keys = HashSet::new();
         for (name, service) in &plan.services {
-            for upstream in service.upstreams.iter().filter(|u| self.is_own(plan, u)) {
+            for upstream in service.upstreams.iter().filter(|u| self.is_local(plan, u)) {
                 keys.insert(UpstreamKey::new(name.clone(), upstream.name.clone()));
             }
         }
         keys
     }
 
-    fn count(&self, service: &str, class: Class, response: &Response, started: Millis) {
-        let text = |name: &str| {
+    fn record_metrics(&self, service: &str, class: Class, response: &Response, started: Millis) {
+        let header = |name: &str| {
             let value = response.headers.get(name);
             value.and_then(|v| v.to_str().ok()).unwrap_or("").to_owned()
         };
         let took = self.cx.clock.now().since(started);
-        let (outcome, reason) = (text(OUTCOME_HEADER), text(REASON_HEADER.as_str()));
+        let (outcome, reason) = (header(OUTCOME_HEADER), header(REASON_HEADER.as_str()));
         self.metrics
             .request(service, class, &outcome, &reason, took);
     }
 }
 
-fn nobody_waits() -> Response {
-    let status = StatusCode::from_u16(CLIENT_CLOSED).expect("499 is in range");
+fn client_closed_response() -> Response {
+    let status = StatusCode::from_u16(CLIENT_CLOSED_REQUEST).expect("499 is a valid status code");
     Response::new(status, Body::empty())
 }
 
 fn slot_context(cx: &GatewayContext, gateway: &Weak<Gateway>) -> SlotContext {
-    let (for_limit, for_leaving) = (gateway.clone(), gateway.clone());
+    let (limit_gateway, leaving_gateway) = (gateway.clone(), gateway.clone());
     let leaving_ttl = cx.settings.leaving_ttl;
     let clock = cx.clock.clone();
     SlotContext {
         own: cx.own.clone(),
         port: cx.slot_port.clone(),
-        limit: Rc::new(move |key| for_limit.upgrade().map_or(0, |g| g.slot_limit(key))),
+        limit: Rc::new(move |key| limit_gateway.upgrade().map_or(0, |g| g.slot_limit(key))),
         on_leaving: Rc::new(move |key| {
-            if let Some(gateway) = for_leaving.upgrade() {
+            if let Some(gateway) = leaving_gateway.upgrade() {
                 let until = clock.now() + leaving_ttl;
                 gateway.mark_leaving(key, LeavingSource::Answer, Some(until));
             }
--- a/crates/gateway/src/hop.rs
+++ b/crates/gateway/src/hop.rs
@@ -1,7 +1,7 @@
-//! The header with which one daemon hands a request to another.
+//! The header with which one daemon forwards a request to another.
 //!
-//! It is sealed with the deployment's secret and names the receiver, so that neither a caller
-//! nor another deployment can pass for a daemon.
+//! It is signed with the deployment's secret and names the receiver, so that neither a caller
+//! nor another deployment can impersonate a daemon.
 
 use heatherknot_http::RequestHead;
 use heatherknot_steering::GrantToken;
@@ -13,58 +13,59 @@
 use crate::mac::{TokenError, TokenKey};
 use crate::slots::Member;
 
-/// The request header between daemons.
+/// The request header that daemons add to forwarded requests.
 pub const HOP_HEADER: &str = "heatherknot-hop";
-/// Daemons that a request passes at most, the one that the caller chose included.
+/// The maximum number of daemons that a request passes, including the one the caller chose.
 pub const MAX_DAEMONS: u8 = 3;
 
 const PREFIX: &str = "hkh1";
 
-/// Why a request is handed over.
+/// Why a request is forwarded.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum HopReason {
-    /// To be served there, under a grant.
+    /// The receiver has issued a grant to serve the request.
     #[serde(rename = "g")]
     Grant(GrantToken),
-    /// Because that incarnation runs the request, or has run it.
+    /// The receiver's incarnation that runs the request, or has run it.
     #[serde(rename = "o")]
     Owner(Incarnation),
 }
 
-/// What a daemon says to the next one about a request.
+/// The content of the hop header.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Hop {
-    /// The daemon that hands the request over.
+    /// The daemon that forwards the request.
     #[serde(rename = "f")]
     pub from: Member,
-    /// The VM that it is handed to.
+    /// The VM that the request is forwarded to.
     #[serde(rename = "t")]
     pub to: VmName,
-    /// Daemons that the request has passed, the sender included.
+    /// The number of daemons that the request has passed, including the sender.
     #[serde(rename = "n")]
     pub passed: u8,
-    /// Why it is handed over.
+    /// Why the request is forwarded.
     #[serde(rename = "r")]
     pub reason: HopReason,
-    /// The digest of the method and path that this is for, as [`target_digest`] gives it.
+    /// The [`target_digest`] of the request that the header is valid for.
     #[serde(rename = "p")]
     pub target: u64,
 }
 
 impl Hop {
-    /// Gives the value of the [`HOP_HEADER`].
+    /// Returns the value of the [`HOP_HEADER`], signed with `key`.
     pub fn to_header(&self, key: &TokenKey) -> HeaderValue {
         let token = key.sign(PREFIX, self);
-        HeaderValue::try_from(token).expect("a token is header-safe text")
+        HeaderValue::try_from(token)
+            .expect("a token contains only characters allowed in a header value")
     }
 
-    /// Reads the [`HOP_HEADER`] of a request received by `own`.
+    /// Parses and verifies the [`HOP_HEADER`] of a request that the VM `own` received.
     ///
     /// # Errors
     ///
-    /// Returns an error where the header was not made by a daemon of this deployment for this
-    /// VM and this request.
-    pub fn of_head(
+    /// Returns an error if the header was not issued by a daemon of this deployment for this VM
+    /// and this request.
+    pub fn from_head(
         head: &RequestHead,
         key: &TokenKey,
         own: &VmName,
@@ -81,7 +82,7 @@
     }
 }
 
-/// Digests the method and path of a request.
+/// Returns a digest of the method and path of a request.
 pub fn target_digest(head: &RequestHead) -> u64 {
     let mut digest = Sha256::new();
     digest.update(head.method.as_str());
--- a/crates/gateway/src/leaving.rs
+++ b/crates/gateway/src/leaving.rs
@@ -1,4 +1,4 @@
-//! Backend servers that get no new work because they are leaving.
+//! Backend servers that receive no new work because they are leaving.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -7,68 +7,68 @@
 
 use crate::slots::UpstreamKey;
 
-/// Who says that a backend server is leaving.
+/// A source of reports that a backend server is leaving.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum LeavingSource {
-    /// A header of one of its answers, seen here or by another VM.
+    /// A header of one of its responses, received by this VM or another one.
     Answer,
-    /// Its own health answer.
+    /// Its response to a health check.
     Health,
     /// The platform's list of VMs.
     VmList,
-    /// The home of its slots, which lends none.
+    /// The home of its slots, which no longer lends any.
     Home,
 }
 
-/// The backend servers that are leaving, by everyone who says so. What an operator's plan says
-/// is not among it.
+/// The backend servers that are leaving, with the sources that report it. Drains set by an
+/// operator in the plan are not included.
 #[derive(Debug, Default)]
 pub struct Leaving {
     marks: RefCell<HashMap<UpstreamKey, HashMap<LeavingSource, Option<Millis>>>>,
 }
 
 impl Leaving {
-    /// Notes that `source` says that a backend server is leaving, until `until` or for as long
-    /// as it is not taken back. Says whether that is news.
+    /// Records that `source` reports a backend server as leaving. The mark expires at `until`, or
+    /// stays until it is removed with [`Leaving::unmark`]. Returns whether it is the server's first
+    /// mark.
     pub fn mark(&self, key: &UpstreamKey, source: LeavingSource, until: Option<Millis>) -> bool {
         let mut marks = self.marks.borrow_mut();
-        let of_key = marks.entry(key.clone()).or_default();
-        let news = of_key.is_empty();
-        of_key.insert(source, until);
-        news
+        let sources = marks.entry(key.clone()).or_default();
+        let is_first = sources.is_empty();
+        sources.insert(source, until);
+        is_first
     }
 
-    /// Notes that `source` no longer says so. Says whether nobody does now.
+    /// Removes the mark of `source`. Returns whether it was the server's last mark.
     pub fn unmark(&self, key: &UpstreamKey, source: LeavingSource) -> bool {
         let mut marks = self.marks.borrow_mut();
-        let Some(of_key) = marks.get_mut(key) else {
+        let Some(sources) = marks.get_mut(key) else {
             return false;
         };
-        of_key.remove(&source);
-        let nobody = of_key.is_empty();
-        if nobody {
+        sources.remove(&source);
+        let none_left = sources.is_empty();
+        if none_left {
             marks.remove(key);
         }
-        nobody
+        none_left
     }
 
-    /// Says whether anybody says that a backend server is leaving.
+    /// Returns whether any source reports a backend server as leaving.
     pub fn is_leaving(&self, key: &UpstreamKey) -> bool {
         self.marks.borrow().contains_key(key)
     }
 
-    /// Forgets what is past its time; gives the backend servers that nobody says are leaving
-    /// any more.
+    /// Removes expired marks. Returns the backend servers whose last mark expired.
     pub fn expire(&self, now: Millis) -> Vec<UpstreamKey> {
         let mut marks = self.marks.borrow_mut();
-        let mut over = Vec::new();
-        marks.retain(|key, of_key| {
-            of_key.retain(|_, until| until.is_none_or(|until| until > now));
-            if of_key.is_empty() {
-                over.push(key.clone());
+        let mut expired = Vec::new();
+        marks.retain(|key, sources| {
+            sources.retain(|_, until| until.is_none_or(|until| until > now));
+            if sources.is_empty() {
+                expired.push(key.clone());
             }
-            !of_key.is_empty()
+            !sources.is_empty()
         });
-        over
+        expired
     }
 }
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,10 +1,11 @@
-//! The request path of an entry VM: admission, queues, upstream choice, retries and at-most-once.
+//! The request path of an entry VM: admission, queueing, upstream selection, retries and
+//! at-most-once execution.
 //!
-//! [`Gateway::handle`] takes a caller's request and gives its one answer, which says whether a
-//! backend server answered, the request did not run, or that is unknown. The decisions are
-//! those of `heatherknot_steering`; this package applies them to real requests, shares the
-//! slots of upstreams among the VMs of a failure domain ([`slots`]) and sees that a request
-//! which must not run twice doesn't ([`once`]).
+//! [`Gateway::handle`] turns a caller's request into exactly one response. The response says
+//! whether a backend server answered, the request did not run, or whether it ran is unknown.
+//! `heatherknot_steering` makes the decisions; this crate applies them to real requests, shares
+//! the slots of upstreams among the VMs of a failure domain ([`slots`]) and keeps requests that
+//! must not run twice from doing so ([`once`]).
 
 mod admit;
 mod answer;
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -1,4 +1,4 @@
-//! The gateway's metrics.
+//! Prometheus metrics of the request path.
 
 use std::fmt;
 
@@ -7,10 +7,10 @@
     HistogramOpts, HistogramVec, IntCounterVec, IntGaugeVec, Opts, Registry, exponential_buckets,
 };
 
-/// The shortest answer time with a bucket of its own, in seconds.
-const FIRST_BUCKET: f64 = 0.001;
+/// The upper bound of the first latency bucket, in seconds.
+const FIRST_BUCKET_SECONDS: f64 = 0.001;
 const BUCKET_FACTOR: f64 = 2.0;
-const BUCKETS: usize = 16;
+const BUCKET_COUNT: usize = 16;
 
 /// Counters, gauges and histograms of the request path.
 #[derive(Clone)]
@@ -22,22 +22,22 @@
     handed_over: IntCounterVec,
     repeats: IntCounterVec,
     probes: IntCounterVec,
-    /// Slots that this VM uses, by service and upstream.
+    /// The number of slots that this VM uses, by service and upstream.
     pub slots: IntGaugeVec,
-    /// Requests that wait, by service and class.
+    /// The number of queued requests, by service and class.
     pub queued: IntGaugeVec,
-    /// Requests that are remembered because they must not run twice.
+    /// The number of recorded requests that must not run twice.
     pub remembered: IntGaugeVec,
 }
 
 impl GatewayMetrics {
-    /// Makes the metrics and adds them to a registry.
+    /// Creates the metrics and adds them to `registry`.
     ///
     /// # Errors
     ///
-    /// Returns an error where the registry has metrics of the same names.
+    /// Returns an error if the registry already has metrics of the same names.
     pub fn register(registry: &Registry) -> Result<Self, prometheus::Error> {
-        let buckets = exponential_buckets(FIRST_BUCKET, BUCKET_FACTOR, BUCKETS)?;
+        let buckets = exponential_buckets(FIRST_BUCKET_SECONDS, BUCKET_FACTOR, BUCKET_COUNT)?;
         let latency = HistogramOpts::new(
             "heatherknot_request_seconds",
             "Time from a request to the head of its answer.",
@@ -90,11 +90,11 @@
                 &[],
             )?,
         };
-        metrics.add_to(registry)?;
+        metrics.register_all(registry)?;
         Ok(metrics)
     }
 
-    fn add_to(&self, registry: &Registry) -> Result<(), prometheus::Error> {
+    fn register_all(&self, registry: &Registry) -> Result<(), prometheus::Error> {
         registry.register(Box::new(self.requests.clone()))?;
         registry.register(Box::new(self.latency.clone()))?;
         registry.register(Box::new(self.retries.clone()))?;
@@ -106,42 +106,50 @@
         registry.register(Box::new(self.remembered.clone()))
     }
 
-    /// Counts a request that was answered, by a backend server or by the gateway.
-    pub fn request(&self, service: &str, class: Class, outcome: &str, reason: &str, took: Millis) {
+    /// Counts a request that got its response from a backend server or from the gateway, and
+    /// observes its latency.
+    pub fn request(
+        &self,
+        service: &str,
+        class: Class,
+        outcome: &str,
+        reason: &str,
+        latency: Millis,
+    ) {
         self.requests
             .with_label_values(&[service, class.as_str(), outcome, reason])
             .inc();
         self.latency
             .with_label_values(&[service, class.as_str()])
-            .observe(took.as_secs_f64());
+            .observe(latency.as_secs_f64());
     }
 
-    /// Counts a request that was admitted and goes to a place.
+    /// Counts a request that was admitted and is sent to `place`.
     pub fn sent(&self, service: &ServiceName, place: &PlaceName) {
         self.sent
             .with_label_values(&[service.as_str(), place.as_str()])
             .inc();
     }
 
-    /// Counts a request that is sent again.
+    /// Counts a retry of a request.
     pub fn retry(&self, service: &ServiceName) {
         self.retries.with_label_values(&[service.as_str()]).inc();
     }
 
-    /// Counts a request that is handed to another VM.
-    pub fn hand_over(&self, service: &ServiceName, why: &str) {
+    /// Counts a request that is forwarded to another VM; `reason` becomes the label `why`.
+    pub fn hand_over(&self, service: &ServiceName, reason: &str) {
         self.handed_over
-            .with_label_values(&[service.as_str(), why])
+            .with_label_values(&[service.as_str(), reason])
             .inc();
     }
 
-    /// Counts a probe of a backend server.
-    pub fn probe(&self, service: &ServiceName, upstream: &UpstreamName, found: &str) {
-        let labels = [service.as_str(), upstream.as_str(), found];
+    /// Counts a probe of a backend server; `result` becomes the label `found`.
+    pub fn probe(&self, service: &ServiceName, upstream: &UpstreamName, result: &str) {
+        let labels = [service.as_str(), upstream.as_str(), result];
         self.probes.with_label_values(&labels).inc();
     }
 
-    /// Counts a repeat of a request that runs at most once.
+    /// Counts a repeat of a request that runs at most once; `answer` says how it was answered.
     pub fn repeat(&self, service: &ServiceName, answer: &str) {
         self.repeats
             .with_label_values(&[service.as_str(), answer])
--- a/crates/gateway/src/payload.rs
+++ b/crates/gateway/src/payload.rs
@@ -1,4 +1,4 @@
-//! A request's body, held where it is small so that the request can be sent again.
+//! Request bodies. Small ones are buffered so that the request can be retried.
 
 use bytes::Bytes;
 use heatherknot_http::{Body, BodyError};
@@ -8,64 +8,68 @@
 /// A request's body.
 #[derive(Debug)]
 pub(crate) enum Payload {
-    /// All of it is here.
-    Held(Bytes),
-    /// It comes from the caller; gone once it was taken.
+    /// The complete body.
+    Buffered(Bytes),
+    /// A body that is read from the caller while it is sent; `None` once taken.
     Streamed(Option<Body>),
 }
 
 impl Payload {
-    /// Checks the length against `max`, and reads the body where it is at most `hold` bytes.
+    /// Checks the body's length against `max` bytes, and buffers the body if it has at most
+    /// `buffer_limit` bytes.
     ///
-    /// Nothing is sent before a small body is here whole: a caller that breaks off halfway
-    /// leaves a request that did not run.
+    /// A small body is received completely before any part of the request is sent. If the caller
+    /// disconnects halfway, the request has not run.
     ///
     /// # Errors
     ///
-    /// Returns the answer to a request whose body is too large or broken.
-    pub(crate) async fn prepare(&mut self, max: u64, hold: u64) -> Result<(), Refusal> {
+    /// Returns the response to a request whose body is too large or incomplete.
+    pub(crate) async fn prepare(&mut self, max: u64, buffer_limit: u64) -> Result<(), Refusal> {
         let Payload::Streamed(body) = self else {
             return Ok(());
         };
-        let Some(mut whole) = body.take() else {
+        let Some(mut stream) = body.take() else {
             return Ok(());
         };
-        let len = whole.known_len();
+        let len = stream.known_len();
         if len.is_some_and(|len| len > max) {
-            return Err(too_large(max));
+            return Err(body_too_large(max));
         }
-        if len.is_some_and(|len| len <= hold) {
-            let bytes = whole.collect(hold as usize).await.map_err(broken)?;
-            *self = Payload::Held(bytes);
+        if len.is_some_and(|len| len <= buffer_limit) {
+            let bytes = stream
+                .collect(buffer_limit as usize)
+                .await
+                .map_err(body_broken)?;
+            *self = Payload::Buffered(bytes);
             return Ok(());
         }
-        whole.limit(max);
-        *body = Some(whole);
+        stream.limit(max);
+        *body = Some(stream);
         Ok(())
     }
 
-    /// Gives the body for one attempt, and nothing where it was given away before.
+    /// Returns the body for one attempt, or `None` if a streamed body was already taken.
     pub(crate) fn take(&mut self) -> Option<Body> {
         match self {
-            Payload::Held(bytes) => Some(Body::full(bytes.clone())),
+            Payload::Buffered(bytes) => Some(Body::full(bytes.clone())),
             Payload::Streamed(body) => body.take(),
         }
     }
 
-    /// Says whether the request can be sent again.
+    /// Returns whether the body is available for a further attempt.
     pub(crate) fn is_available(&self) -> bool {
         match self {
-            Payload::Held(_) => true,
+            Payload::Buffered(_) => true,
             Payload::Streamed(body) => body.is_some(),
         }
     }
 }
 
-fn too_large(max: u64) -> Refusal {
+fn body_too_large(max: u64) -> Refusal {
     let detail = format!("the body is longer than the {max} bytes that the service allows");
     Refusal::not_run(Reason::BodyTooLarge, detail)
 }
 
-fn broken(error: BodyError) -> Refusal {
+fn body_broken(error: BodyError) -> Refusal {
     Refusal::not_run(Reason::BodyBroken, error.to_string())
 }
--- a/crates/gateway/src/probe.rs
+++ b/crates/gateway/src/probe.rs
@@ -1,8 +1,7 @@
-//! What the gateway learns of backend servers besides their answers: their own health answers
-//! and the platform's list of VMs.
+//! Health checks of backend servers, and leaving servers found in the platform's list of VMs.
 //!
-//! Only the home of an upstream probes it. The home lends its slots, so that what it learns
-//! holds for every VM of the failure domain at once.
+//! Only the home of an upstream probes it. The home lends the upstream's slots, so what it
+//! learns takes effect for every VM of the failure domain at once.
 
 use std::cell::RefCell;
 use std::collections::{HashMap, HashSet};
@@ -20,26 +19,26 @@
 use crate::leaving::LeavingSource;
 use crate::slots::UpstreamKey;
 
-/// Longest wait for a health answer.
-const PROBE_LIMIT: Millis = Millis(1_000);
-/// Longest health answer, in bytes.
-const MAX_HEALTH: usize = 16 * 1024;
-/// Probes in a row that must fail before a backend server is left alone. One lost probe says
-/// little.
-const FAILURES: u32 = 3;
+/// The timeout of a health check.
+const PROBE_TIMEOUT: Millis = Millis(1_000);
+/// The maximum length of a health response's body, in bytes.
+const MAX_HEALTH_BODY: usize = 16 * 1024;
+/// The number of consecutive failed probes after which a backend server counts as unhealthy.
+/// More than one, as a single lost probe is weak evidence.
+const FAILURE_THRESHOLD: u32 = 3;
 
-/// VMs of a failure domain that read the platform's list for all of it: two, so that one that is
-/// paused or dead is not missed.
-const LIST_READERS: usize = 2;
+/// The number of VMs that read the platform's list of VMs for their whole failure domain. Two, so
+/// that one of them may be paused or dead.
+const VM_LIST_READERS: usize = 2;
 
-/// The probes under way and the failures in a row.
+/// The probes in progress and the consecutive failures of each upstream.
 #[derive(Debug, Default)]
 pub(crate) struct Probes {
-    under_way: RefCell<HashSet<UpstreamKey>>,
+    in_progress: RefCell<HashSet<UpstreamKey>>,
     failures: RefCell<HashMap<UpstreamKey, u32>>,
 }
 
-/// The part of a health answer that is understood.
+/// The fields of a health response that the gateway uses.
 #[derive(Clone, Copy, Debug, Default, Deserialize)]
 #[serde(default)]
 struct Health {
@@ -47,35 +46,35 @@
     draining: bool,
 }
 
-/// What one probe found.
+/// The result of one probe.
 #[derive(Clone, Copy, Debug)]
-enum Found {
-    Well(Health),
-    /// The server has no health answer, which says nothing.
-    Nothing,
+enum ProbeResult {
+    Healthy(Health),
+    /// The server has no health check, so the probe says nothing about its health.
+    NoHealthCheck,
     Failed,
 }
 
 impl Gateway {
-    /// Says whether this VM is one of the few of its failure domain that read the platform's list
-    /// of VMs for backend servers that leave, and pass it to [`Gateway::on_leaving_servers`].
+    /// Returns whether this VM is one of those in its failure domain that read the platform's list
+    /// of VMs for leaving backend servers and pass them to [`Gateway::on_leaving_servers`].
     pub fn reads_vm_list(&self) -> bool {
-        self.slots().is_among_top(LIST_READERS, "vm-list")
+        self.slots().is_among_top(VM_LIST_READERS, "vm-list")
     }
 
-    /// Notes which servers the platform's list of VMs says are leaving or gone. An address with
-    /// port zero stands for every server at its IP number.
+    /// Records which servers are leaving or gone according to the platform's list of VMs. An
+    /// address with port zero stands for every server at its IP address.
     pub fn on_leaving_servers(&self, leaving: &HashSet<SocketAddr>) {
         let plan = self.plan();
-        for key in self.own_upstreams(&plan) {
-            let Some(upstream) = upstream_of(&plan.services, &key) else {
+        for key in self.local_upstreams(&plan) {
+            let Some(upstream) = find_upstream(&plan.services, &key) else {
                 continue;
             };
-            let mut whole_vm = upstream.address;
-            whole_vm.set_port(0);
-            let leaves = leaving.contains(&upstream.address) || leaving.contains(&whole_vm);
-            self.set_leaving(&key, LeavingSource::VmList, leaves);
-            if leaves && !self.slots().is_home(&key) {
+            let mut any_port = upstream.address;
+            any_port.set_port(0);
+            let is_leaving = leaving.contains(&upstream.address) || leaving.contains(&any_port);
+            self.set_leaving(&key, LeavingSource::VmList, is_leaving);
+            if is_leaving && !self.slots().is_home(&key) {
                 self.slots().report_leaving(&key);
             }
         }
@@ -87,71 +86,71 @@
             return;
         };
         let plan = self.plan();
-        for key in self.own_upstreams(&plan) {
-            let Some(upstream) = upstream_of(&plan.services, &key) else {
+        for key in self.local_upstreams(&plan) {
+            let Some(upstream) = find_upstream(&plan.services, &key) else {
                 continue;
             };
             if !self.slots().is_home(&key) {
                 self.probes.failures.borrow_mut().remove(&key);
                 continue;
             }
-            if self.probes.under_way.borrow_mut().insert(key.clone()) {
+            if self.probes.in_progress.borrow_mut().insert(key.clone()) {
                 let gateway = Rc::clone(self);
                 let (upstream, path) = (upstream.clone(), path.clone());
                 monoio::spawn(async move {
-                    let found = gateway.probe(&key, &upstream, &path).await;
-                    gateway.probes.under_way.borrow_mut().remove(&key);
-                    gateway.on_probed(&key, found);
+                    let result = gateway.probe(&key, &upstream, &path).await;
+                    gateway.probes.in_progress.borrow_mut().remove(&key);
+                    gateway.on_probe_result(&key, result);
                 });
             }
         }
     }
 
-    async fn probe(&self, key: &UpstreamKey, upstream: &UpstreamPlan, path: &str) -> Found {
+    async fn probe(&self, key: &UpstreamKey, upstream: &UpstreamPlan, path: &str) -> ProbeResult {
         let Ok(uri) = path.parse() else {
-            return Found::Nothing;
+            return ProbeResult::NoHealthCheck;
         };
         let head = RequestHead::new(Method::GET, uri);
         let options = SendOptions {
-            deadline: Some(self.cx.clock.now() + PROBE_LIMIT),
+            deadline: Some(self.cx.clock.now() + PROBE_TIMEOUT),
             idempotent: true,
             new_connection: false,
         };
         let pool = self.pool_of(key, upstream);
-        let probing = async {
+        let exchange = async {
             let response = pool.send(head, Body::empty(), options).await.ok()?;
             let status = response.status;
-            let body = response.body.collect(MAX_HEALTH).await.ok()?;
+            let body = response.body.collect(MAX_HEALTH_BODY).await.ok()?;
             Some((status, body))
         };
-        match self.cx.timer.limit(PROBE_LIMIT, probing).await.flatten() {
+        match self.cx.timer.limit(PROBE_TIMEOUT, exchange).await.flatten() {
             Some((StatusCode::OK, body)) => {
-                Found::Well(serde_json::from_slice(&body).unwrap_or_default())
+                ProbeResult::Healthy(serde_json::from_slice(&body).unwrap_or_default())
             }
-            Some((status, _)) if status.is_server_error() => Found::Failed,
-            Some(_) => Found::Nothing,
-            None => Found::Failed,
+            Some((status, _)) if status.is_server_error() => ProbeResult::Failed,
+            Some(_) => ProbeResult::NoHealthCheck,
+            None => ProbeResult::Failed,
         }
     }
 
-    fn on_probed(&self, key: &UpstreamKey, found: Found) {
-        let label = match found {
-            Found::Well(_) => "well",
-            Found::Nothing => "nothing",
-            Found::Failed => "failed",
+    fn on_probe_result(&self, key: &UpstreamKey, result: ProbeResult) {
+        let label = match result {
+            ProbeResult::Healthy(_) => "well",
+            ProbeResult::NoHealthCheck => "nothing",
+            ProbeResult::Failed => "failed",
         };
         self.metrics.probe(&key.service, &key.upstream, label);
-        let (healthy, leaving) = match found {
-            Found::Nothing => return,
-            Found::Well(health) => {
+        let (healthy, leaving) = match result {
+            ProbeResult::NoHealthCheck => return,
+            ProbeResult::Healthy(health) => {
                 self.probes.failures.borrow_mut().remove(key);
                 (true, health.draining)
             }
-            Found::Failed => {
+            ProbeResult::Failed => {
                 let mut failures = self.probes.failures.borrow_mut();
                 let count = failures.entry(key.clone()).or_insert(0);
                 *count += 1;
-                if *count < FAILURES {
+                if *count < FAILURE_THRESHOLD {
                     return;
                 }
                 (false, false)
@@ -161,8 +160,8 @@
             self.set_leaving(key, LeavingSource::Health, leaving);
         }
         let load = UpstreamLoad {
-            // The home counts the slots itself. A load answer lags: it would show slots taken
-            // by requests that have ended, and requests would wait while slots stood free.
+            // The home counts the slots itself. A reported load lags behind: it would include
+            // requests that have already ended, and requests would wait although slots are free.
             in_use: 0,
             healthy,
             leaving: false,
@@ -174,7 +173,7 @@
     }
 }
 
-fn upstream_of<'a>(
+fn find_upstream<'a>(
     services: &'a std::collections::BTreeMap<ServiceName, ServicePlan>,
     key: &UpstreamKey,
 ) -> Option<&'a UpstreamPlan> {
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -1,4 +1,4 @@
-//! Handing a request to another daemon.
+//! Forwarding of requests to other daemons.
 
 use std::rc::Rc;
 
@@ -20,11 +20,11 @@
 use crate::run::{AttemptFailure, Attempts};
 use crate::slots::Member;
 
-/// When a caller may come back after another daemon failed.
+/// `Retry-After` of a request for which another daemon failed.
 const RETRY_AFTER_FAILURE: Millis = Millis(1_000);
 
 impl Gateway {
-    /// Hands a request to a VM of another failure domain, under a grant.
+    /// Forwards a request to a VM of another failure domain under a grant.
     #[expect(
         clippy::too_many_arguments,
         reason = "an attempt needs all of its parts"
@@ -33,7 +33,7 @@
         self: &Rc<Self>,
         call: &Call,
         exchange: &mut Exchange,
-        tries: &Attempts,
+        attempts: &Attempts,
         admission: AdmissionGuard,
         vm: VmName,
         token: GrantToken,
@@ -43,8 +43,8 @@
             return Err(not_attempted(body_consumed()));
         };
         let now = self.cx.clock.now();
-        let mut head = self.forwarded_head(call, &exchange.head, tries, now);
-        self.add_hop(&mut head, call, &vm, HopReason::Grant(token));
+        let mut head = self.forwarded_head(call, &exchange.head, attempts, now);
+        self.add_hop_header(&mut head, call, &vm, HopReason::Grant(token));
         self.metrics.hand_over(&call.service, "grant");
         let sent = (self.cx.hand_over)(HandOver {
             vm,
@@ -53,7 +53,7 @@
             deadline: call.deadline,
             idempotent: !call.at_most_once,
         });
-        let in_use = RequestResources {
+        let resources = RequestResources {
             slot: None,
             admission,
             flight: None,
@@ -61,14 +61,14 @@
         let response = match sent.await {
             Ok(response) => response,
             Err(error) => {
-                in_use.admission.set_outcome(RequestOutcome::Failed);
-                return Err(lost(&error));
+                resources.admission.set_outcome(RequestOutcome::Failed);
+                return Err(forwarding_failed(&error));
             }
         };
-        if let Some(failure) = refused_there(&response, &in_use) {
+        if let Some(failure) = peer_failure(&response, &resources) {
             return Err(failure);
         }
-        let delivered = self.deliver(response, in_use, flight, &exchange.cancelled);
+        let delivered = self.deliver(response, resources, flight, &exchange.cancelled);
         delivered.await.map_err(|refusal| AttemptFailure {
             refusal,
             avoid: None,
@@ -77,12 +77,12 @@
         })
     }
 
-    /// Hands a request that must not run twice to the daemon that runs it, or has run it.
+    /// Forwards a request that must not run twice to the daemon that runs it, or has run it.
     ///
     /// # Errors
     ///
-    /// Returns "unknown" where that daemon gives no answer, as it may have run the request
-    /// before.
+    /// Returns the outcome "unknown" if that daemon does not respond, as it may have run the
+    /// request earlier.
     pub(crate) async fn forward_to_owner(
         self: &Rc<Self>,
         call: &Call,
@@ -91,10 +91,10 @@
     ) -> Result<Response, Refusal> {
         let body = exchange.payload.take().ok_or_else(body_consumed)?;
         let now = self.cx.clock.now();
-        let tries = Attempts::new();
-        let mut head = self.forwarded_head(call, &exchange.head, &tries, now);
+        let attempts = Attempts::new();
+        let mut head = self.forwarded_head(call, &exchange.head, &attempts, now);
         let reason = HopReason::Owner(owner.incarnation);
-        self.add_hop(&mut head, call, &owner.vm, reason);
+        self.add_hop_header(&mut head, call, &owner.vm, reason);
         self.metrics.hand_over(&call.service, "owner");
         let sent = (self.cx.hand_over)(HandOver {
             vm: owner.vm.clone(),
@@ -109,7 +109,7 @@
         })
     }
 
-    fn add_hop(&self, head: &mut RequestHead, call: &Call, vm: &VmName, reason: HopReason) {
+    fn add_hop_header(&self, head: &mut RequestHead, call: &Call, vm: &VmName, reason: HopReason) {
         let hop = Hop {
             from: self.cx.own.clone(),
             to: vm.clone(),
@@ -121,7 +121,7 @@
     }
 }
 
-fn lost(error: &HandOverError) -> AttemptFailure {
+fn forwarding_failed(error: &HandOverError) -> AttemptFailure {
     let detail = error.to_string();
     let refusal = match error.may_have_run {
         true => Refusal::unknown(Reason::ConnectionLost, detail),
@@ -135,15 +135,16 @@
     }
 }
 
-/// Reads another daemon's word that it did not run the request, or doesn't know.
-fn refused_there(response: &Response, in_use: &RequestResources) -> Option<AttemptFailure> {
+/// Returns the failure that another daemon's response reports, or `None` if a backend server
+/// answered. The request either did not run, or whether it ran is unknown.
+fn peer_failure(response: &Response, resources: &RequestResources) -> Option<AttemptFailure> {
     let header = |name: &str| response.headers.get(name).and_then(|v| v.to_str().ok());
     let outcome = header(OUTCOME_HEADER).unwrap_or("");
     if outcome == Outcome::Answered.as_str() {
         return None;
     }
     let seconds = header(RETRY_AFTER.as_str()).and_then(|text| text.parse().ok());
-    let after = seconds.map_or(RETRY_AFTER_FAILURE, |s: u64| {
+    let retry_after = seconds.map_or(RETRY_AFTER_FAILURE, |s: u64| {
         Millis(s.saturating_mul(1_000))
     });
     let detail = format!("the other daemon answered {}", response.status);
@@ -152,12 +153,12 @@
         true => Refusal::not_run(Reason::PeerFailed, detail),
         false => Refusal::unknown(Reason::ConnectionLost, detail),
     };
-    in_use.admission.set_outcome(match not_run {
+    resources.admission.set_outcome(match not_run {
         true => RequestOutcome::Cancelled,
         false => RequestOutcome::Failed,
     });
     Some(AttemptFailure {
-        refusal: refusal.retry_after(after),
+        refusal: refusal.retry_after(retry_after),
         avoid: None,
         stale_connection: false,
         retryable: true,
