--- a/crates/gateway/tests/common/mod.rs
+++ b/crates/gateway/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! Fixtures: VMs of one failure domain with real sockets to callers and backend servers, and
-//! fakes for the calls between VMs, the claims and the time.
+//! Test fixtures: VMs with real sockets to callers and backend servers, and fakes for the calls
+//! between VMs, the store of claims and the clock.
 #![allow(dead_code)]
 
 pub mod network;
@@ -37,7 +37,7 @@
 pub const DOMAIN: &str = "north-1";
 pub const SECRET: &[u8] = b"a secret of the deployment";
 
-/// One entry VM, serving callers on a real socket.
+/// An entry VM that serves callers on a real socket.
 pub struct Vm {
     pub gateway: Rc<Gateway>,
     pub steering: Rc<RefCell<Steering>>,
@@ -48,7 +48,7 @@
     pool: Pool,
 }
 
-/// What one response said.
+/// A received response, with the headers that the tests check.
 #[derive(Debug)]
 pub struct TestResponse {
     pub status: StatusCode,
@@ -58,7 +58,7 @@
     pub body: Vec<u8>,
 }
 
-/// A request to be sent to a VM.
+/// A request to send to a VM.
 #[derive(Clone, Debug)]
 pub struct TestRequest {
     pub head: RequestHead,
@@ -71,18 +71,18 @@
     }
 
     pub fn post(id: &str) -> Self {
-        let mut ask = Self::new(Method::POST, "/orders", id);
-        ask.body = b"an order".to_vec();
-        ask
+        let mut req = Self::new(Method::POST, "/orders", id);
+        req.body = b"an order".to_vec();
+        req
     }
 
     pub fn new(method: Method, path: &str, id: &str) -> Self {
         let head = RequestHead::new(method, path.parse().expect("a path"));
-        let ask = Self {
+        let req = Self {
             head,
             body: Vec::new(),
         };
-        ask.header(SERVICE_HEADER, SERVICE)
+        req.header(SERVICE_HEADER, SERVICE)
             .header(REQUEST_ID_HEADER.as_str(), id)
     }
 
@@ -97,8 +97,8 @@
         self.header(IDEMPOTENCY_HEADER, key)
     }
 
-    pub fn deadline(self, span: u64) -> Self {
-        self.header(DEADLINE_HEADER, &span.to_string())
+    pub fn deadline(self, millis: u64) -> Self {
+        self.header(DEADLINE_HEADER, &millis.to_string())
     }
 
     pub fn bulk(self) -> Self {
@@ -107,7 +107,7 @@
 }
 
 impl Vm {
-    /// Starts a VM that knows no settings and no members yet.
+    /// Starts a VM without settings and members.
     pub fn start(
         name: &str,
         incarnation: u64,
@@ -168,7 +168,7 @@
             kept_headers: KEPT_HEADERS,
             ..Limits::default()
         };
-        let handler = handler_of(&gateway);
+        let handler = gateway_handler(&gateway);
         monoio::spawn(serve(listener, handler, limits, stop.clone()));
         network.add(&member, &gateway, address);
         Self {
@@ -182,31 +182,31 @@
         }
     }
 
-    /// Gives the VM its settings and members and lets the first window pass.
+    /// Gives the VM its settings, its members and an equal part of the failure domain's capacity.
     pub fn configure(&self, plan: &Arc<Plan>, members: &Members, time: &ManualTime) {
-        let parts = members.list.len().max(1) as u16;
+        let vm_count = members.list.len().max(1) as u16;
         self.gateway.on_plan(Arc::clone(plan));
         let mut steering = self.steering.borrow_mut();
-        steering.on_capacity_part(1000 / parts, time.clock().now());
+        steering.on_capacity_part(1000 / vm_count, time.clock().now());
         drop(steering);
         self.gateway.on_members(members.clone());
     }
 
-    pub async fn try_send(&self, ask: TestRequest) -> Result<TestResponse, SendError> {
+    pub async fn try_send(&self, req: TestRequest) -> Result<TestResponse, SendError> {
         let options = SendOptions::default();
-        let sent = self.pool.send(ask.head, Body::full(ask.body), options);
+        let sent = self.pool.send(req.head, Body::full(req.body), options);
         Ok(read_response(sent.await?).await)
     }
 
-    /// Sends a request and reads the whole answer.
-    pub async fn send(&self, ask: TestRequest) -> TestResponse {
-        self.try_send(ask).await.expect("an answer")
+    /// Sends a request and reads the complete response.
+    pub async fn send(&self, req: TestRequest) -> TestResponse {
+        self.try_send(req).await.expect("an answer")
     }
 
-    /// Sends a request in a task of its own.
-    pub fn spawn_send(self: &Rc<Self>, ask: TestRequest) -> monoio::task::JoinHandle<TestResponse> {
+    /// Sends a request in a separate task.
+    pub fn spawn_send(self: &Rc<Self>, req: TestRequest) -> monoio::task::JoinHandle<TestResponse> {
         let vm = Rc::clone(self);
-        monoio::spawn(async move { vm.send(ask).await })
+        monoio::spawn(async move { vm.send(req).await })
     }
 }
 
@@ -224,12 +224,12 @@
         retry_after,
         body: match response.body.collect(64 << 20).await {
             Ok(body) => body.to_vec(),
-            Err(error) => panic!("the body broke: {error}"),
+            Err(error) => panic!("failed to read the body: {error}"),
         },
     }
 }
 
-fn handler_of(gateway: &Rc<Gateway>) -> Handler {
+fn gateway_handler(gateway: &Rc<Gateway>) -> Handler {
     let gateway = Rc::clone(gateway);
     Rc::new(move |req| Box::pin(Rc::clone(&gateway).handle(req)))
 }
@@ -248,7 +248,7 @@
     }
 }
 
-/// A backend server that refuses by the published signal what it can't run.
+/// Starts a backend server that sets the not-run header on requests that it refuses.
 pub fn backend(slots: usize) -> FakeBackend {
     let not_run = HeaderName::from_static("x-not-run");
     FakeBackend::start(Behavior {
@@ -262,7 +262,7 @@
     })
 }
 
-/// Settings of one service on these backend servers, with `slots` slots each.
+/// Returns settings with one service on these backend servers, with `slots` slots each.
 pub fn plan(backends: &[&FakeBackend], slots: u16) -> Plan {
     let addresses: Vec<SocketAddr> = backends.iter().map(|b| b.address()).collect();
     plan_with_addresses(&addresses, slots)
@@ -331,7 +331,7 @@
     }
 }
 
-/// Starts one VM that is ready to serve from these backend servers.
+/// Starts one VM that is ready to serve requests under `plan`.
 pub async fn one_vm(plan: Plan) -> (Rc<Vm>, ManualTime, Rc<FakeNetwork>) {
     one_vm_with(plan, GatewaySettings::default()).await
 }
@@ -349,7 +349,7 @@
     (Rc::new(vm), time, network)
 }
 
-/// Starts two VMs of one failure domain that are ready to serve.
+/// Starts two VMs of one failure domain that are ready to serve requests under `plan`.
 pub async fn two_vms(plan: Plan) -> (Rc<Vm>, Rc<Vm>, ManualTime, Rc<FakeNetwork>) {
     let time = ManualTime::new();
     let network = FakeNetwork::new();
@@ -363,7 +363,8 @@
     (Rc::new(a), Rc::new(b), time, network)
 }
 
-/// Lets the first window pass, in which nothing is admitted, and homes become ready.
+/// Advances the clock past the first window, in which nothing is admitted, until homes are
+/// ready.
 pub async fn warm_up(vms: &[&Vm], time: &ManualTime) {
     const STEPS: u64 = 30;
     for _ in 0..STEPS {
@@ -375,19 +376,23 @@
     }
 }
 
-/// Lets the other tasks run.
+/// Yields to the other tasks.
 pub async fn run_tasks() {
     monoio::time::sleep(std::time::Duration::from_millis(1)).await;
 }
 
 /// Waits until a condition holds.
+///
+/// # Panics
+///
+/// Panics with `what` if the condition does not hold after 10,000 checks.
 pub async fn wait_until(what: &str, mut holds: impl FnMut() -> bool) {
-    const PATIENCE: usize = 10_000;
-    for _ in 0..PATIENCE {
+    const MAX_CHECKS: usize = 10_000;
+    for _ in 0..MAX_CHECKS {
         if holds() {
             return;
         }
         run_tasks().await;
     }
-    panic!("never came true: {what}");
+    panic!("condition did not hold in time: {what}");
 }
--- a/crates/gateway/tests/common/network.rs
+++ b/crates/gateway/tests/common/network.rs
@@ -1,4 +1,5 @@
-//! The calls between VMs and to the store of claims, with faults that a test turns on.
+//! A fake network for the calls between VMs and to the store of claims, with faults that a test
+//! can switch on.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, HashSet};
@@ -12,32 +13,32 @@
 use heatherknot_http::{Flag, Handed, Pool, PoolConfig, SendOptions};
 use heatherknot_types::prelude::*;
 
-/// Every wire between the VMs of a test.
+/// The network between the VMs of a test.
 #[derive(Default)]
 pub struct FakeNetwork {
     slots: RefCell<HashMap<VmName, Weak<Slots>>>,
     addresses: RefCell<HashMap<VmName, SocketAddr>>,
     pools: RefCell<HashMap<SocketAddr, Pool>>,
-    /// VMs that can't be reached by others.
+    /// VMs that are disconnected from all others.
     pub cut: RefCell<HashSet<VmName>>,
-    /// VMs whose calls are swallowed without an answer.
+    /// VMs that never respond to calls.
     pub unresponsive: RefCell<HashSet<VmName>>,
-    /// Whether a slot that is lent is never heard of by its borrower.
+    /// Whether replies to slot requests are lost, so that a borrower never learns of its slot.
     pub lose_acquire_replies: Cell<bool>,
-    /// Where set, answers to those that ask for a slot are under way until it fires.
+    /// If set, replies to slot requests are delayed until the flag fires.
     pub hold_acquire_replies: RefCell<Option<Flag>>,
-    /// Whether messages that give a slot back are lost.
+    /// Whether messages that release a slot are lost.
     pub lose_release_messages: Cell<bool>,
-    /// Slots taken by call so far.
+    /// The number of slot requests served so far.
     pub acquire_calls: Cell<usize>,
-    pub claims: Rc<Claims>,
-    /// Where set, claims go here in place of the fake.
+    pub claims: Rc<FakeClaims>,
+    /// If set, handles claims instead of the fake store.
     pub claim_override: RefCell<Option<ClaimPort>>,
 }
 
-/// The claims in the store.
+/// A fake of the store of claims.
 #[derive(Default)]
-pub struct Claims {
+pub struct FakeClaims {
     held: RefCell<HashMap<String, Member>>,
     pub down: Cell<bool>,
     pub lose_reply: Cell<bool>,
@@ -57,8 +58,8 @@
     }
 
     pub fn add_slots(&self, member: &Member, slots: &Rc<Slots>) {
-        let mut known = self.slots.borrow_mut();
-        known.insert(member.vm.clone(), Rc::downgrade(slots));
+        let mut slots_by_vm = self.slots.borrow_mut();
+        slots_by_vm.insert(member.vm.clone(), Rc::downgrade(slots));
     }
 
     pub fn cut(&self, vm: &VmName) {
@@ -109,34 +110,34 @@
 
     fn pool_to(&self, address: SocketAddr) -> Pool {
         let mut pools = self.pools.borrow_mut();
-        let make = || Pool::new(address, PoolConfig::default(), Clock::system());
-        pools.entry(address).or_insert_with(make).clone()
+        let connect = || Pool::new(address, PoolConfig::default(), Clock::system());
+        pools.entry(address).or_insert_with(connect).clone()
     }
 
     pub fn slot_port(self: &Rc<Self>, own: &Member) -> SlotPort {
         SlotPort {
-            acquire: self.call(own, |network, slots, take| {
+            acquire: self.call(own, |network, slots, request| {
                 network.acquire_calls.set(network.acquire_calls.get() + 1);
                 Box::pin(async move {
-                    let reply = slots.serve_acquire(take).await;
+                    let reply = slots.serve_acquire(request).await;
                     if network.lose_acquire_replies.get() {
                         std::future::pending::<()>().await;
                     }
-                    let held = network.hold_acquire_replies.borrow().clone();
-                    if let Some(held) = held {
-                        held.wait().await;
+                    let delay = network.hold_acquire_replies.borrow().clone();
+                    if let Some(delay) = delay {
+                        delay.wait().await;
                     }
                     Ok(reply)
                 })
             }),
-            release: self.call(own, |network, slots, give| {
+            release: self.call(own, |network, slots, release| {
                 if !network.lose_release_messages.get() {
-                    slots.serve_release(&give);
+                    slots.serve_release(&release);
                 }
                 Box::pin(std::future::ready(Ok(())))
             }),
-            extend: self.call(own, |_, slots, keep| {
-                slots.serve_extend(keep);
+            extend: self.call(own, |_, slots, extension| {
+                slots.serve_extend(extension);
                 Box::pin(std::future::ready(Ok(())))
             }),
             adopt: self.call(own, |_, slots, adopt| {
@@ -187,7 +188,7 @@
     }
 }
 
-impl Claims {
+impl FakeClaims {
     fn claim(&self, req: ClaimRequest) -> Result<ClaimOutcome, ClaimError> {
         self.calls.set(self.calls.get() + 1);
         let failed = |cause: &str| ClaimError {
--- a/crates/gateway/tests/common/time.rs
+++ b/crates/gateway/tests/common/time.rs
@@ -1,4 +1,4 @@
-//! Time that passes only when a test says so, or the system's for measurements.
+//! A clock that a test advances manually, or the system clock for measurements.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -21,7 +21,7 @@
         time
     }
 
-    /// Gives the operating system's time, which passes by itself.
+    /// Uses the system clock instead of a manual one.
     pub fn system() -> Self {
         Self {
             system: Some(Clock::system()),
@@ -54,7 +54,7 @@
         }
     }
 
-    /// Lets `span` pass and wakes those whose wait is over.
+    /// Advances the clock by `span` and wakes the sleepers that are due.
     pub fn advance(&self, span: Millis) {
         let now = Millis(self.now.get()) + span;
         self.now.set(now.0);
--- a/crates/gateway/tests/drains.rs
+++ b/crates/gateway/tests/drains.rs
@@ -1,4 +1,4 @@
-//! Backend servers that leave, and planned stops of a daemon.
+//! Draining of backend servers, and planned stops of a daemon.
 
 mod common;
 
@@ -21,9 +21,9 @@
 
 #[test]
 fn leaving_header_stops_new_work_from_every_vm() {
-    // A backend server begins to leave and says so in its answers. One VM hears it. Within
-    // seconds no VM of the failure domain may send it anything new; the home of its slots
-    // hears with the slot that is given back, and lends no more.
+    // Guards against new requests to a leaving server from VMs that have not seen its draining
+    // header. The VM that receives the header tells the home when it releases the slot, and the
+    // home stops lending slots of that server.
     block_on(async {
         let (leaving, staying) = (backend(3), backend(3));
         let (a, b, _time, _network) = two_vms(plan(&[&leaving, &staying], 3)).await;
@@ -37,7 +37,7 @@
             true => &a,
             false => &b,
         };
-        let told = leaving.runs().len();
+        let runs_before = leaving.runs().len();
         wait_until("the home has heard", || {
             home.gateway.slots().lent(&key("u0")) == Some(0)
         })
@@ -54,7 +54,7 @@
             );
         }
 
-        assert_eq!(leaving.runs().len(), told);
+        assert_eq!(leaving.runs().len(), runs_before);
     });
 }
 
@@ -82,10 +82,10 @@
 }
 
 #[test]
-fn health_answer_of_a_leaving_server_stops_new_work() {
-    // A backend server that gets little traffic begins to leave. No answer of its carries the
-    // header; only its health answer says so. The home probes it and lends no more slots, so
-    // that the other VM, which never probed it, sends it nothing either.
+fn health_check_of_a_leaving_server_stops_new_work() {
+    // Guards against new requests to a leaving server with too little traffic for any response to
+    // carry the draining header; only its health check reports it. The home, which probes the
+    // server, stops lending its slots, so the other VM sends no requests either.
     block_on(async {
         let (leaving, staying) = (backend(3), backend(3));
         let (a, b, _time, _network) = two_vms(plan(&[&leaving, &staying], 3)).await;
@@ -118,26 +118,26 @@
         .expect("metrics have a text form")
 }
 
-/// Says whether a VM finds a free slot of `u0` at this moment.
+/// Returns whether the home has a free slot of `u0` to lend now.
 fn lends(home: &common::Vm) -> bool {
-    let want = SlotRequest {
+    let request = SlotRequest {
         class: Class::Interactive,
         waited: Millis(0),
         wait: Millis(0),
         term: Millis(1_000),
     };
     let key = key("u0");
-    let taking = home.gateway.slots().acquire(&key, want);
-    matches!(taking.now_or_never(), Some(Ok(_)))
+    let acquired = home.gateway.slots().acquire(&key, request);
+    matches!(acquired.now_or_never(), Some(Ok(_)))
 }
 
 #[test]
-fn list_of_vms_stops_new_work() {
+fn vm_list_stops_new_work() {
     block_on(async {
         let (leaving, staying) = (backend(3), backend(3));
         let (vm, _time, _network) = one_vm(plan(&[&leaving, &staying], 3)).await;
-        let mut whole_vm = leaving.address();
-        whole_vm.set_port(0);
+        let mut any_port = leaving.address();
+        any_port.set_port(0);
 
         vm.gateway
             .on_leaving_servers(&HashSet::from([leaving.address()]));
@@ -147,7 +147,7 @@
                 "answered"
             );
         }
-        vm.gateway.on_leaving_servers(&HashSet::from([whole_vm]));
+        vm.gateway.on_leaving_servers(&HashSet::from([any_port]));
         let all_leave = vm.send(TestRequest::get("none")).await;
         vm.gateway.on_leaving_servers(&HashSet::new());
         let none_leave = vm.send(TestRequest::get("some")).await;
@@ -159,9 +159,9 @@
 }
 
 #[test]
-fn list_of_vms_read_by_one_vm_holds_for_all() {
-    // Only some VMs read the platform's list. One that is not the home of an upstream reads that
-    // it is leaving; the home must hear of it, or it goes on lending slots to the others.
+fn vm_list_read_by_one_vm_applies_to_all() {
+    // Only some VMs read the platform's list. If a VM that is not the upstream's home did not
+    // report a leaving server to the home, the home would go on lending its slots to other VMs.
     block_on(async {
         let (leaving, staying) = (backend(3), backend(3));
         let (a, b, _time, _network) = two_vms(plan(&[&leaving, &staying], 3)).await;
@@ -185,8 +185,9 @@
 }
 
 #[test]
-fn server_whose_health_answer_fails_is_left_alone() {
-    // A backend server is gone without a word. Before requests fail on it, its probes do.
+fn server_that_fails_health_checks_gets_no_requests() {
+    // Guards against requests to a server that died without notice: its health checks fail before
+    // any request does.
     block_on(async {
         let (gone, staying) = (backend(3), backend(3));
         let (vm, _time, _network) = one_vm(plan(&[&gone, &staying], 3)).await;
@@ -236,8 +237,8 @@
 }
 
 #[test]
-fn request_in_flight_at_a_leaving_server_ends() {
-    // A backend server begins to leave while it runs a request. The request is not cut.
+fn request_in_flight_at_a_leaving_server_completes() {
+    // Guards against cutting off the requests that a server runs when it begins to leave.
     block_on(async {
         let server = backend(3);
         server.change(|s| s.held = true);
@@ -257,9 +258,9 @@
 }
 
 #[test]
-fn mark_of_a_header_ends_by_itself() {
-    // A backend server is replaced by another at the same address. Nothing takes the old
-    // one's word back, so the mark must end.
+fn leaving_mark_from_a_header_expires() {
+    // A leaving server may be replaced by another at the same address. Nothing revokes the mark of
+    // the old one, so without an expiry the new one would never receive requests.
     block_on(async {
         let server = backend(3);
         server.change(|s| s.draining = true);
--- a/crates/gateway/tests/outcomes.rs
+++ b/crates/gateway/tests/outcomes.rs
@@ -1,4 +1,4 @@
-//! The three outcomes and the retries behind them.
+//! The three outcomes of a request, and retries.
 
 mod common;
 
@@ -17,7 +17,7 @@
 use http::StatusCode;
 use monoio::net::TcpListener;
 
-/// Gives an address at which nothing listens.
+/// Returns an address at which nothing listens.
 fn dead_address() -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("an ephemeral port");
     listener.local_addr().expect("a bound address")
@@ -27,8 +27,8 @@
     servers.iter().map(|server| server.runs_of(id)).sum()
 }
 
-/// Sends requests until one meets the server with the fault, which is one of two.
-async fn ask_each(
+/// Sends 12 requests, so that some of them reach the faulty one of two servers.
+async fn send_requests(
     vm: &Rc<Vm>,
     make: impl Fn(&str) -> TestRequest,
 ) -> Vec<(String, common::TestResponse)> {
@@ -41,15 +41,15 @@
 }
 
 #[test]
-fn get_that_may_have_run_is_sent_again() {
-    // One of two backend servers runs requests and closes the connection unanswered. A caller
-    // that reads must not notice: reading twice does no harm.
+fn get_that_may_have_run_is_retried() {
+    // One of two backend servers runs requests and then closes the connection without a response.
+    // Guards against failed reads: a GET is idempotent, so it is retried.
     block_on(async {
         let (good, bad) = (backend(3), backend(3));
         bad.change(|b| b.fault = Fault::ClosesAfterRun);
         let (vm, _time, _network) = one_vm(plan(&[&good, &bad], 3)).await;
 
-        let answers = ask_each(&vm, TestRequest::get).await;
+        let answers = send_requests(&vm, TestRequest::get).await;
 
         assert!(!bad.runs().is_empty());
         for (id, answer) in answers {
@@ -59,15 +59,15 @@
 }
 
 #[test]
-fn post_that_may_have_run_is_not_sent_again() {
-    // The same fault under requests that must not run twice: an order would be placed twice.
-    // The caller is told that the outcome is unknown, and each runs once.
+fn post_that_may_have_run_is_not_retried() {
+    // Guards against running a non-idempotent request twice after the same fault, such as placing an
+    // order twice. The caller is told that the outcome is unknown.
     block_on(async {
         let (good, bad) = (backend(3), backend(3));
         bad.change(|b| b.fault = Fault::ClosesAfterRun);
         let (vm, _time, _network) = one_vm(plan(&[&good, &bad], 3)).await;
 
-        let answers = ask_each(&vm, TestRequest::post).await;
+        let answers = send_requests(&vm, TestRequest::post).await;
 
         let mut unknown = 0;
         for (id, answer) in answers {
@@ -84,14 +84,14 @@
 
 #[test]
 fn post_that_was_not_sent_goes_elsewhere() {
-    // One of two backend servers is gone: its port refuses connections. No byte reached it, so
-    // even an order may go to the other.
+    // Guards against needless failures: one of two backend servers refuses connections, so no byte
+    // reached it, and even a non-idempotent request may be sent to the other.
     block_on(async {
         let good = backend(3);
         let (vm, _time, _network) =
             one_vm(plan_with_addresses(&[good.address(), dead_address()], 3)).await;
 
-        let answers = ask_each(&vm, TestRequest::post).await;
+        let answers = send_requests(&vm, TestRequest::post).await;
 
         for (id, answer) in answers {
             assert_eq!(answer.outcome, "answered", "{id}");
@@ -101,14 +101,15 @@
 }
 
 #[test]
-fn post_refused_by_the_published_signal_goes_elsewhere_or_is_not_run() {
-    // A backend server refuses requests before it runs them, and says so by the agreed header.
+fn post_refused_with_the_not_run_header_goes_elsewhere_or_is_not_run() {
+    // Guards against the outcome "unknown" for requests that a backend server refuses with the
+    // not-run header, and against lost or doubled runs of them.
     block_on(async {
         let (good, shedding) = (backend(3), backend(3));
         shedding.change(|b| b.sheds = true);
         let (vm, _time, _network) = one_vm(plan(&[&good, &shedding], 3)).await;
 
-        let answers = ask_each(&vm, TestRequest::post).await;
+        let answers = send_requests(&vm, TestRequest::post).await;
 
         assert!(shedding.runs().is_empty());
         for (id, answer) in answers {
@@ -120,9 +121,9 @@
 }
 
 #[test]
-fn plain_503_is_an_answer() {
-    // Without the agreed header nobody knows whether the backend server ran the request before
-    // it answered 503, so it is passed on as its answer and never sent again.
+fn status_503_without_the_not_run_header_is_delivered() {
+    // Guards against a retry after a 503 without the not-run header: the backend server may have run
+    // the request, so its response is delivered as it is.
     block_on(async {
         let server = backend(3);
         server.change(|b| {
@@ -139,9 +140,9 @@
 }
 
 #[test]
-fn overloaded_place_is_not_sent_retries() {
-    // Every backend server sheds. Retries would only add to their load: each request is sent
-    // once at most, and the caller is told when to come back.
+fn overloaded_place_gets_no_retries() {
+    // Guards against retries that add to the load of servers that all shed requests. Each request is
+    // sent at most once, and the response has a `Retry-After`.
     block_on(async {
         let (one, two) = (backend(3), backend(3));
         for server in [&one, &two] {
@@ -162,8 +163,8 @@
 
 #[test]
 fn retries_stay_within_their_budget() {
-    // Each backend server closes connections unanswered. Were every request sent three times,
-    // a struggling service would get three times its load.
+    // Every backend server closes connections without a response. Guards against sending every
+    // request three times, which would triple the load of a failing service.
     block_on(async {
         let (one, two) = (backend(3), backend(3));
         for server in [&one, &two] {
@@ -177,7 +178,7 @@
 
         for i in 0..50 {
             vm.send(TestRequest::get(&format!("r{i}"))).await;
-            // Past the time for which a failing upstream is left alone.
+            // Moves the clock past the time for which a failing upstream is avoided.
             time.advance(Millis(100));
         }
         let first_tries = one.runs().len() + two.runs().len();
@@ -198,11 +199,11 @@
         let server = backend(3);
         server.change(|b| b.fault = Fault::NeverAnswers);
         let (vm, time, _network) = one_vm(plan(&[&server], 3)).await;
-        let ask = vm.spawn_send(TestRequest::post("r1").deadline(200));
+        let pending = vm.spawn_send(TestRequest::post("r1").deadline(200));
         wait_until("it runs", || server.running() == 1).await;
 
         time.advance(Millis(201));
-        let answer = ask.await;
+        let answer = pending.await;
 
         assert_eq!(answer.status, StatusCode::GATEWAY_TIMEOUT);
         assert_eq!(answer.outcome, "unknown");
@@ -212,7 +213,7 @@
 }
 
 #[test]
-fn short_answer_that_breaks_off_is_unknown_or_sent_again() {
+fn post_with_a_truncated_short_response_is_unknown() {
     block_on(async {
         let server = backend(3);
         server.change(|b| b.fault = Fault::HalfBody);
@@ -226,8 +227,8 @@
     });
 }
 
-/// Settings under which a connection that answers nothing is given up on soon.
-fn impatient() -> GatewaySettings {
+/// Returns settings with a short limit for connections that receive nothing.
+fn short_silence_limit() -> GatewaySettings {
     GatewaySettings {
         pool: PoolConfig {
             silence_limit: Duration::from_millis(100),
@@ -239,11 +240,11 @@
 
 #[test]
 fn silent_connection_is_replaced_under_a_get() {
-    // Something between the two ends has forgotten an open connection: what is sent on it is
-    // lost, while new connections work. A read is sent again on a new one.
+    // A middlebox drops the state of an open connection, so data sent on it is lost while new
+    // connections work. Guards against failing a GET, which is retried on a new connection.
     block_on(async {
         let server = backend(3);
-        let (vm, _time, _network) = one_vm_with(plan(&[&server], 3), impatient()).await;
+        let (vm, _time, _network) = one_vm_with(plan(&[&server], 3), short_silence_limit()).await;
         vm.send(TestRequest::get("opens")).await;
 
         server.silence_open_connections();
@@ -256,10 +257,10 @@
 
 #[test]
 fn silent_connection_leaves_a_post_unknown() {
-    // The same under a request that must not run twice: nobody knows whether it arrived.
+    // Guards against retrying a non-idempotent request after the same fault, as it may have arrived.
     block_on(async {
         let server = backend(3);
-        let (vm, _time, _network) = one_vm_with(plan(&[&server], 3), impatient()).await;
+        let (vm, _time, _network) = one_vm_with(plan(&[&server], 3), short_silence_limit()).await;
         vm.send(TestRequest::get("opens")).await;
 
         server.silence_open_connections();
--- a/crates/gateway/tests/relay.rs
+++ b/crates/gateway/tests/relay.rs
@@ -1,4 +1,4 @@
-//! Requests that are handed to another failure domain under a grant.
+//! Requests that are forwarded to another failure domain under a grant.
 
 mod common;
 
@@ -21,7 +21,7 @@
 
 const FAR_DOMAIN: &str = "north-2";
 
-/// Settings in which the service's only place lies in the other failure domain.
+/// Returns settings in which the service's only place lies in the other failure domain.
 fn far_plan(server: &FakeBackend) -> Plan {
     let mut plan = plan(&[server], 3);
     let near = plan.domains[&DomainName::from(DOMAIN)].clone();
@@ -39,8 +39,8 @@
     network: Rc<FakeNetwork>,
 }
 
-/// Starts a VM without backend servers and one in the failure domain that has them, and lets
-/// the first get a grant of the second.
+/// Starts a VM in a failure domain without backend servers and one in a failure domain with them,
+/// and waits until the first has a grant from the second.
 async fn pair(server: &FakeBackend) -> Pair {
     let (time, network) = (ManualTime::new(), FakeNetwork::new());
     let settings = GatewaySettings::default;
@@ -69,7 +69,7 @@
 }
 
 impl Pair {
-    /// Shows the near VM some demand and exchanges requests for grants until it has one.
+    /// Creates demand at the near VM and exchanges grant requests until it has a grant.
     async fn get_grant(&self) {
         const ROUNDS: usize = 20;
         const DEMAND: usize = 40;
@@ -81,9 +81,13 @@
             }
             warm_up(&[&self.near, &self.far], &self.time).await;
             let now = self.time.clock().now();
-            let asks = self.near.steering.borrow_mut().request_grants(now);
-            for (_, ask) in asks {
-                let reply = self.far.steering.borrow_mut().on_grant_request(&ask, now);
+            let grant_requests = self.near.steering.borrow_mut().request_grants(now);
+            for (_, request) in grant_requests {
+                let reply = self
+                    .far
+                    .steering
+                    .borrow_mut()
+                    .on_grant_request(&request, now);
                 self.near.steering.borrow_mut().on_grant_reply(&reply, now);
             }
             let place = PlaceName::from(PLACE);
@@ -97,7 +101,7 @@
 }
 
 #[test]
-fn request_is_handed_over_under_a_grant() {
+fn request_is_forwarded_under_a_grant() {
     block_on(async {
         let server = backend(3);
         let pair = pair(&server).await;
@@ -112,9 +116,9 @@
 }
 
 #[test]
-fn post_that_is_lost_on_the_way_over_is_not_sent_again() {
-    // The backend server in the other failure domain runs an order and its answer is lost. The
-    // daemon there says "unknown", and this one must not try again.
+fn post_with_a_lost_response_from_the_other_domain_is_not_retried() {
+    // The backend server in the other failure domain runs a POST, and its response is lost. Guards
+    // against a retry by the near daemon when the far one reports the outcome "unknown".
     block_on(async {
         let server = backend(3);
         let pair = pair(&server).await;
@@ -131,7 +135,7 @@
 }
 
 #[test]
-fn failure_domain_that_is_cut_off_leaves_the_request_not_run() {
+fn request_to_an_unreachable_failure_domain_is_not_run() {
     block_on(async {
         let server = backend(3);
         let pair = pair(&server).await;
@@ -144,34 +148,34 @@
     });
 }
 
-/// Sends `r1` to the far VM with a hop header that a daemon of the deployment sealed.
-async fn ask_with_hop(pair: &Pair, change: impl Fn(&mut Hop)) -> common::TestResponse {
-    let ask = TestRequest::get("r1");
+/// Sends `r1` to the far VM with a hop header that is signed with the deployment's secret.
+async fn send_with_hop(pair: &Pair, change: impl Fn(&mut Hop)) -> common::TestResponse {
+    let request = TestRequest::get("r1");
     let mut hop = Hop {
         from: pair.near.member.clone(),
         to: pair.far.member.vm.clone(),
         passed: 1,
         reason: HopReason::Owner(pair.far.member.incarnation),
-        target: target_digest(&ask.head),
+        target: target_digest(&request.head),
     };
     change(&mut hop);
     let key = TokenKey::new(common::SECRET);
     let value = hop.to_header(&key);
     let value = value.to_str().expect("text").to_owned();
-    pair.far.send(ask.header(HOP_HEADER, &value)).await
+    pair.far.send(request.header(HOP_HEADER, &value)).await
 }
 
 #[test]
-fn hop_counts_for_its_receiver_and_its_request_alone() {
-    // A caller that has seen a daemon's hop header sends it itself, to another VM or for
-    // another path. It was sealed for one receiver and one request.
+fn hop_header_is_bound_to_its_receiver_and_its_request() {
+    // Guards against replay of a hop header by a caller that has seen it: the header is valid only
+    // for one receiver and one method and path.
     block_on(async {
         let server = backend(3);
         let pair = pair(&server).await;
 
-        let good = ask_with_hop(&pair, |_| {}).await;
-        let other_receiver = ask_with_hop(&pair, |hop| hop.to = VmName::from("near")).await;
-        let other_request = ask_with_hop(&pair, |hop| hop.target += 1).await;
+        let good = send_with_hop(&pair, |_| {}).await;
+        let other_receiver = send_with_hop(&pair, |hop| hop.to = VmName::from("near")).await;
+        let other_request = send_with_hop(&pair, |hop| hop.target += 1).await;
 
         assert_eq!(good.outcome, "answered");
         for answer in [other_receiver, other_request] {
@@ -183,24 +187,25 @@
 }
 
 #[test]
-fn request_does_not_circle_between_daemons() {
-    // Daemons with different views hand a request to each other. After a few it is refused.
+fn request_that_passed_too_many_daemons_is_refused() {
+    // Guards against endless forwarding between daemons that disagree about who serves a request.
     block_on(async {
         let server = backend(3);
         let pair = pair(&server).await;
 
-        let last = ask_with_hop(&pair, |hop| hop.passed = MAX_DAEMONS - 1).await;
-        let circling = ask_with_hop(&pair, |hop| hop.passed = MAX_DAEMONS).await;
+        let last = send_with_hop(&pair, |hop| hop.passed = MAX_DAEMONS - 1).await;
+        let one_more = send_with_hop(&pair, |hop| hop.passed = MAX_DAEMONS).await;
 
         assert_eq!(last.outcome, "answered");
-        assert_eq!(circling.outcome, "not-run");
-        assert!(circling.retry_after.is_none());
+        assert_eq!(one_more.outcome, "not-run");
+        assert!(one_more.retry_after.is_none());
     });
 }
 
 #[test]
-fn keyed_request_handed_over_runs_once_and_repeats() {
-    // The daemon that the caller asked keeps the record, though another one ran the request.
+fn forwarded_request_with_a_key_runs_once_and_repeats() {
+    // Guards against running a keyed request twice when it was forwarded: the daemon that received
+    // it from the caller keeps the record, although another daemon ran it.
     block_on(async {
         let server = backend(3);
         let pair = pair(&server).await;
--- a/crates/gateway/tests/request_path.rs
+++ b/crates/gateway/tests/request_path.rs
@@ -23,7 +23,7 @@
 use monoio::net::TcpListener;
 
 #[test]
-fn answer_of_backend_is_passed_on() {
+fn backend_response_is_delivered() {
     block_on(async {
         let server = backend(3);
         let (vm, _time, _network) = one_vm(plan(&[&server], 3)).await;
@@ -55,10 +55,11 @@
 }
 
 #[test]
-fn deadline_and_attempt_travel_along() {
-    // The backend server needs both to stop work that nobody waits for any more.
+fn deadline_and_attempt_are_forwarded() {
+    // Guards against losing the headers with which a backend server can stop work whose deadline has
+    // passed.
     block_on(async {
-        let server = recorder().await;
+        let server = start_recorder().await;
         let (vm, _time, _network) = one_vm(plan_with_addresses(&[server.address], 3)).await;
 
         let answer = vm
@@ -78,9 +79,9 @@
 }
 
 #[test]
-fn forged_hop_is_refused() {
-    // A caller sends the header with which daemons hand requests to each other, made up. With
-    // it the caller could skip the caps or the record of requests that must not run twice.
+fn forged_hop_header_is_refused() {
+    // Guards against callers that forge the hop header of daemons, which would let them bypass the
+    // caps and the records of requests that must not run twice.
     block_on(async {
         let server = backend(3);
         let (vm, _time, _network) = one_vm(plan(&[&server], 3)).await;
@@ -100,7 +101,7 @@
     block_on(async {
         let server = backend(3);
         let mut plan = plan(&[&server], 3);
-        set(&mut plan, |service| service.max_body = 4);
+        change_services(&mut plan, |service| service.max_body = 4);
         let (vm, _time, _network) = one_vm(plan).await;
 
         let answer = vm.send(TestRequest::post("r1")).await;
@@ -126,14 +127,14 @@
 }
 
 #[test]
-fn full_queue_is_answered_at_once() {
-    // Every slot is taken and the queue is full. The caller is told to come back; it is not
-    // kept waiting until its deadline.
+fn full_queue_refuses_at_once() {
+    // Every slot is in use and the queue is full. Guards against keeping the caller waiting until its
+    // deadline instead of refusing the request with a `Retry-After`.
     block_on(async {
         let server = backend(1);
         server.change(|b| b.held = true);
         let mut plan = plan(&[&server], 1);
-        set(&mut plan, |service| service.queue_len = 1);
+        change_services(&mut plan, |service| service.queue_len = 1);
         let (vm, _time, _network) = one_vm(plan).await;
         let running = vm.spawn_send(TestRequest::get("running"));
         wait_until("one runs", || server.running() == 1).await;
@@ -176,9 +177,9 @@
 }
 
 #[test]
-fn request_that_can_not_finish_in_time_is_refused_at_once() {
-    // Requests of a service take a second, and the queue is longer than a caller's deadline
-    // allows. It is told so at once; queued, it would only wait in vain.
+fn request_that_cannot_finish_in_time_is_refused_at_once() {
+    // Requests take a second each, and the queue is longer than the caller's deadline allows. Guards
+    // against queueing a request that can't be served in time.
     block_on(async {
         let server = backend(1);
         server.change(|b| b.held = true);
@@ -207,9 +208,9 @@
 }
 
 #[test]
-fn caller_that_leaves_the_queue_is_never_sent() {
-    // A caller gives up while its request waits. Sent later, the request would take a slot for
-    // an answer that nobody reads.
+fn queued_request_of_a_disconnected_caller_is_never_sent() {
+    // Guards against sending a queued request whose caller has disconnected: it would occupy a slot
+    // for a response that nobody reads.
     block_on(async {
         let server = backend(1);
         server.change(|b| b.held = true);
@@ -231,7 +232,7 @@
 }
 
 #[test]
-fn caller_that_leaves_cancels_its_request() {
+fn disconnecting_caller_cancels_its_request() {
     block_on(async {
         let server = backend(1);
         server.change(|b| b.held = true);
@@ -250,7 +251,7 @@
 }
 
 #[test]
-fn large_answer_is_streamed_and_holds_its_slot() {
+fn large_response_is_streamed_completely() {
     block_on(async {
         let server = backend(1);
         server.change(|b| b.body_len = 8 << 20);
@@ -265,10 +266,10 @@
 }
 
 #[test]
-fn answer_streamed_past_the_deadline_holds_its_slot() {
-    // A caller takes a large answer slowly, for longer than the request's deadline. The backend
-    // server is busy with it all the time; were its slot reclaimed at the deadline, a further
-    // request would be sent to a server that is full.
+fn response_streamed_past_the_deadline_holds_its_slot() {
+    // A caller reads a large response slowly, past the request's deadline, and the backend server is
+    // busy with it all the time. Guards against reclaiming the slot at the deadline, which would
+    // send a further request to a full server.
     block_on(async {
         let server = backend(1);
         server.change(|b| b.body_len = 64 << 20);
@@ -280,21 +281,26 @@
             .expect("sent");
         caller.read_until("\r\n\r\n").await.expect("a head");
         let key = UpstreamKey::new(ServiceName::from(SERVICE), UpstreamName::from("u0"));
-        let lent = || vm.gateway.slots().acquire(&key, now_free()).now_or_never();
+        let acquire = || {
+            vm.gateway
+                .slots()
+                .acquire(&key, request_without_waiting())
+                .now_or_never()
+        };
 
         for _ in 0..40 {
             time.advance(Millis(1_000));
             run_tasks().await;
-            assert!(!matches!(lent(), Some(Ok(_))));
+            assert!(!matches!(acquire(), Some(Ok(_))));
         }
         drop(caller);
-        wait_until("the slot is free", || matches!(lent(), Some(Ok(_)))).await;
+        wait_until("the slot is free", || matches!(acquire(), Some(Ok(_)))).await;
 
         assert_eq!(server.most_running(), 1);
     });
 }
 
-fn now_free() -> SlotRequest {
+fn request_without_waiting() -> SlotRequest {
     SlotRequest {
         class: Class::Interactive,
         waited: Millis(0),
@@ -304,9 +310,9 @@
 }
 
 #[test]
-fn answer_that_breaks_off_is_never_a_short_whole() {
-    // A backend server dies halfway through a large answer whose head has been passed on. The
-    // caller must see a broken transfer, not a file that ends early.
+fn truncated_large_response_does_not_look_complete() {
+    // A backend server dies halfway through a large response whose head has been delivered. Guards
+    // against a truncated body that looks complete to the caller.
     block_on(async {
         let server = backend(1);
         server.change(|b| {
@@ -331,22 +337,22 @@
         let server = backend(2);
         server.change(|b| b.held = true);
         let (vm, _time, _network) = one_vm(plan(&[&server], 2)).await;
-        let mut asks = Vec::new();
+        let mut pending = Vec::new();
         for i in 0..2 {
-            asks.push(vm.spawn_send(TestRequest::get(&format!("first{i}"))));
+            pending.push(vm.spawn_send(TestRequest::get(&format!("first{i}"))));
         }
         wait_until("both slots are taken", || server.running() == 2).await;
         let bulk = vm.spawn_send(TestRequest::get("bulk").bulk());
         wait_until("it waits", || vm.gateway.in_flight() == 3).await;
         for i in 0..30 {
-            asks.push(vm.spawn_send(TestRequest::get(&format!("later{i}"))));
+            pending.push(vm.spawn_send(TestRequest::get(&format!("later{i}"))));
         }
         wait_until("all wait", || vm.gateway.in_flight() == 33).await;
 
         server.change(|b| b.held = false);
         let bulk = bulk.await;
-        for ask in asks {
-            assert_eq!(ask.await.outcome, "answered");
+        for request in pending {
+            assert_eq!(request.await.outcome, "answered");
         }
 
         assert_eq!(bulk.outcome, "answered");
@@ -355,8 +361,8 @@
 
 #[test]
 fn surge_of_one_account_leaves_another_its_share() {
-    // Two client accounts have services at one place. One sends all it can, and its requests
-    // hang. The other, which had some traffic of late, still gets its answers at once.
+    // Two client accounts have services at one place. One floods it with requests that hang. Guards
+    // against starving the other account, which had traffic recently, of its share.
     block_on(async {
         let (hanging, quick) = (backend(10), backend(10));
         hanging.change(|b| b.held = true);
@@ -369,17 +375,18 @@
         other.upstreams[0].address = quick.address();
         plan.services
             .insert(ServiceName::from("umbrella:shop"), other);
-        set(&mut plan, |service| service.account_share_permille = 500);
+        change_services(&mut plan, |service| service.account_share_permille = 500);
         let (vm, _time, _network) = one_vm(plan).await;
-        let ask = |id: &str| TestRequest::get(id).header("heatherknot-service", "umbrella:shop");
-        let before = vm.send(ask("before")).await;
+        let other_request =
+            |id: &str| TestRequest::get(id).header("heatherknot-service", "umbrella:shop");
+        let before = vm.send(other_request("before")).await;
         let mut surge = Vec::new();
         for i in 0..20 {
             surge.push(vm.spawn_send(TestRequest::get(&format!("surge{i}"))));
         }
         wait_until("the surge has what it gets", || hanging.running() >= 3).await;
 
-        let during = vm.send(ask("during")).await;
+        let during = vm.send(other_request("during")).await;
         let running = hanging.running();
         hanging.change(|b| b.held = false);
 
@@ -389,7 +396,7 @@
     });
 }
 
-fn set(plan: &mut Plan, change: impl Fn(&mut ServicePlan)) {
+fn change_services(plan: &mut Plan, change: impl Fn(&mut ServicePlan)) {
     plan.services.values_mut().for_each(change);
 }
 
@@ -400,22 +407,22 @@
     )
 }
 
-/// A server that keeps the head of its last request.
+/// A server that records the head of the one request it serves.
 struct Recorder {
     address: SocketAddr,
     head: Rc<RefCell<String>>,
 }
 
-async fn recorder() -> Recorder {
+async fn start_recorder() -> Recorder {
     let listener = TcpListener::bind("127.0.0.1:0").expect("an ephemeral port");
     let address = listener.local_addr().expect("a bound address");
     let head = Rc::new(RefCell::new(String::new()));
-    let kept = Rc::clone(&head);
+    let recorded = Rc::clone(&head);
     monoio::spawn(async move {
         let (mut stream, _) = listener.accept().await.expect("a connection");
         let (read, buf) = stream.read(Vec::with_capacity(4096)).await;
         read.expect("a request");
-        *kept.borrow_mut() = String::from_utf8(buf).expect("text");
+        *recorded.borrow_mut() = String::from_utf8(buf).expect("text");
         let answer = "HTTP/1.1 200 OK\r\ncontent-length: 0\r\n\r\n";
         stream.write_all(answer).await.0.expect("sent");
     });
