--- a/crates/gateway/src/admit.rs
+++ b/crates/gateway/src/admit.rs
@@ -64,8 +64,8 @@
         steering.finish(self.ticket, self.outcome.get(), now);
         drop(steering);
         if self.outcome.get() == RequestOutcome::Good {
-            let span = now.since(self.admitted_at);
-            self.gateway.wait_estimator.record(&self.service, span);
+            let elapsed = now.since(self.admitted_at);
+            self.gateway.wait_estimator.record(&self.service, elapsed);
         }
         self.gateway.queues.wake_all();
     }
@@ -122,8 +122,8 @@
             if now >= call.deadline {
                 return Err(deadline_passed());
             }
-            let span = until.since(now).max(Millis(1));
-            self.cx.timer.limit(span, wakeup.wait()).await;
+            let timeout = until.since(now).max(Millis(1));
+            self.cx.timer.limit(timeout, wakeup.wait()).await;
         }
     }
 
--- a/crates/gateway/tests/drains.rs
+++ b/crates/gateway/tests/drains.rs
@@ -22,8 +22,8 @@
 #[test]
 fn leaving_header_stops_new_work_from_every_vm() {
     // Guards against new requests to a leaving server from VMs that have not seen its draining
-    // header. The VM that receives the header tells the home when it releases the slot, and the
-    // home stops lending slots of that server.
+    // header. Within seconds after one VM has received it, no VM of the failure domain may send new
+    // requests: that VM tells the home when it releases the slot, and the home stops lending.
     block_on(async {
         let (leaving, staying) = (backend(3), backend(3));
         let (a, b, _time, _network) = two_vms(plan(&[&leaving, &staying], 3)).await;
@@ -38,7 +38,7 @@
             false => &b,
         };
         let runs_before = leaving.runs().len();
-        wait_until("the home has heard", || {
+        wait_until("the home stops lending", || {
             home.gateway.slots().lent(&key("u0")) == Some(0)
         })
         .await;
@@ -60,6 +60,7 @@
 
 #[test]
 fn leaving_by_each_source_stops_new_work() {
+    // Guards against a source of leaving marks that is ignored, or whose mark can't be removed.
     for source in [LeavingSource::Health, LeavingSource::VmList] {
         block_on(async {
             let (leaving, staying) = (backend(3), backend(3));
@@ -97,7 +98,7 @@
 
         a.gateway.tick();
         b.gateway.tick();
-        wait_until("the home knows", || !lends(home)).await;
+        wait_until("the home stops lending", || !lends(home)).await;
         for i in 0..10 {
             a.send(TestRequest::get(&format!("a{i}"))).await;
             b.send(TestRequest::get(&format!("b{i}"))).await;
@@ -106,7 +107,7 @@
         leaving.change(|s| s.draining = false);
         a.gateway.tick();
         b.gateway.tick();
-        wait_until("the home knows again", || lends(home)).await;
+        wait_until("the home lends again", || lends(home)).await;
 
         assert_eq!(while_leaving, 0);
     });
@@ -133,6 +134,8 @@
 
 #[test]
 fn vm_list_stops_new_work() {
+    // Guards against ignoring list entries for a single server (with port) or a whole VM (port
+    // zero).
     block_on(async {
         let (leaving, staying) = (backend(3), backend(3));
         let (vm, _time, _network) = one_vm(plan(&[&leaving, &staying], 3)).await;
@@ -173,7 +176,7 @@
         reader
             .gateway
             .on_leaving_servers(&HashSet::from([leaving.address()]));
-        wait_until("the home knows", || !lends(home)).await;
+        wait_until("the home stops lending", || !lends(home)).await;
         for i in 0..10 {
             a.send(TestRequest::get(&format!("a{i}"))).await;
             b.send(TestRequest::get(&format!("b{i}"))).await;
@@ -214,6 +217,7 @@
 
 #[test]
 fn drain_in_the_settings_stops_new_work() {
+    // Guards against new requests to a server that an operator drains in the settings.
     block_on(async {
         let (leaving, staying) = (backend(3), backend(3));
         let settings = plan(&[&leaving, &staying], 3);
@@ -280,6 +284,7 @@
 
 #[test]
 fn planned_stop_waits_for_requests_in_flight() {
+    // Guards against a planned stop that cuts off running requests.
     block_on(async {
         let server = backend(3);
         server.change(|s| s.held = true);
@@ -303,6 +308,7 @@
 
 #[test]
 fn planned_stop_is_bounded() {
+    // Guards against a planned stop that waits forever for a request that does not end.
     block_on(async {
         let server = backend(3);
         server.change(|s| s.held = true);
--- a/crates/gateway/tests/outcomes.rs
+++ b/crates/gateway/tests/outcomes.rs
@@ -60,8 +60,8 @@
 
 #[test]
 fn post_that_may_have_run_is_not_retried() {
-    // Guards against running a non-idempotent request twice after the same fault, such as placing an
-    // order twice. The caller is told that the outcome is unknown.
+    // Guards against running a non-idempotent request twice after the same fault, such as placing
+    // an order twice. The caller is told that the outcome is unknown.
     block_on(async {
         let (good, bad) = (backend(3), backend(3));
         bad.change(|b| b.fault = Fault::ClosesAfterRun);
@@ -122,8 +122,8 @@
 
 #[test]
 fn status_503_without_the_not_run_header_is_delivered() {
-    // Guards against a retry after a 503 without the not-run header: the backend server may have run
-    // the request, so its response is delivered as it is.
+    // Guards against a retry after a 503 without the not-run header: the backend server may have
+    // run the request, so its response is delivered as it is.
     block_on(async {
         let server = backend(3);
         server.change(|b| {
@@ -141,8 +141,8 @@
 
 #[test]
 fn overloaded_place_gets_no_retries() {
-    // Guards against retries that add to the load of servers that all shed requests. Each request is
-    // sent at most once, and the response has a `Retry-After`.
+    // Guards against retries that add to the load of servers that all shed requests. Each request
+    // is sent at most once, and the response has a `Retry-After`.
     block_on(async {
         let (one, two) = (backend(3), backend(3));
         for server in [&one, &two] {
@@ -195,6 +195,8 @@
 
 #[test]
 fn deadline_that_passes_after_sending_is_unknown() {
+    // Guards against "not run" for a request that was sent, and against leaving the backend server
+    // to work on it past the deadline.
     block_on(async {
         let server = backend(3);
         server.change(|b| b.fault = Fault::NeverAnswers);
@@ -208,12 +210,16 @@
         assert_eq!(answer.status, StatusCode::GATEWAY_TIMEOUT);
         assert_eq!(answer.outcome, "unknown");
         assert_eq!(answer.reason, "timeout");
-        wait_until("the backend server is told", || server.cancelled() == 1).await;
+        wait_until("the backend server sees the cancellation", || {
+            server.cancelled() == 1
+        })
+        .await;
     });
 }
 
 #[test]
 fn post_with_a_truncated_short_response_is_unknown() {
+    // Guards against delivering half of a short response, or retrying a POST that may have run.
     block_on(async {
         let server = backend(3);
         server.change(|b| b.fault = Fault::HalfBody);
@@ -257,7 +263,8 @@
 
 #[test]
 fn silent_connection_leaves_a_post_unknown() {
-    // Guards against retrying a non-idempotent request after the same fault, as it may have arrived.
+    // Guards against retrying a non-idempotent request after the same fault, as it may have
+    // arrived.
     block_on(async {
         let server = backend(3);
         let (vm, _time, _network) = one_vm_with(plan(&[&server], 3), short_silence_limit()).await;
@@ -281,6 +288,7 @@
 
 #[test]
 fn every_outcome_is_counted() {
+    // Guards against outcomes that are missing from the request metric or lack their reason.
     block_on(async {
         let server = backend(3);
         let (vm, _time, _network) = one_vm(plan(&[&server], 3)).await;
--- a/crates/gateway/tests/relay.rs
+++ b/crates/gateway/tests/relay.rs
@@ -102,6 +102,7 @@
 
 #[test]
 fn request_is_forwarded_under_a_grant() {
+    // Guards against a request that can't use a grant, and against in-flight counts that leak.
     block_on(async {
         let server = backend(3);
         let pair = pair(&server).await;
@@ -111,7 +112,10 @@
         assert_eq!(answer.outcome, "answered", "{answer:?}");
         assert!(answer.body.starts_with(b"r1"));
         assert_eq!(server.runs_of("r1"), 1);
-        wait_until("all is given back", || pair.near.gateway.in_flight() == 0).await;
+        wait_until("no request is in flight", || {
+            pair.near.gateway.in_flight() == 0
+        })
+        .await;
     });
 }
 
@@ -136,6 +140,7 @@
 
 #[test]
 fn request_to_an_unreachable_failure_domain_is_not_run() {
+    // Guards against "unknown" for a request of which no byte could be sent.
     block_on(async {
         let server = backend(3);
         let pair = pair(&server).await;
--- a/crates/gateway/tests/request_path.rs
+++ b/crates/gateway/tests/request_path.rs
@@ -24,6 +24,7 @@
 
 #[test]
 fn backend_response_is_delivered() {
+    // Guards against a response that is altered on the way, and against more than one run.
     block_on(async {
         let server = backend(3);
         let (vm, _time, _network) = one_vm(plan(&[&server], 3)).await;
@@ -39,6 +40,7 @@
 
 #[test]
 fn unknown_service_is_not_run() {
+    // Guards against sending a request for a service that the settings do not have.
     block_on(async {
         let server = backend(3);
         let (vm, _time, _network) = one_vm(plan(&[&server], 3)).await;
@@ -56,8 +58,8 @@
 
 #[test]
 fn deadline_and_attempt_are_forwarded() {
-    // Guards against losing the headers with which a backend server can stop work whose deadline has
-    // passed.
+    // Guards against losing the headers with which a backend server can stop work whose deadline
+    // has passed.
     block_on(async {
         let server = start_recorder().await;
         let (vm, _time, _network) = one_vm(plan_with_addresses(&[server.address], 3)).await;
@@ -98,6 +100,7 @@
 
 #[test]
 fn body_that_is_too_large_is_not_run() {
+    // Guards against sending any part of a request whose body exceeds the limit.
     block_on(async {
         let server = backend(3);
         let mut plan = plan(&[&server], 3);
@@ -114,6 +117,7 @@
 
 #[test]
 fn request_without_settings_is_not_run() {
+    // Guards against a final error before the first settings arrive: the caller may retry.
     block_on(async {
         let (time, network) = (ManualTime::new(), FakeNetwork::new());
         let vm = Vm::start("vm-a", 1, &time, &network);
@@ -128,8 +132,8 @@
 
 #[test]
 fn full_queue_refuses_at_once() {
-    // Every slot is in use and the queue is full. Guards against keeping the caller waiting until its
-    // deadline instead of refusing the request with a `Retry-After`.
+    // Every slot is in use and the queue is full. Guards against keeping the caller waiting until
+    // its deadline instead of refusing the request with a `Retry-After`.
     block_on(async {
         let server = backend(1);
         server.change(|b| b.held = true);
@@ -156,6 +160,7 @@
 
 #[test]
 fn deadline_that_passes_in_the_queue_is_not_run() {
+    // Guards against sending a queued request after its deadline.
     block_on(async {
         let server = backend(1);
         server.change(|b| b.held = true);
@@ -178,8 +183,8 @@
 
 #[test]
 fn request_that_cannot_finish_in_time_is_refused_at_once() {
-    // Requests take a second each, and the queue is longer than the caller's deadline allows. Guards
-    // against queueing a request that can't be served in time.
+    // Requests take a second each, and the queue is longer than the caller's deadline allows.
+    // Guards against queueing a request that can't be served in time.
     block_on(async {
         let server = backend(1);
         server.change(|b| b.held = true);
@@ -233,6 +238,7 @@
 
 #[test]
 fn disconnecting_caller_cancels_its_request() {
+    // Guards against a slot that stays in use after its caller has disconnected.
     block_on(async {
         let server = backend(1);
         server.change(|b| b.held = true);
@@ -242,7 +248,10 @@
         wait_until("it runs", || server.running() == 1).await;
 
         drop(caller);
-        wait_until("the backend server is told", || server.cancelled() == 1).await;
+        wait_until("the backend server sees the cancellation", || {
+            server.cancelled() == 1
+        })
+        .await;
         wait_until("its slot is free", || vm.gateway.in_flight() == 0).await;
 
         server.change(|b| b.held = false);
@@ -252,13 +261,14 @@
 
 #[test]
 fn large_response_is_streamed_completely() {
+    // Guards against a truncated stream, and against in-flight counts that leak after it.
     block_on(async {
         let server = backend(1);
         server.change(|b| b.body_len = 8 << 20);
         let (vm, _time, _network) = one_vm(plan(&[&server], 1)).await;
 
         let answer = vm.send(TestRequest::get("r1")).await;
-        wait_until("all is given back", || vm.gateway.in_flight() == 0).await;
+        wait_until("no request is in flight", || vm.gateway.in_flight() == 0).await;
 
         assert_eq!(answer.body.len(), 8 << 20);
         assert!(answer.body.starts_with(b"r1"));
@@ -267,8 +277,8 @@
 
 #[test]
 fn response_streamed_past_the_deadline_holds_its_slot() {
-    // A caller reads a large response slowly, past the request's deadline, and the backend server is
-    // busy with it all the time. Guards against reclaiming the slot at the deadline, which would
+    // A caller reads a large response slowly, past the request's deadline, and the backend server
+    // is busy with it all the time. Guards against reclaiming the slot at the deadline, which would
     // send a further request to a full server.
     block_on(async {
         let server = backend(1);
@@ -333,6 +343,7 @@
 
 #[test]
 fn steady_interactive_traffic_does_not_starve_bulk() {
+    // Guards against a bulk request that never gets its turn behind interactive ones.
     block_on(async {
         let server = backend(2);
         server.change(|b| b.held = true);
@@ -384,7 +395,7 @@
         for i in 0..20 {
             surge.push(vm.spawn_send(TestRequest::get(&format!("surge{i}"))));
         }
-        wait_until("the surge has what it gets", || hanging.running() >= 3).await;
+        wait_until("the surge has its share", || hanging.running() >= 3).await;
 
         let during = vm.send(other_request("during")).await;
         let running = hanging.running();
