--- a/crates/gateway/src/context.rs
+++ b/crates/gateway/src/context.rs
@@ -32,7 +32,7 @@
 
 /// A request could not be forwarded, or no response came.
 #[derive(Clone, Debug, Snafu)]
-#[snafu(display("failed to forward the request to {vm}: {cause}"))]
+#[snafu(display("handing over to {vm}: {cause}"))]
 pub struct HandOverError {
     /// The VM that the request was to be forwarded to.
     pub vm: VmName,
