--- a/crates/edge/examples/choice_bench.rs
+++ b/crates/edge/examples/choice_bench.rs
@@ -66,7 +66,7 @@
         time_left: Millis(2_500),
         now: Millis(0),
         switches: Switches::default(),
-        is_region_bound: false,
+        is_region_restricted: false,
         assigned: None,
         is_home: &|_| false,
         placement: None,
--- a/crates/edge/src/accounts.rs
+++ b/crates/edge/src/accounts.rs
@@ -220,12 +220,12 @@
     };
     let request_rate = |account: &Account| account.limit.map_or(mean, |limit| limit.per_second);
     let all: f64 = accounts.values().map(|account| request_rate(account)).sum();
-    let mut bound: Vec<&Arc<Account>> = accounts
+    let mut restricted: Vec<&Arc<Account>> = accounts
         .values()
         .filter(|account| !account.home_regions.is_empty())
         .collect();
-    bound.sort_by(|a, b| a.name.cmp(&b.name));
-    let shares = bound.into_iter().map(|account| RestrictedShare {
+    restricted.sort_by(|a, b| a.name.cmp(&b.name));
+    let shares = restricted.into_iter().map(|account| RestrictedShare {
         regions: account.home_regions.clone(),
         fraction: request_rate(account) / all,
     });
--- a/crates/edge/src/attempt.rs
+++ b/crates/edge/src/attempt.rs
@@ -109,7 +109,7 @@
     let hangs = slowness >= HANG_FACTOR && upstream.is_silent_since(sent);
     if hangs && cx.switches.is_on(Mechanism::HangingServers) {
         log::info!(upstream:% = upstream.id, waited_ms = waited.0; "a backend server does not respond; treating it as unreachable");
-        upstream.record_hang(waited, now);
+        upstream.record_unreachable(waited, now);
     }
 }
 
@@ -278,9 +278,11 @@
         let now = cx.now();
         let others = candidate.upstream.record_load(load, now);
         call.state.service_times.record_other_load(others, now);
-        let is_own = candidate.upstream.region == cx.region;
+        let is_local = candidate.upstream.region == cx.region;
         if cx.route(&call.route.name).may_spill_over(cx.switches) {
-            call.state.spill.record(is_own, load, now.since(sent), now);
+            call.state
+                .spillover
+                .record(is_local, load, now.since(sent), now);
         }
     }
 }
--- a/crates/edge/src/call.rs
+++ b/crates/edge/src/call.rs
@@ -46,7 +46,7 @@
     pub(crate) body: RequestBody,
     /// Hash of the request's object, or a random number if the request has none.
     pub(crate) object: u64,
-    /// Whether servers ended while running this request. If so, `object` is derived from its
+    /// Whether servers crashed while running this request. If so, `object` is derived from its
     /// fingerprint and the request may go to any region.
     pub(crate) is_isolated: bool,
     /// Backend server that another VM ranked first before it handed the request over to this VM.
@@ -236,7 +236,7 @@
 /// Returns whether a pipelined request may be handled while an earlier one of its connection is
 /// still in progress. Only requests that may run more than once qualify.
 pub(crate) fn may_pipeline(cx: &EdgeContext, head: &RequestHead) -> bool {
-    let catalog = cx.world.borrow().catalog().cloned();
+    let catalog = cx.routing_state.borrow().catalog().cloned();
     catalog.is_some_and(|catalog| find_route(&catalog, head).is_some_and(|r| r.idempotent))
 }
 
@@ -260,7 +260,7 @@
     head: &mut RequestHead,
     is_handed_over: bool,
 ) -> Result<Routed, AdmitError> {
-    let catalog = cx.world.borrow().catalog().cloned();
+    let catalog = cx.routing_state.borrow().catalog().cloned();
     let catalog = catalog.ok_or(AdmitError::NoCatalog)?;
     let route = find_route(&catalog, head).cloned();
     let route = route.ok_or_else(|| match catalog.has_unmatchable_routes() {
--- a/crates/edge/src/context.rs
+++ b/crates/edge/src/context.rs
@@ -14,6 +14,7 @@
 use crate::budget::RetryBudget;
 use crate::dialect::Dialect;
 use crate::feed::Feed;
+use crate::feed_topology::FeedTopology;
 use crate::homes::HomeDirectory;
 use crate::locality::RouteLocality;
 use crate::log_limit::LogRateLimit;
@@ -23,17 +24,16 @@
 use crate::presence::{self, VmEntries, VmEntry};
 use crate::quota::state::Quota;
 use crate::region_counts::RegionCounts;
-use crate::relay::Relay;
 use crate::round_trip::RegionRoundTrips;
+use crate::routing_state::RoutingState;
 use crate::service_times::ServiceTimes;
 use crate::settings::{Bounds, EdgeConfig};
 use crate::spillover::Spillover;
 use crate::split::TrafficSplit;
 use crate::switches::Switches;
-use crate::unbound_share::UnboundShares;
+use crate::unrestricted_share::UnrestrictedShares;
 use crate::upstream::IDLE_TIMEOUT;
 use crate::window::SlidingWindow;
-use crate::world::RoutingState;
 
 /// State shared by all tasks of one daemon. All tasks run on one thread; no borrow is held across
 /// an `await`.
@@ -54,8 +54,8 @@
     pub timer: Timer,
     /// Random number generator.
     pub rng: RefCell<fastrand::Rng>,
-    /// What is known of routes and backend servers.
-    pub world: Rc<RefCell<RoutingState>>,
+    /// Routes, backend servers and evacuated domains, as derived from the store's keys.
+    pub routing_state: Rc<RefCell<RoutingState>>,
     /// Local copy of the store's keys, and its sources.
     pub feed: Rc<Feed>,
     /// Client of the platform's store.
@@ -68,10 +68,10 @@
     pub entries: Rc<VmEntries>,
     /// Whether those entries were read since this process started.
     pub has_read_vm_entries: Cell<bool>,
-    /// How long the store took to answer this VM's first request.
-    pub store_latency: Cell<Option<Millis>>,
-    /// Which VM gets its news from which other VMs.
-    pub relay: RefCell<Rc<Relay>>,
+    /// How long the store took to answer this VM's first request, if it did.
+    pub store_rtt: Cell<Option<Millis>>,
+    /// Which VMs watch the store, and from which VMs the others get its changes.
+    pub feed_topology: RefCell<Rc<FeedTopology>>,
     /// VMs found alive by the latest refresh.
     pub vms: RefCell<Rc<Vec<VmEntry>>>,
     /// Largest number of VMs known at once; zero until all keys of the store were received.
@@ -92,10 +92,10 @@
     pub release_token: String,
     /// This VM's part in enforcing the quotas of client accounts.
     pub quota: Rc<Quota>,
-    /// This VM's part in detecting requests that make servers end.
+    /// This VM's part in detecting requests that crash servers.
     pub poison: Rc<PoisonDetector>,
-    /// Distances to other regions.
-    pub distances: RegionRoundTrips,
+    /// Round trips to other regions.
+    pub round_trips: RegionRoundTrips,
     /// Limits the log lines about requests over their accounts' limits.
     pub over_limit_log: RefCell<LogRateLimit>,
     /// Metrics.
@@ -116,12 +116,12 @@
     pub budget: RefCell<RetryBudget>,
     /// Requests from callers to this VM, within the idle timeout of connections to backend servers.
     pub recent_requests: RefCell<SlidingWindow>,
-    /// Which share of the objects other regions serve.
-    pub spill: Spillover,
+    /// Which fraction of the objects other regions serve.
+    pub spillover: Spillover,
     /// Number of requests that this VM sent to each region.
     pub sent_by_region: RegionCounts,
-    /// Share of each region's capacity that is left to requests that may run anywhere.
-    pub region_shares: UnboundShares,
+    /// Share of each region's slots that is left to requests that any region may serve.
+    pub unrestricted_shares: UnrestrictedShares,
     /// Placement of objects on the servers for which this VM is the home VM.
     pub placement: ObjectPlacement,
     /// When each cold backend server may get its next request from this VM.
@@ -142,9 +142,9 @@
                 service_times: ServiceTimes::default(),
                 budget: RefCell::new(RetryBudget::new(&self.bounds)),
                 recent_requests: RefCell::new(SlidingWindow::new(IDLE_TIMEOUT)),
-                spill: Spillover::default(),
+                spillover: Spillover::default(),
                 sent_by_region: RegionCounts::default(),
-                region_shares: UnboundShares::default(),
+                unrestricted_shares: UnrestrictedShares::default(),
                 placement: ObjectPlacement::default(),
                 next_cold_send: RefCell::default(),
             })
@@ -178,6 +178,6 @@
 
     /// Returns whether this daemon accepts requests and can route them.
     pub fn is_ready(&self) -> bool {
-        !self.leaving.is_fired() && self.world.borrow().catalog().is_some()
+        !self.leaving.is_fired() && self.routing_state.borrow().catalog().is_some()
     }
 }
--- a/crates/edge/src/daemon.rs
+++ b/crates/edge/src/daemon.rs
@@ -31,13 +31,13 @@
 use crate::quota::state::Quota;
 use crate::quota::{exchange, status};
 use crate::round_trip::RegionRoundTrips;
+use crate::routing_state::RoutingState;
 use crate::settings::{Bounds, EdgeConfig};
 use crate::switches::{Mechanism, Switches};
 use crate::upstream::{self, IDLE_TIMEOUT};
-use crate::world::RoutingState;
 use crate::{
-    call, enter, forward, hand_over, lookup, peer_feed, poison, presence, reply, round_trip,
-    spillover_update, stop,
+    call, entry_maintenance, forward, hand_over, lookup, peer_feed, poison, presence, reply,
+    round_trip, spillover_update, stop,
 };
 
 /// Interval of the periodic maintenance in [`tick`].
@@ -56,12 +56,12 @@
 /// responses wait in memory for the one before them, at most 64 KB each, so half a megabyte for
 /// each connection.
 const MAX_PIPELINED: usize = 8;
-/// Longest pause between two tries to reach the store by a leader of a domain that is not a reader
-/// of the store.
-const LEADER_STORE_RETRY_PAUSE: Millis = Millis(1_500);
-/// Upper bound of that pause for all other VMs, however many there are. A VM that learns nothing
+/// Maximum interval between two attempts to reach the store by a leader of a domain that is not a
+/// watcher of the store.
+const LEADER_STORE_RETRY_INTERVAL: Millis = Millis(1_500);
+/// Upper bound of that interval for all other VMs, however many there are. A VM that learns nothing
 /// useful from its peers has to find the store again within an acceptable time.
-const MAX_STORE_RETRY_PAUSE: Millis = Millis(15_000);
+const MAX_STORE_RETRY_INTERVAL: Millis = Millis(15_000);
 /// Longest message between daemons, in bytes. The largest one is the copy of the store's keys of a
 /// whole deployment.
 const MAX_PEER_MESSAGE: usize = 4 << 20;
@@ -176,11 +176,11 @@
     let bounds = Bounds::from(&cfg.bounds);
     let region = own_region(&cfg)?;
     let timer = Timer::system();
-    let world = make_world(&cfg, &dialect, &timer);
+    let routing_state = make_routing_state(&cfg, &dialect, &timer);
     let feed = Feed::new(
         store.clone(),
         timer.clone(),
-        Rc::clone(&world),
+        Rc::clone(&routing_state),
         bounds.store_settle_time,
     );
     let registry = Registry::new();
@@ -191,7 +191,7 @@
     let mut methods = MethodTable::default();
     peer_feed::register(&mut methods, &feed, &timer);
     round_trip::register(&mut methods);
-    let quota = Rc::new(Quota::new(timer.clone(), Rc::clone(&world)));
+    let quota = Rc::new(Quota::new(timer.clone(), Rc::clone(&routing_state)));
     exchange::register(&mut methods, &quota);
     let poison = make_poison(&cfg, &timer, &feed, &mut methods);
     let (membership, net) = join_peers(&cfg, incarnation, methods, &entries, &timer)?;
@@ -200,15 +200,15 @@
         incarnation,
         timer,
         rng: RefCell::new(rng),
-        world,
+        routing_state,
         feed,
         store,
         membership,
         net,
         entries,
         has_read_vm_entries: Cell::new(false),
-        store_latency: Cell::new(None),
-        relay: RefCell::default(),
+        store_rtt: Cell::new(None),
+        feed_topology: RefCell::default(),
         vms: RefCell::default(),
         max_vms_seen: Cell::new(0),
         services: RefCell::default(),
@@ -221,7 +221,7 @@
         quota,
         poison,
         over_limit_log: RefCell::default(),
-        distances: RegionRoundTrips::default(),
+        round_trips: RegionRoundTrips::default(),
         metrics,
         registry,
         leaving: Flag::new(),
@@ -263,14 +263,18 @@
     })
 }
 
-fn make_world(cfg: &EdgeConfig, dialect: &Dialect, timer: &Timer) -> Rc<RefCell<RoutingState>> {
-    let world = RoutingState::new(
+fn make_routing_state(
+    cfg: &EdgeConfig,
+    dialect: &Dialect,
+    timer: &Timer,
+) -> Rc<RefCell<RoutingState>> {
+    let routing_state = RoutingState::new(
         dialect.clone(),
         cfg.domains.clone(),
         upstream_pool(dialect),
         timer.clock.clone(),
     );
-    Rc::new(RefCell::new(world))
+    Rc::new(RefCell::new(routing_state))
 }
 
 fn join_peers(
@@ -372,13 +376,13 @@
 fn spawn_tasks(cx: &Rc<EdgeContext>) {
     presence::refresh(cx);
     let policy_cx = Rc::downgrade(cx);
-    let pause_cx = Rc::downgrade(cx);
+    let retry_cx = Rc::downgrade(cx);
     cx.feed.set_watch_policy(
-        move || policy_cx.upgrade().is_none_or(|cx| should_read_store(&cx)),
-        move || pause_cx.upgrade().map(|cx| store_retry_pause(&cx)),
+        move || policy_cx.upgrade().is_none_or(|cx| is_watcher(&cx)),
+        move || retry_cx.upgrade().map(|cx| store_retry_interval(&cx)),
     );
-    monoio::spawn(Rc::clone(&cx.feed).follow());
-    monoio::spawn(enter::run(Rc::clone(cx)));
+    monoio::spawn(Rc::clone(&cx.feed).run());
+    monoio::spawn(entry_maintenance::run(Rc::clone(cx)));
     monoio::spawn(peer_feed::run(Rc::clone(cx)));
     monoio::spawn(peer_feed::fetch_from_seeds(Rc::clone(cx)));
     monoio::spawn(round_trip::run(Rc::clone(cx)));
@@ -389,30 +393,34 @@
     cx.membership.run(cx.net.clone());
 }
 
-/// Returns whether this VM should read the store. Besides the regular readers, the head of each
-/// domain reads it after a start, because a domain far from the readers then gets its data sooner
-/// than through another VM. Leaders stand in while the readers receive nothing.
-fn should_read_store(cx: &EdgeContext) -> bool {
-    let relay = cx.relay.borrow();
+/// Returns whether this VM is a watcher of the store. Besides the watchers of the feed topology,
+/// the head of each domain is one after a start, because a domain far from the others then gets its
+/// data sooner than through another VM. Leaders substitute for watchers that receive nothing.
+fn is_watcher(cx: &EdgeContext) -> bool {
+    let topology = cx.feed_topology.borrow();
     let me = &cx.cfg.vm;
-    let is_first_reading = cx.feed.is_awaiting_peers() && relay.is_head(me, &cx.cfg.domain);
-    let is_substitute = cx.feed.is_substitute_watcher() && relay.is_leader(me, &cx.cfg.domain);
-    cx.has_read_vm_entries.get() && (relay.reads_store(me) || is_first_reading || is_substitute)
+    let is_first_read = cx.feed.is_awaiting_peers() && topology.is_head(me, &cx.cfg.domain);
+    let is_substitute = cx.feed.is_substitute_watcher() && topology.is_leader(me, &cx.cfg.domain);
+    cx.has_read_vm_entries.get() && (topology.is_watcher(me) || is_first_read || is_substitute)
 }
 
-/// Returns the pause before the next try of a store that does not answer, for a VM that is not one
-/// of its readers. A domain's leaders try about once a second, and all other VMs together as often
-/// as one leader. It matters little who tries, since a VM that succeeds tells the others.
-fn store_retry_pause(cx: &EdgeContext) -> Millis {
-    let is_leader = cx.relay.borrow().is_leader(&cx.cfg.vm, &cx.cfg.domain);
+/// Returns the interval before the next attempt to reach a store that does not answer, for a VM
+/// that is not one of its watchers. A domain's leaders make an attempt about once a second, and all
+/// other VMs together as often as one leader. It matters little which VM makes it, since a VM that
+/// succeeds informs the others.
+fn store_retry_interval(cx: &EdgeContext) -> Millis {
+    let is_leader = cx
+        .feed_topology
+        .borrow()
+        .is_leader(&cx.cfg.vm, &cx.cfg.domain);
     let vms = match is_leader {
         true => 1,
         false => presence::live_vms(cx).len() as u64,
     };
-    let longest = LEADER_STORE_RETRY_PAUSE
+    let longest = LEADER_STORE_RETRY_INTERVAL
         .0
         .saturating_mul(vms)
-        .min(MAX_STORE_RETRY_PAUSE.0);
+        .min(MAX_STORE_RETRY_INTERVAL.0);
     Millis(cx.rng.borrow_mut().u64(longest / 2..=longest.max(1)))
 }
 
@@ -422,17 +430,17 @@
     for round in 1_u64.. {
         cx.timer.wait(TICK_INTERVAL).await;
         if cx.feed.is_settled() {
-            cx.world.borrow_mut().remove_missing();
+            cx.routing_state.borrow_mut().remove_missing();
         }
         presence::refresh(&cx);
         spillover_update::run(&cx);
         if round.is_multiple_of(TICKS_PER_SWEEP) {
-            let world = cx.world.borrow();
-            world
+            let routing_state = cx.routing_state.borrow();
+            routing_state
                 .all_upstreams()
                 .for_each(|upstream| upstream.pool.sweep());
             cx.homes.sweep();
-            let version = world.catalog().map_or(0, |catalog| catalog.version);
+            let version = routing_state.catalog().map_or(0, |catalog| catalog.version);
             cx.metrics.catalog_version.set(version as i64);
         }
     }
@@ -512,7 +520,7 @@
 }
 
 fn accounts_page(cx: &EdgeContext) -> Response {
-    let catalog = cx.world.borrow().catalog().cloned();
+    let catalog = cx.routing_state.borrow().catalog().cloned();
     let accounts = catalog.as_ref().and_then(|catalog| catalog.accounts());
     let statuses = accounts.map(|accounts| status::statuses(&cx.quota, accounts));
     match serde_json::to_vec(&statuses.unwrap_or_default()) {
--- a/crates/edge/src/enter.rs
+++ b/crates/edge/src/entry_maintenance.rs
@@ -40,14 +40,14 @@
 
 /// Maintains this VM's entry in the store until it leaves, then deletes the entry.
 pub async fn run(cx: Rc<EdgeContext>) {
-    let mut is_entered = read_own_domain(&cx).await;
+    let mut has_entry = read_own_domain(&cx).await;
     let mut written_at = Millis(0);
     while !cx.leaving.is_fired() {
-        if !is_entered
+        if !has_entry
             || (is_entry_missing(&cx) && cx.now().since(written_at) >= WRITE_VISIBLE_AFTER)
         {
             written_at = cx.now();
-            is_entered = write_entry(&cx).await;
+            has_entry = write_entry(&cx).await;
         }
         if !cx.has_read_vm_entries.get() {
             discover_concurrent_starts(&cx).await;
@@ -63,7 +63,7 @@
 /// from its previous run.
 ///
 /// If it does, so do all VMs that were killed together with it, and it is known at once which of
-/// them reads the full list. A fast return to service matters most in that case.
+/// them watches the store. A fast return to service matters most in that case.
 async fn read_own_domain(cx: &EdgeContext) -> bool {
     let began = cx.now();
     let result = cx
@@ -76,11 +76,11 @@
         cx.has_read_vm_entries.set(true);
         return false;
     }
-    cx.store_latency.set(Some(cx.now().since(began)));
-    let is_entered = has_own_entry(cx);
+    cx.store_rtt.set(Some(cx.now().since(began)));
+    let has_entry = has_own_entry(cx);
     refresh(cx);
-    cx.has_read_vm_entries.set(is_entered);
-    is_entered
+    cx.has_read_vm_entries.set(has_entry);
+    has_entry
 }
 
 /// Reads the entries of this domain until this VM's own appears, and with it those of VMs that
@@ -163,22 +163,22 @@
     if !cx.feed.is_fresh() {
         return Vec::new();
     }
-    let relay = cx.relay.borrow();
+    let topology = cx.feed_topology.borrow();
     let me = &cx.cfg.vm;
     let views = cx.membership.views().into_iter();
     let gone = views.filter(|view| {
         let domain = &view.id.domain;
-        let pause = match relay.has_vms(domain) {
+        let pause = match topology.has_vms(domain) {
             true => DELETE_AFTER,
             false => DELETE_AFTER_DOMAIN_LOSS,
         };
         let is_gone = view.state == MemberState::Gone && view.age >= pause;
-        is_gone && relay.deletes_entries_of(me, domain)
+        is_gone && topology.deletes_entries_of(me, domain)
     });
     let mut keys: Vec<String> = gone
         .map(|view| entry_key(&view.id.domain, &view.id.vm))
         .collect();
-    if relay.deletes_entries_of(me, &cx.cfg.domain) {
+    if topology.deletes_entries_of(me, &cx.cfg.domain) {
         let unconfirmed = cx.entries.unconfirmed(DELETE_UNCONFIRMED_AFTER, cx.now());
         keys.extend(unconfirmed.iter().map(|vm| entry_key(&cx.cfg.domain, vm)));
     }
--- a/crates/edge/src/feed.rs
+++ b/crates/edge/src/feed.rs
@@ -19,7 +19,7 @@
 use log::{info, warn};
 
 use crate::mirror::{Change, Mirror, VersionedValue};
-use crate::world::RoutingState;
+use crate::routing_state::RoutingState;
 
 /// Interval at which a VM checks whether it should watch the store.
 const IDLE_INTERVAL: Millis = Millis(200);
@@ -53,7 +53,7 @@
     store: Store,
     timer: Timer,
     mirror: RefCell<Mirror>,
-    world: Rc<RefCell<RoutingState>>,
+    routing_state: Rc<RefCell<RoutingState>>,
     settle: Millis,
     /// The time of the newest update from the store, received directly or through peers.
     last_update_at: Cell<Option<Millis>>,
@@ -82,7 +82,7 @@
     pub fn new(
         store: Store,
         timer: Timer,
-        world: Rc<RefCell<RoutingState>>,
+        routing_state: Rc<RefCell<RoutingState>>,
         settle: Millis,
     ) -> Rc<Self> {
         let await_peers_until = Cell::new(timer.now() + PEER_WAIT_AT_START);
@@ -91,7 +91,7 @@
             store,
             timer,
             mirror: RefCell::default(),
-            world,
+            routing_state,
             settle,
             last_update_at: Cell::new(None),
             store_unreachable: Cell::new(false),
@@ -223,8 +223,8 @@
         self.is_fresh() && self.timer.now() >= self.settled_at.get()
     }
 
-    /// Watches the store whenever this VM should, for as long as the process runs.
-    pub async fn follow(self: Rc<Self>) {
+    /// Watches the store whenever this VM should, until the process ends.
+    pub async fn run(self: Rc<Self>) {
         let first = std::time::Duration::from_millis(50);
         let backoff = Backoff::new(first, MAX_BACKOFF, fastrand::Rng::new());
         let mut failures = 0;
@@ -334,10 +334,10 @@
 
     fn publish_changes(&self, changes: &[Change], settled: bool) {
         let relevant: Vec<&Change> = {
-            let world = self.world.borrow();
+            let routing_state = self.routing_state.borrow();
             changes
                 .iter()
-                .filter(|change| world.is_relevant(change))
+                .filter(|change| routing_state.is_relevant(change))
                 .collect()
         };
         for (prefix, subscriber) in self.subscribers.borrow().iter() {
@@ -346,7 +346,7 @@
                 .filter(|change| change.key.starts_with(prefix));
             matching.for_each(|change| subscriber(change));
         }
-        self.world.borrow_mut().apply(changes, settled);
+        self.routing_state.borrow_mut().apply(changes, settled);
         let mut mirror = self.mirror.borrow_mut();
         relevant
             .iter()
@@ -377,7 +377,7 @@
     /// Without this, a VM that cannot reach the store while its peers can would be unable to tell a
     /// deleted server from one whose entry expired, and would keep sending requests to it.
     pub fn remove_missing_servers(&self) {
-        self.world.borrow_mut().remove_missing();
+        self.routing_state.borrow_mut().remove_missing();
     }
 
     fn note_store_heard(&self) {
--- a/crates/edge/src/relay.rs
+++ b/crates/edge/src/feed_topology.rs
@@ -1,7 +1,7 @@
-//! Which VMs read the store, and from which VMs the others get the changes.
+//! Which VMs watch the store, and from which VMs the others get the changes.
 //!
-//! One VM of each failure domain in the region nearest to the store reads it. The first-ranked VM
-//! of every other domain gets the changes from those readers, and the remaining VMs of each domain
+//! One VM of each failure domain in the region nearest to the store watches it. The first-ranked VM
+//! of every other domain gets the changes from those watchers, and the remaining VMs of each domain
 //! from their own first-ranked VM. This keeps traffic between regions and calls to the store low,
 //! and only one VM of a remote domain is sent a full copy from another region.
 
@@ -16,39 +16,39 @@
 /// standby for when it does not answer.
 const LEADERS_PER_DOMAIN: usize = 2;
 
-/// The distribution of store changes. All VMs that know the same set of VMs compute the same
-/// result.
+/// The sources from which each VM gets the changes of the store. All VMs that know the same set of
+/// VMs compute the same topology.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Relay {
+pub struct FeedTopology {
     /// The leaders of each domain, the head first.
     leaders: BTreeMap<DomainName, Vec<VmName>>,
-    /// The VMs that read the store, the first-ranked one first.
-    readers: Vec<VmName>,
+    /// The VMs that watch the store, the first-ranked one first.
+    watchers: Vec<VmName>,
 }
 
-impl Relay {
-    /// Computes the distribution among `vms`.
+impl FeedTopology {
+    /// Computes the topology of `vms`.
     pub fn new(vms: &[VmEntry]) -> Self {
         let mut ranked: Vec<&VmEntry> = vms.iter().collect();
         ranked.sort_by_key(|vm| std::cmp::Reverse(rank(vm)));
         let nearest = nearest_region(vms);
-        let mut relay = Self::default();
+        let mut topology = Self::default();
         for vm in ranked {
-            let leaders = relay.leaders.entry(vm.domain.clone()).or_default();
+            let leaders = topology.leaders.entry(vm.domain.clone()).or_default();
             let is_near = nearest.is_none_or(|nearest| vm.region == *nearest);
             if leaders.is_empty() && is_near {
-                relay.readers.push(vm.name.clone());
+                topology.watchers.push(vm.name.clone());
             }
             if leaders.len() < LEADERS_PER_DOMAIN {
                 leaders.push(vm.name.clone());
             }
         }
-        relay
+        topology
     }
 
-    /// Returns whether `vm` reads the store.
-    pub fn reads_store(&self, vm: &VmName) -> bool {
-        self.readers.contains(vm)
+    /// Returns whether `vm` watches the store.
+    pub fn is_watcher(&self, vm: &VmName) -> bool {
+        self.watchers.contains(vm)
     }
 
     /// Returns whether `vm` is the head of `domain`, which its other VMs ask first.
@@ -78,29 +78,30 @@
     }
 
     /// Returns whether `vm` deletes the entries of lost VMs of `domain`: the head of the domain
-    /// does, or the first-ranked reader of the store if the domain has no live VM.
+    /// does, or the first-ranked watcher of the store if the domain has no live VM.
     pub fn deletes_entries_of(&self, vm: &VmName, domain: &DomainName) -> bool {
         match self.has_vms(domain) {
             true => self.is_head(vm, domain),
-            false => self.readers.first() == Some(vm),
+            false => self.watchers.first() == Some(vm),
         }
     }
 
     /// Returns the VMs that `vm` of `domain` asks for changes, in order of preference.
     ///
-    /// The leaders of a domain ask the readers of the store, each in its own order, which spreads
-    /// the load; the standby asks the head first. All other VMs ask only the leaders of their domain.
+    /// The leaders of a domain ask the watchers of the store, each in its own order, which spreads
+    /// the load; the standby asks the head first. All other VMs ask only the leaders of their
+    /// domain.
     pub fn sources(&self, vm: &VmName, domain: &DomainName) -> Vec<VmName> {
         let leaders = self.leaders(domain);
-        let before = leaders.iter().take_while(|leader| *leader != vm);
-        let mut sources: Vec<VmName> = before.cloned().collect();
+        let preceding = leaders.iter().take_while(|leader| *leader != vm);
+        let mut sources: Vec<VmName> = preceding.cloned().collect();
         if leaders.contains(vm) {
-            let mut readers = self.readers.clone();
+            let mut watchers = self.watchers.clone();
             let rank =
-                |reader: &VmName| hash::rendezvous(&[vm.as_str().as_bytes()], reader.as_str());
-            readers.sort_by_key(rank);
-            readers.retain(|reader| reader != vm && !sources.contains(reader));
-            sources.extend(readers);
+                |watcher: &VmName| hash::rendezvous(&[vm.as_str().as_bytes()], watcher.as_str());
+            watchers.sort_by_key(rank);
+            watchers.retain(|watcher| watcher != vm && !sources.contains(watcher));
+            sources.extend(watchers);
         }
         sources
     }
--- a/crates/edge/src/hand_over.rs
+++ b/crates/edge/src/hand_over.rs
@@ -135,7 +135,7 @@
         return None;
     }
     let began = cx.now();
-    let _under_way = call.state.sent_by_region.start_request(&upstream.region);
+    let _in_flight = call.state.sent_by_region.start_request(&upstream.region);
     let outcome = send(cx, call, &peer, &upstream).await;
     let label = outcome.label();
     cx.metrics.handed_over.with_label_values(&[label]).inc();
@@ -194,7 +194,7 @@
 /// Returns whether this VM has so few requests for each server of the service, within the idle
 /// timeout of a connection, that most of them would open a new connection.
 fn has_few_requests(cx: &EdgeContext, call: &Call) -> bool {
-    let servers = cx.world.borrow().upstreams(&call.service).len();
+    let servers = cx.routing_state.borrow().upstreams(&call.service).len();
     let recent_requests = call.state.recent_requests.borrow_mut().total(cx.now());
     recent_requests < servers as f64 * cx.cfg.hand_over_below
 }
@@ -263,10 +263,12 @@
     }
     let value = response.headers.get(&cx.dialect.headers.server_load);
     if let Some(load) = value.and_then(|v| ServerLoad::parse(v.to_str().ok()?)) {
-        let is_own = to.region == cx.region;
+        let is_local = to.region == cx.region;
         let now = cx.now();
         if cx.route(&call.route.name).may_spill_over(cx.switches) {
-            call.state.spill.record(is_own, load, now.since(began), now);
+            call.state
+                .spillover
+                .record(is_local, load, now.since(began), now);
         }
     }
     if let Some(bytes) = response
@@ -312,7 +314,11 @@
     let Some(header) = header else {
         return decline("it names no server, or holds no token of this deployment");
     };
-    let version = cx.world.borrow().catalog().map(|catalog| catalog.version);
+    let version = cx
+        .routing_state
+        .borrow()
+        .catalog()
+        .map(|catalog| catalog.version);
     if version != Some(header.version) {
         return decline("another configuration is in force here");
     }
--- a/crates/edge/src/lib.rs
+++ b/crates/edge/src/lib.rs
@@ -2,8 +2,8 @@
 //! registered.
 //!
 //! A platform adapter supplies a [`dialect::Dialect`] and a store; [`daemon::run`] does the rest.
-//! [`feed`] mirrors the store's keys, [`world`] derives the routing state from them, [`forward`]
-//! answers requests and [`lookup`] answers lookups.
+//! [`feed`] mirrors the store's keys, [`routing_state`] derives the routing state from them,
+//! [`forward`] answers requests and [`lookup`] answers lookups.
 
 pub mod accounts;
 mod attempt;
@@ -13,9 +13,10 @@
 pub mod context;
 pub mod daemon;
 pub mod dialect;
-mod enter;
+mod entry_maintenance;
 pub mod ewma;
 pub mod feed;
+pub mod feed_topology;
 pub mod forward;
 pub mod hand_over;
 pub mod homes;
@@ -35,10 +36,10 @@
 pub mod quota;
 pub mod region_counts;
 pub mod registration;
-pub mod relay;
 mod reply;
 mod request_log;
 pub mod round_trip;
+pub mod routing_state;
 pub mod selection;
 pub mod service_times;
 pub mod settings;
@@ -47,7 +48,6 @@
 pub mod split;
 mod stop;
 pub mod switches;
-pub mod unbound_share;
+pub mod unrestricted_share;
 pub mod upstream;
 pub mod window;
-pub mod world;
--- a/crates/edge/src/metrics.rs
+++ b/crates/edge/src/metrics.rs
@@ -19,7 +19,7 @@
     pub latency: HistogramVec,
     /// Sends to backend servers by service and result.
     pub sends: IntCounterVec,
-    /// Requests that a backend server was running when it ended, by service.
+    /// Requests that a backend server was running when it crashed, by service.
     pub requests_at_server_end: IntCounterVec,
     /// Requests handed over to the home VMs of their servers, by result.
     pub handed_over: IntCounterVec,
--- a/crates/edge/src/peer_feed.rs
+++ b/crates/edge/src/peer_feed.rs
@@ -187,7 +187,11 @@
     while !cx.has_read_vm_entries.get() {
         cx.timer.wait(cx.feed.idle_interval()).await;
     }
-    if !cx.relay.borrow().is_head(&cx.cfg.vm, &cx.cfg.domain) {
+    if !cx
+        .feed_topology
+        .borrow()
+        .is_head(&cx.cfg.vm, &cx.cfg.domain)
+    {
         return;
     }
     let own = cx.cfg.listen.peers;
@@ -218,7 +222,11 @@
 /// Delays this VM's own attempts to reach the store, unless it is a leader: in an outage that
 /// affects peers too, only leaders of domains keep trying.
 fn note_stale_peer(cx: &EdgeContext) {
-    if !cx.relay.borrow().is_leader(&cx.cfg.vm, &cx.cfg.domain) {
+    if !cx
+        .feed_topology
+        .borrow()
+        .is_leader(&cx.cfg.vm, &cx.cfg.domain)
+    {
         cx.feed.note_stale_peer();
     }
 }
@@ -293,7 +301,10 @@
 fn next_source(cx: &EdgeContext, avoided: &mut HashMap<VmName, Millis>) -> Option<VmName> {
     let now = cx.now();
     avoided.retain(|_, until| *until > now);
-    let sources = cx.relay.borrow().sources(&cx.cfg.vm, &cx.cfg.domain);
+    let sources = cx
+        .feed_topology
+        .borrow()
+        .sources(&cx.cfg.vm, &cx.cfg.domain);
     let has_stale_data = cx.feed.age().is_some() && !cx.feed.is_fresh();
     let may_ask_any = cx.feed.is_store_unreachable() || has_stale_data;
     select_source(sources, avoided, || {
--- a/crates/edge/src/pick.rs
+++ b/crates/edge/src/pick.rs
@@ -31,7 +31,7 @@
 }
 
 impl Refusal {
-    /// Refuses a request that is suspected of making servers end.
+    /// Refuses a request that is suspected of crashing servers.
     pub(crate) fn suspected(cause: &'static str, retry_after: Millis) -> Self {
         refuse(cause, retry_after)
     }
@@ -115,7 +115,7 @@
         latency_target: call.route.latency_target,
         time_left: call.time_left(now),
         now,
-        is_region_bound: call.regions != AllowedRegions::Any,
+        is_region_restricted: call.regions != AllowedRegions::Any,
         switches: cx.switches,
         assigned: call.assigned_server.as_ref().filter(|_| !call.is_isolated),
         is_home,
@@ -142,9 +142,9 @@
     if call.assigned_server.is_some() {
         return Locality::Region;
     }
-    call.state.region_shares.mark_used();
+    call.state.unrestricted_shares.mark_used();
     let route = cx.route(&call.route.name);
-    route.locality_of(call.object, &call.state.spill, cx.switches)
+    route.locality_of(call.object, &call.state.spillover, cx.switches)
 }
 
 /// Returns the longest expected time to completion, in milliseconds, with which a request still
@@ -202,12 +202,12 @@
     now: Millis,
     wanted: impl Fn(&Upstream) -> bool,
 ) -> Vec<Rc<Upstream>> {
-    let world = cx.world.borrow();
-    let all = world.upstreams(&call.service);
+    let routing_state = cx.routing_state.borrow();
+    let all = routing_state.upstreams(&call.service);
     let eligible = all.iter().filter(|u| {
         u.accepts_requests()
             && wanted(u)
-            && !world.is_evacuated(&u.domain)
+            && !routing_state.is_evacuated(&u.domain)
             && call.regions.allows(&u.region)
             && u.is_reachable(now)
             && !tried.contains(&u.id)
--- a/crates/edge/src/poison/crash.rs
+++ b/crates/edge/src/poison/crash.rs
@@ -38,7 +38,7 @@
 
 /// Returns the server's probe that is running or has found a crash, or starts one.
 fn shared_probe(upstream: &Rc<Upstream>) -> CrashProbe {
-    let mut current = upstream.end_probe.borrow_mut();
+    let mut current = upstream.crash_probe.borrow_mut();
     let is_reusable = |probe: &&CrashProbe| !probe.done.is_fired() || probe.found_crash();
     if let Some(probe) = current.as_ref().filter(is_reusable) {
         return probe.clone();
--- a/crates/edge/src/poison/exchange.rs
+++ b/crates/edge/src/poison/exchange.rs
@@ -75,7 +75,7 @@
 /// Starts a call to each peer that lacks updates and has no call in flight.
 fn start_updates(cx: &Rc<EdgeContext>, progress: &SharedProgress) {
     let vms = presence::live_vms(cx);
-    let recipients = recipients(&cx.relay.borrow(), &vms, &cx.cfg.vm, &cx.cfg.domain);
+    let recipients = recipients(&cx.feed_topology.borrow(), &vms, &cx.cfg.vm, &cx.cfg.domain);
     let incarnations = incarnations(cx);
     let suspects = cx.poison.suspects();
     let mut peers = progress.borrow_mut();
--- a/crates/edge/src/poison/propagation.rs
+++ b/crates/edge/src/poison/propagation.rs
@@ -10,8 +10,8 @@
 use heatherknot_types::prelude::*;
 
 use super::suspects::{Suspect, SuspectEntry, SuspectTable};
+use crate::feed_topology::FeedTopology;
 use crate::presence::VmEntry;
-use crate::relay::Relay;
 
 /// Maximum number of suspects in one message, which then stays under 10 KB. A server that crashes
 /// takes a dozen requests with it, and their updates must not wait for each other.
@@ -42,13 +42,13 @@
 
 /// Returns the peers among `vms` to which VM `me` of `domain` sends updates.
 pub fn recipients(
-    relay: &Relay,
+    topology: &FeedTopology,
     vms: &[VmEntry],
     me: &VmName,
     domain: &DomainName,
 ) -> Vec<(VmName, PeerRole)> {
-    if !relay.is_leader(me, domain) {
-        let leaders = relay.leaders(domain).iter();
+    if !topology.is_leader(me, domain) {
+        let leaders = topology.leaders(domain).iter();
         return leaders
             .map(|vm| (vm.clone(), PeerRole::OwnLeader))
             .collect();
@@ -57,8 +57,8 @@
         .iter()
         .filter(|vm| vm.domain == *domain && vm.name != *me);
     let members = members.map(|vm| (vm.name.clone(), PeerRole::DomainMember));
-    let others = relay.domains().filter(|other| *other != domain);
-    let leaders = others.flat_map(|other| relay.leaders(other).iter().cloned());
+    let others = topology.domains().filter(|other| *other != domain);
+    let leaders = others.flat_map(|other| topology.leaders(other).iter().cloned());
     let leaders = leaders.map(|vm| (vm, PeerRole::OtherLeader));
     members.chain(leaders).collect()
 }
--- a/crates/edge/src/poison/records.rs
+++ b/crates/edge/src/poison/records.rs
@@ -113,7 +113,10 @@
 /// and, as the head of its domain, those that the responsible VM has not written in time.
 fn pending_writes(cx: &EdgeContext) -> Vec<PendingWrite> {
     let now = cx.now();
-    let is_head = cx.relay.borrow().is_head(&cx.cfg.vm, &cx.cfg.domain);
+    let is_head = cx
+        .feed_topology
+        .borrow()
+        .is_head(&cx.cfg.vm, &cx.cfg.domain);
     let is_responsible = |entry: &&SuspectEntry| {
         let is_local = entry.local_version == entry.version;
         let is_overdue = is_head && now.since(entry.changed_at) >= HEAD_FALLBACK_DELAY;
@@ -141,9 +144,9 @@
 /// Deletes the records that are past their retention, if this VM is the head of the first domain.
 async fn delete_expired(cx: &EdgeContext) {
     let is_responsible = {
-        let relay = cx.relay.borrow();
-        let first = relay.domains().next().cloned();
-        first.is_some_and(|domain| relay.is_head(&cx.cfg.vm, &domain))
+        let topology = cx.feed_topology.borrow();
+        let first = topology.domains().next().cloned();
+        first.is_some_and(|domain| topology.is_head(&cx.cfg.vm, &domain))
     };
     if !is_responsible {
         return;
--- a/crates/edge/src/presence.rs
+++ b/crates/edge/src/presence.rs
@@ -15,7 +15,7 @@
 
 use crate::context::EdgeContext;
 use crate::feed::Feed;
-use crate::relay::Relay;
+use crate::feed_topology::FeedTopology;
 use crate::switches::Mechanism;
 
 /// Key prefix of VM entries. The failure domain and the VM's name follow, so that a starting VM can
@@ -201,7 +201,7 @@
         return;
     }
     cx.homes.vms_changed(&vms);
-    *cx.relay.borrow_mut() = Rc::new(Relay::new(&vms));
+    *cx.feed_topology.borrow_mut() = Rc::new(FeedTopology::new(&vms));
     *cx.vms.borrow_mut() = Rc::new(vms);
 }
 
@@ -241,6 +241,6 @@
             .listen
             .handed
             .filter(|_| cx.switches.is_on(Mechanism::HandOver)),
-        store_rtt: cx.store_latency.get(),
+        store_rtt: cx.store_rtt.get(),
     }
 }
--- a/crates/edge/src/quota/exchange.rs
+++ b/crates/edge/src/quota/exchange.rs
@@ -74,8 +74,8 @@
 /// Returns the leaders of a domain up to and including the first one that answers. The ones before
 /// it are contacted again from time to time.
 fn leaders_to_report_to(cx: &EdgeContext, domain: &DomainName) -> Vec<VmName> {
-    let relay = cx.relay.borrow();
-    let leaders = relay.leaders(domain);
+    let topology = cx.feed_topology.borrow();
+    let leaders = topology.leaders(domain);
     let answers = |vm: &VmName| *vm == cx.cfg.vm || !cx.quota.is_avoided(vm);
     let first = leaders.iter().position(answers);
     leaders[..first.map_or(leaders.len(), |first| first + 1)].to_vec()
@@ -103,7 +103,7 @@
 /// domain if this VM substitutes for it.
 fn report_to_other_heads(cx: &Rc<EdgeContext>, reporting_vms: u32) {
     let collected = cx.quota.take_collected();
-    let domains: Vec<DomainName> = cx.relay.borrow().domains().cloned().collect();
+    let domains: Vec<DomainName> = cx.feed_topology.borrow().domains().cloned().collect();
     for domain in domains {
         let leaders = leaders_to_report_to(cx, &domain);
         for leader in leaders.iter().filter(|leader| **leader != cx.cfg.vm) {
--- a/crates/edge/src/quota/state.rs
+++ b/crates/edge/src/quota/state.rs
@@ -13,7 +13,7 @@
 use super::usage::{Counts, Reporter, UsageReport};
 use crate::accounts::{Account, Accounts};
 use crate::catalog::Catalog;
-use crate::world::RoutingState;
+use crate::routing_state::RoutingState;
 
 /// How long a VM that is no longer seen may still be running and admit requests; longer than most
 /// network partitions. After that the remaining VMs use its share as well.
@@ -25,7 +25,7 @@
 /// One VM's part in enforcing the limits of all accounts.
 pub struct Quota {
     timer: Timer,
-    world: Rc<RefCell<RoutingState>>,
+    routing_state: Rc<RefCell<RoutingState>>,
     meter: RefCell<Meter>,
     totals: RefCell<Totals>,
     reporters: RefCell<HashMap<VmName, Reporter>>,
@@ -75,11 +75,11 @@
 
 impl Quota {
     /// Creates the state of a VM that has just started.
-    pub fn new(timer: Timer, world: Rc<RefCell<RoutingState>>) -> Self {
+    pub fn new(timer: Timer, routing_state: Rc<RefCell<RoutingState>>) -> Self {
         let totals = Totals::new(timer.now());
         Self {
             timer,
-            world,
+            routing_state,
             meter: RefCell::default(),
             totals: RefCell::new(totals),
             reporters: RefCell::default(),
@@ -156,7 +156,7 @@
     }
 
     pub(super) fn catalog(&self) -> Option<Rc<Catalog>> {
-        self.world.borrow().catalog().cloned()
+        self.routing_state.borrow().catalog().cloned()
     }
 
     pub(super) fn is_avoided(&self, vm: &VmName) -> bool {
--- a/crates/edge/src/request_log.rs
+++ b/crates/edge/src/request_log.rs
@@ -127,7 +127,7 @@
     let cause = admit_error.cause();
     cx.metrics.unrouted.with_label_values(&[cause]).inc();
     let config = cx
-        .world
+        .routing_state
         .borrow()
         .catalog()
         .map_or(0, |catalog| catalog.version);
--- a/crates/edge/src/round_trip.rs
+++ b/crates/edge/src/round_trip.rs
@@ -55,8 +55,9 @@
 /// Measures the round trips to other regions until the process ends.
 pub async fn run(cx: Rc<EdgeContext>) {
     loop {
-        let regions = cx.distances.shortest.borrow().len() as u32;
-        let has_enough_samples = regions > 0 && cx.distances.samples.get() >= MIN_SAMPLES * regions;
+        let regions = cx.round_trips.shortest.borrow().len() as u32;
+        let has_enough_samples =
+            regions > 0 && cx.round_trips.samples.get() >= MIN_SAMPLES * regions;
         let interval = if has_enough_samples {
             INTERVAL
         } else {
@@ -87,7 +88,7 @@
         }
         if is_measured {
             let took = cx.now().since(started);
-            cx.distances.record(region, took);
+            cx.round_trips.record(region, took);
             info!(vm:% = vm, region:% = region, round_trip_ms = took.0; "round trip to another region measured");
         }
     }
--- a/crates/edge/src/selection.rs
+++ b/crates/edge/src/selection.rs
@@ -64,7 +64,7 @@
     /// Current time.
     pub now: Millis,
     /// Whether the request is restricted to certain regions.
-    pub is_region_bound: bool,
+    pub is_region_restricted: bool,
     /// Mechanisms that are switched on.
     pub switches: Switches,
     /// First server of the object's rank as determined by the VM that handed the request over.
@@ -279,13 +279,14 @@
 }
 
 /// Returns a server's sort key in the rank of an object, lowest first. It uses rendezvous hashing
-/// weighted by slots and, for unbound requests, by the unbound share. It is the same on every VM.
+/// weighted by slots and, for unrestricted requests, by the unrestricted share. It is the same on
+/// every VM.
 fn rank_key(params: &SelectionParams<'_>, upstream: &Upstream) -> f64 {
     let object = params.object.to_le_bytes();
     let digest = hash::rendezvous(&[&object], upstream.id.as_str());
-    let share = match params.is_region_bound {
+    let share = match params.is_region_restricted {
         true => 1.0,
-        false => upstream.unbound_share.get(),
+        false => upstream.unrestricted_share.get(),
     };
     -hash::unit_interval(digest).ln() / (f64::from(upstream.slots.get()) * share)
 }
--- a/crates/edge/src/spillover_update.rs
+++ b/crates/edge/src/spillover_update.rs
@@ -1,5 +1,5 @@
-//! Periodically updates the spillover thresholds, unbound shares and localities of all services and
-//! routes from the known servers and VMs.
+//! Periodically updates the spillover thresholds and unrestricted shares of all services and the
+//! localities of all routes from the known servers and VMs.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
@@ -12,27 +12,29 @@
 use crate::context::EdgeContext;
 use crate::locality::TransferProfile;
 use crate::presence;
+use crate::routing_state::RoutingState;
 use crate::spillover::SlotCounts;
 use crate::switches::Mechanism;
-use crate::unbound_share::target_shares;
+use crate::unrestricted_share::target_shares;
 use crate::upstream::Upstream;
-use crate::world::RoutingState;
 
-/// Updates every threshold once.
+/// Updates every threshold, share and locality once.
 pub(crate) fn run(cx: &EdgeContext) {
     let now = cx.now();
-    let catalog = cx.world.borrow().catalog().cloned();
+    let catalog = cx.routing_state.borrow().catalog().cloned();
     let Some(catalog) = catalog else {
         return;
     };
     for spec in catalog.services() {
         log_sent(cx, &spec.name, now);
-        update_unbound_shares(cx, &catalog, &spec.name, now);
+        update_unrestricted_shares(cx, &catalog, &spec.name, now);
     }
     let is_on = |mechanism| cx.switches.is_on(mechanism);
     for spec in catalog.services().filter(|_| is_on(Mechanism::Spill)) {
         let state = cx.service(&spec.name);
-        state.spill.update(slot_counts(cx, &spec.name, now), now);
+        state
+            .spillover
+            .update(slot_counts(cx, &spec.name, now), now);
     }
     let live_vms = presence::live_vms(cx);
     let local_vms = live_vms
@@ -59,13 +61,18 @@
     let state = cx.service(service);
     if let Some(summary) = state.sent_by_region.take_summary(now) {
         info!(service:% = service, requests = summary.requests, sent = summary.sent.as_str(),
-            under_way = summary.in_flight.as_str(), part_away = state.spill.remote_fraction(),
+            under_way = summary.in_flight.as_str(), part_away = state.spillover.remote_fraction(),
             span_ms = summary.span.0; "requests sent to regions");
     }
 }
 
-/// Updates the share of each region's slots that is left to requests not bound to a region.
-fn update_unbound_shares(cx: &EdgeContext, catalog: &Catalog, service: &ServiceName, now: Millis) {
+/// Updates the share of each region's slots that is left to unrestricted requests.
+fn update_unrestricted_shares(
+    cx: &EdgeContext,
+    catalog: &Catalog,
+    service: &ServiceName,
+    now: Millis,
+) {
     let restricted = catalog
         .accounts()
         .map_or(&[][..], Accounts::restricted_shares);
@@ -73,42 +80,44 @@
         true => restricted,
         false => &[],
     };
-    let shares = &cx.service(service).region_shares;
+    let shares = &cx.service(service).unrestricted_shares;
     if restricted.is_empty() && shares.are_all_full() {
         return;
     }
-    let world = cx.world.borrow();
-    let upstreams = world.upstreams(service);
+    let routing_state = cx.routing_state.borrow();
+    let upstreams = routing_state.upstreams(service);
     let mut slots: BTreeMap<RegionName, f64> = BTreeMap::new();
-    for upstream in usable_servers(&world, &upstreams, now) {
+    for upstream in usable_servers(&routing_state, &upstreams, now) {
         *slots.entry(upstream.region.clone()).or_default() += f64::from(upstream.slots.get());
     }
     shares.update(&target_shares(&slots, restricted), now);
     for upstream in upstreams.iter() {
-        upstream.unbound_share.set(shares.share(&upstream.region));
+        upstream
+            .unrestricted_share
+            .set(shares.share(&upstream.region));
     }
 }
 
 fn usable_servers<'a>(
-    world: &'a RoutingState,
+    routing_state: &'a RoutingState,
     upstreams: &'a [Rc<Upstream>],
     now: Millis,
 ) -> impl Iterator<Item = &'a Rc<Upstream>> {
-    upstreams
-        .iter()
-        .filter(move |u| u.accepts_requests() && !world.is_evacuated(&u.domain) && !u.is_cold(now))
+    upstreams.iter().filter(move |u| {
+        u.accepts_requests() && !routing_state.is_evacuated(&u.domain) && !u.is_cold(now)
+    })
 }
 
 fn slot_counts(cx: &EdgeContext, service: &ServiceName, now: Millis) -> SlotCounts {
-    let world = cx.world.borrow();
+    let routing_state = cx.routing_state.borrow();
     let regions: BTreeSet<&RegionName> = cx.cfg.domains.values().collect();
     let mut slot_counts = SlotCounts {
         region_count: regions.len(),
-        round_trip: cx.distances.longest(),
+        round_trip: cx.round_trips.longest(),
         ..SlotCounts::default()
     };
-    for upstream in usable_servers(&world, &world.upstreams(service), now) {
-        let slots = f64::from(upstream.slots.get()) * upstream.unbound_share.get();
+    for upstream in usable_servers(&routing_state, &routing_state.upstreams(service), now) {
+        let slots = f64::from(upstream.slots.get()) * upstream.unrestricted_share.get();
         match upstream.region == cx.region {
             true => slot_counts.local += slots,
             false => slot_counts.remote += slots,
--- a/crates/edge/src/switches.rs
+++ b/crates/edge/src/switches.rs
@@ -31,7 +31,7 @@
     ColdCost,
     /// Requests are handed over to the home VM of their backend server.
     HandOver,
-    /// Requests that are not bound to a region leave capacity to those that are.
+    /// Requests that any region may serve leave capacity to those restricted to certain regions.
     GiveWay,
     /// Rate limits of client accounts are enforced.
     Quota,
@@ -42,7 +42,7 @@
     Spread,
     /// Pipelined requests are handled concurrently.
     Ahead,
-    /// Requests during which servers ended are suspected, and rejected after three such ends.
+    /// Requests during which servers crashed are suspected, and rejected after three such crashes.
     Poison,
 }
 
--- a/crates/edge/src/unbound_share.rs
+++ b/crates/edge/src/unrestricted_share.rs
@@ -1,10 +1,11 @@
-//! Determines which share of its slots each region leaves to requests that are not bound to a
-//! region.
+//! Determines which share of its slots each region leaves to unrestricted requests, which any
+//! region may serve.
 //!
 //! Requests of a client account with home regions cannot be served elsewhere. If a large account is
-//! bound to a region with few servers, unbound requests would crowd it out: its requests would be
-//! refused, answered late and retried while other regions have capacity. Unbound requests therefore
-//! yield in advance, by a share that all VMs compute alike from the accounts' limits.
+//! restricted to a region with few servers, unrestricted requests would crowd it out: its requests
+//! would be refused, answered late and retried while other regions have capacity. Unrestricted
+//! requests therefore yield in advance, by a share that all VMs compute alike from the accounts'
+//! limits.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -20,8 +21,8 @@
 /// other region has a reachable server.
 const MIN_SHARE: f64 = 0.02;
 
-/// Returns the share of each region's slots to leave to unbound requests so that all slots are used
-/// evenly. `restricted` holds the fractions of all requests that have to be served in certain
+/// Returns the share of each region's slots to leave to unrestricted requests so that all slots are
+/// used evenly. `restricted` holds the fractions of all requests that have to be served in certain
 /// regions.
 pub fn target_shares(
     slots: &BTreeMap<RegionName, f64>,
@@ -41,7 +42,7 @@
         }
     }
     let level = fill_level(slots, &reserved, unrestricted.max(0.0));
-    let unbound_share = |region: &RegionName, slots: f64| {
+    let unrestricted_share = |region: &RegionName, slots: f64| {
         let reserved = reserved.get(region).copied().unwrap_or(0.0);
         match level * slots > 0.0 {
             true => (1.0 - reserved / (level * slots)).clamp(MIN_SHARE, 1.0),
@@ -50,7 +51,7 @@
     };
     let shares = slots
         .iter()
-        .map(|(r, slots)| (r.clone(), unbound_share(r, *slots)));
+        .map(|(r, slots)| (r.clone(), unrestricted_share(r, *slots)));
     shares.collect()
 }
 
@@ -82,14 +83,14 @@
 
 /// The current shares of a service's regions.
 #[derive(Debug, Default)]
-pub struct UnboundShares {
+pub struct UnrestrictedShares {
     shares: RefCell<BTreeMap<RegionName, f64>>,
     /// Whether a request has been routed by the shares.
     is_used: Cell<bool>,
     updated_at: Cell<Millis>,
 }
 
-impl UnboundShares {
+impl UnrestrictedShares {
     /// Records that a request is routed by the shares.
     pub fn mark_used(&self) {
         self.is_used.set(true);
--- a/crates/edge/src/upstream.rs
+++ b/crates/edge/src/upstream.rs
@@ -58,12 +58,12 @@
     pub cold_until: Cell<Millis>,
     /// Whether it counts as cold only until it reports otherwise.
     pub is_presumed_cold: Cell<bool>,
-    /// Share of its slots that is left to requests not bound to a region.
-    pub unbound_share: Cell<f64>,
+    /// Share of its slots that is left to requests that any region may serve.
+    pub unrestricted_share: Cell<f64>,
     /// When it registered, on this process's clock.
     pub registered_at: Millis,
-    /// The latest probe of whether the run has ended.
-    pub(crate) end_probe: RefCell<Option<CrashProbe>>,
+    /// The latest probe of whether the server has crashed.
+    pub(crate) crash_probe: RefCell<Option<CrashProbe>>,
     in_flight: Cell<u32>,
     other_load: Ewma,
     load_reported_at: Cell<Millis>,
@@ -133,9 +133,9 @@
             replaced: Cell::new(false),
             cold_until: Cell::new(Millis(0)),
             is_presumed_cold: Cell::new(false),
-            unbound_share: Cell::new(1.0),
+            unrestricted_share: Cell::new(1.0),
             registered_at: clock.now(),
-            end_probe: RefCell::default(),
+            crash_probe: RefCell::default(),
             in_flight: Cell::new(0),
             other_load: Ewma::default(),
             load_reported_at: Cell::new(Millis(0)),
@@ -257,7 +257,7 @@
 
     /// Records that the server sent a response of any kind.
     pub fn record_response(&self, now: Millis) {
-        self.end_probe.take();
+        self.crash_probe.take();
         self.last_response_at.set(now);
     }
 
@@ -285,13 +285,13 @@
     /// server is therefore avoided for an exponentially growing backoff and then probed with a
     /// single request.
     pub fn record_connection_failure(&self, now: Millis) {
-        self.record_hang(Millis(0), now);
+        self.record_unreachable(Millis(0), now);
     }
 
-    /// Records a connection failure of a request that waited for `waited`. The backoff is at least
-    /// that long. Otherwise the server would get the next request, which waits as long, almost
-    /// immediately.
-    pub fn record_hang(&self, waited: Millis, now: Millis) {
+    /// Records that the server counts as unreachable after a request has waited for `waited`. The
+    /// backoff is at least that long. Otherwise the server would get the next request, which waits
+    /// as long, almost immediately.
+    pub fn record_unreachable(&self, waited: Millis, now: Millis) {
         let consecutive_failures = self.consecutive_failures.get();
         self.consecutive_failures.set(consecutive_failures + 1);
         let backoff = Millis(INITIAL_BACKOFF.0 << consecutive_failures.min(MAX_BACKOFF_DOUBLINGS))
--- a/crates/edge/tests/accounts.rs
+++ b/crates/edge/tests/accounts.rs
@@ -235,7 +235,7 @@
 }
 
 #[test]
-fn home_regions_of_route_and_account_both_apply() {
+fn a_request_is_restricted_by_both_its_route_and_its_account() {
     let regions = |names: &[&str]| -> Vec<_> { names.iter().map(|n| (*n).into()).collect() };
     let allowed = |route: &[&str], account: &[&str], region: &str| {
         AllowedRegions::intersect(&regions(route), &regions(account)).allows(&region.into())
--- a/crates/edge/tests/decisions.rs
+++ b/crates/edge/tests/decisions.rs
@@ -30,7 +30,7 @@
         time_left: Millis(1_500),
         now,
         switches: Switches::default(),
-        is_region_bound: false,
+        is_region_restricted: false,
         assigned: None,
         is_home: &|_| false,
         placement: None,
--- a/crates/edge/tests/feed.rs
+++ b/crates/edge/tests/feed.rs
@@ -9,10 +9,10 @@
 
 use heatherknot_edge::feed::Feed;
 use heatherknot_edge::peer_feed::select_source;
-use heatherknot_edge::world::RoutingState;
+use heatherknot_edge::routing_state::RoutingState;
 use heatherknot_store::port::{Store, StoreRevision};
 use heatherknot_types::prelude::*;
-use support::{TestClock, delete, entry, put, world};
+use support::{TestClock, delete, entry, put, routing_state};
 
 /// A store that never answers; the tests inject all updates themselves.
 fn silent_store() -> Store {
@@ -29,16 +29,21 @@
 
 /// Creates the feed of a VM that is not a watcher and has been running for a long time.
 fn feed(clock: &TestClock) -> (Rc<Feed>, Rc<RefCell<RoutingState>>) {
-    let world = Rc::new(RefCell::new(world(&clock.clock())));
+    let routing_state = Rc::new(RefCell::new(routing_state(&clock.clock())));
     let settle = Millis(2_500);
-    let feed = Feed::new(silent_store(), clock.timer(), Rc::clone(&world), settle);
+    let feed = Feed::new(
+        silent_store(),
+        clock.timer(),
+        Rc::clone(&routing_state),
+        settle,
+    );
     feed.set_watch_policy(|| false, || None);
     feed.stop_awaiting_peers();
-    (feed, world)
+    (feed, routing_state)
 }
 
-fn servers(world: &RefCell<RoutingState>) -> usize {
-    world.borrow().upstreams(&"gallery".into()).len()
+fn servers(routing_state: &RefCell<RoutingState>) -> usize {
+    routing_state.borrow().upstreams(&"gallery".into()).len()
 }
 
 /// Two VMs that are cut off from the store must not take each other's answers for fresh updates:
@@ -73,22 +78,26 @@
 fn a_settled_peer_confirms_that_a_server_is_gone() {
     let clock = TestClock::default();
     clock.advance(10_000);
-    let (feed, world) = feed(&clock);
+    let (feed, routing_state) = feed(&clock);
     let joined = vec![put("server/a", entry("ready", 0, 1), 3)];
     feed.apply_changes(joined, StoreRevision(3), true);
-    assert_eq!(servers(&world), 1);
+    assert_eq!(servers(&routing_state), 1);
 
     feed.apply_changes(
         vec![delete("server/a", 4)],
         StoreRevision(4),
         feed.is_settled(),
     );
-    assert_eq!(servers(&world), 1, "its entry may be written again");
+    assert_eq!(servers(&routing_state), 1, "its entry may be written again");
     feed.note_peer_data_age(Millis(50));
-    assert_eq!(servers(&world), 1, "an unsettled peer confirms nothing");
+    assert_eq!(
+        servers(&routing_state),
+        1,
+        "an unsettled peer confirms nothing"
+    );
 
     feed.remove_missing_servers();
-    assert_eq!(servers(&world), 0);
+    assert_eq!(servers(&routing_state), 0);
 }
 
 #[test]
@@ -150,8 +159,8 @@
 #[test]
 fn a_starting_vm_waits_for_its_peers_before_it_reads_all_keys() {
     let clock = TestClock::default();
-    let world = Rc::new(RefCell::new(world(&clock.clock())));
-    let feed = Feed::new(silent_store(), clock.timer(), world, Millis(2_500));
+    let routing_state = Rc::new(RefCell::new(routing_state(&clock.clock())));
+    let feed = Feed::new(silent_store(), clock.timer(), routing_state, Millis(2_500));
     feed.set_watch_policy(|| false, || None);
     assert!(!feed.should_watch_store(), "it waits for its peers");
 
--- a/crates/edge/tests/relay.rs
+++ b/crates/edge/tests/feed_topology.rs
@@ -1,9 +1,9 @@
-//! Tests of which VMs read the store, and which VMs the others ask.
+//! Tests of which VMs watch the store, and which VMs the others ask.
 
 use std::collections::BTreeSet;
 
+use heatherknot_edge::feed_topology::FeedTopology;
 use heatherknot_edge::presence::VmEntry;
-use heatherknot_edge::relay::Relay;
 use heatherknot_types::prelude::*;
 
 fn vm(name: &str, domain: &str, region: &str, store_rtt: Option<u64>) -> VmEntry {
@@ -36,62 +36,62 @@
     domains.into_iter().flat_map(of).collect()
 }
 
-fn readers(vms: &[VmEntry]) -> Vec<&VmEntry> {
-    let relay = Relay::new(vms);
+fn watchers(vms: &[VmEntry]) -> Vec<&VmEntry> {
+    let topology = FeedTopology::new(vms);
     vms.iter()
-        .filter(|vm| relay.reads_store(&vm.name))
+        .filter(|vm| topology.is_watcher(&vm.name))
         .collect()
 }
 
 #[test]
-fn one_vm_of_each_domain_near_the_store_reads_it() {
+fn one_vm_of_each_domain_near_the_store_watches_it() {
     let vms = vms();
 
-    let readers = readers(&vms);
+    let watchers = watchers(&vms);
 
-    let domains: Vec<&str> = readers.iter().map(|vm| vm.domain.as_str()).collect();
+    let domains: Vec<&str> = watchers.iter().map(|vm| vm.domain.as_str()).collect();
     assert_eq!(domains, ["n1", "n2"]);
 }
 
 #[test]
-fn every_domain_reads_the_store_while_response_times_are_unknown() {
+fn every_domain_watches_the_store_while_response_times_are_unknown() {
     let mut vms = vms();
     vms.iter_mut().for_each(|vm| vm.store_rtt = None);
 
-    assert_eq!(readers(&vms).len(), 4);
+    assert_eq!(watchers(&vms).len(), 4);
 }
 
 #[test]
 fn vms_ask_their_own_domain_or_a_reader_of_the_store() {
     let vms = vms();
-    let relay = Relay::new(&vms);
-    let readers: BTreeSet<VmName> = readers(&vms).iter().map(|vm| vm.name.clone()).collect();
+    let topology = FeedTopology::new(&vms);
+    let watchers: BTreeSet<VmName> = watchers(&vms).iter().map(|vm| vm.name.clone()).collect();
 
     for vm in &vms {
-        let first = relay.sources(&vm.name, &vm.domain).first().cloned();
-        let first = first.expect("another VM reads the store");
+        let first = topology.sources(&vm.name, &vm.domain).first().cloned();
+        let first = first.expect("another VM watches the store");
         let of = vms.iter().find(|vm| vm.name == first).expect("it is known");
         let is_in_domain = of.domain == vm.domain;
         assert!(
-            is_in_domain || readers.contains(&first),
+            is_in_domain || watchers.contains(&first),
             "{} asks {first}",
             vm.name
         );
-        assert!(!relay.sources(&vm.name, &vm.domain).contains(&vm.name));
+        assert!(!topology.sources(&vm.name, &vm.domain).contains(&vm.name));
     }
 }
 
 /// If the region next to the store loses power, the remaining VMs must not wait for each other:
 /// those of the next region take over once the entries of the first are gone.
 #[test]
-fn the_next_region_reads_the_store_once_the_nearest_is_gone() {
+fn the_next_region_watches_the_store_once_the_nearest_is_gone() {
     let mut vms = vms();
     vms.retain(|vm| vm.region != "north".into());
 
-    let readers = readers(&vms);
+    let watchers = watchers(&vms);
 
-    assert_eq!(readers.len(), 2);
-    assert!(readers.iter().all(|vm| vm.region == "south".into()));
+    assert_eq!(watchers.len(), 2);
+    assert!(watchers.iter().all(|vm| vm.region == "south".into()));
 }
 
 /// A domain's head that is cut off from the store still answers. The other VMs of the domain need
@@ -100,19 +100,22 @@
 #[test]
 fn vms_have_a_second_source_in_their_own_domain() {
     let vms = vms();
-    let relay = Relay::new(&vms);
-
-    for vm in vms.iter().filter(|vm| !relay.is_head(&vm.name, &vm.domain)) {
-        let sources = relay.sources(&vm.name, &vm.domain);
-        assert!(relay.is_head(&sources[0], &vm.domain));
+    let topology = FeedTopology::new(&vms);
+
+    for vm in vms
+        .iter()
+        .filter(|vm| !topology.is_head(&vm.name, &vm.domain))
+    {
+        let sources = topology.sources(&vm.name, &vm.domain);
+        assert!(topology.is_head(&sources[0], &vm.domain));
         assert!(sources.len() > 1, "{}: {sources:?}", vm.name);
         let next = vms
             .iter()
             .find(|vm| vm.name == sources[1])
             .expect("it is known");
-        let is_reader = relay.reads_store(&sources[1]);
+        let is_watcher = topology.is_watcher(&sources[1]);
         assert!(
-            is_reader || next.domain == vm.domain,
+            is_watcher || next.domain == vm.domain,
             "{}: {sources:?}",
             vm.name
         );
@@ -126,9 +129,9 @@
         let widen = |vm: &mut VmEntry| vm.link_mbps = if vm.name == wide.into() { 200 } else { 10 };
         vms.iter_mut().for_each(widen);
 
-        let relay = Relay::new(&vms);
+        let topology = FeedTopology::new(&vms);
 
-        assert!(relay.is_head(&wide.into(), &"n1".into()));
+        assert!(topology.is_head(&wide.into(), &"n1".into()));
     }
 }
 
@@ -136,12 +139,12 @@
 fn the_head_deletes_its_domains_entries_and_a_reader_those_of_a_lost_domain() {
     let mut vms = vms();
     vms.retain(|vm| vm.domain.as_str() != "s2");
-    let relay = Relay::new(&vms);
+    let topology = FeedTopology::new(&vms);
     let deleters = |domain: &str| {
         let domain = domain.into();
         let deleting = vms
             .iter()
-            .filter(|vm| relay.deletes_entries_of(&vm.name, &domain));
+            .filter(|vm| topology.deletes_entries_of(&vm.name, &domain));
         deleting.map(|vm| vm.domain.clone()).collect::<Vec<_>>()
     };
     assert_eq!(deleters("s1"), ["s1".into()]);
@@ -149,7 +152,7 @@
     assert_eq!(deleters_of_lost.len(), 1, "exactly one VM");
     assert!(
         deleters_of_lost[0].as_str().starts_with('n'),
-        "it reads the store"
+        "it watches the store"
     );
 }
 
--- a/crates/edge/tests/load_patterns.rs
+++ b/crates/edge/tests/load_patterns.rs
@@ -245,7 +245,7 @@
         time_left: Millis(2_500),
         now: clock.now(),
         switches: Switches::default(),
-        is_region_bound: false,
+        is_region_restricted: false,
         assigned: None,
         is_home: &|_| true,
         placement: None,
--- a/crates/edge/tests/poison.rs
+++ b/crates/edge/tests/poison.rs
@@ -212,7 +212,7 @@
 /// a second.
 #[test]
 #[ignore = "known to fail, see KNOWN-RED.txt"]
-fn a_harmless_request_is_not_rejected_where_most_servers_end_at_once() {
+fn a_harmless_request_is_not_rejected_when_half_of_all_servers_crash() {
     for seed in [357, 457] {
         let outcome = simulate(&with_faults(small(seed)));
 
--- a/crates/edge/tests/quota.rs
+++ b/crates/edge/tests/quota.rs
@@ -12,7 +12,7 @@
 use heatherknot_test_support::property::check;
 use heatherknot_types::prelude::*;
 use support::quota_model::{Fault, Policy, RunResult, Scenario, account_entry, simulate};
-use support::{TestClock, world_with};
+use support::{TestClock, routing_state_with_accounts};
 
 /// The window, in milliseconds, over which a limit is checked, and by how much the admitted
 /// requests may exceed the limit in it: a fraction plus a number of requests.
@@ -235,8 +235,11 @@
 fn a_head_that_does_not_know_the_number_of_vms_returns_no_fractions() {
     let clock = TestClock::default();
     let accounts = Accounts::new(vec![account_entry("north", limit(25.0))], Vec::new()).0;
-    let world = Rc::new(RefCell::new(world_with(accounts, &clock.clock())));
-    let quota = Quota::new(clock.timer(), world);
+    let routing_state = Rc::new(RefCell::new(routing_state_with_accounts(
+        accounts,
+        &clock.clock(),
+    )));
+    let quota = Quota::new(clock.timer(), routing_state);
     let report = |number| UsageReport {
         number,
         ..UsageReport::default()
--- a/crates/edge/tests/regions.rs
+++ b/crates/edge/tests/regions.rs
@@ -69,7 +69,7 @@
 /// any local ones are left when callers stop.
 #[test]
 #[ignore = "known to fail, see KNOWN-RED.txt"]
-fn where_callers_end_the_last_requests_run_where_those_before_them_did() {
+fn the_last_requests_of_a_region_with_too_few_servers_do_not_shift() {
     for seed in 1..=3 {
         let scenario = uneven_regions(seed);
 
--- a/crates/edge/tests/support/mod.rs
+++ b/crates/edge/tests/support/mod.rs
@@ -17,8 +17,8 @@
 use heatherknot_edge::dialect::{Dialect, HeaderNames, KeyNames, LookupAnswer, LookupQuery};
 use heatherknot_edge::mirror::{Change, VersionedValue};
 use heatherknot_edge::registration::Registration;
+use heatherknot_edge::routing_state::RoutingState;
 use heatherknot_edge::upstream::Upstream;
-use heatherknot_edge::world::RoutingState;
 use heatherknot_http::{PoolConfig, Response};
 use heatherknot_store::port::StoreRevision;
 use heatherknot_types::prelude::*;
@@ -201,13 +201,13 @@
     }
 }
 
-pub fn world(clock: &Clock) -> RoutingState {
+pub fn routing_state(clock: &Clock) -> RoutingState {
     let regions = BTreeMap::from([("north-1".into(), "north".into())]);
     RoutingState::new(dialect(), regions, PoolConfig::default(), clock.clone())
 }
 
 /// Creates a routing state whose configuration has these client accounts.
-pub fn world_with(accounts: Accounts, clock: &Clock) -> RoutingState {
+pub fn routing_state_with_accounts(accounts: Accounts, clock: &Clock) -> RoutingState {
     let read = move |_: &str, _: &Bytes| {
         Ok(Catalog::new(CatalogParts {
             version: 1,
@@ -219,12 +219,12 @@
         catalog: Rc::new(read),
         ..dialect()
     };
-    let mut world = RoutingState::new(
+    let mut routing_state = RoutingState::new(
         dialect,
         BTreeMap::new(),
         PoolConfig::default(),
         clock.clone(),
     );
-    world.apply(&[put("catalog", "1", 1)], true);
-    world
+    routing_state.apply(&[put("catalog", "1", 1)], true);
+    routing_state
 }
--- a/crates/edge/tests/support/poison_model.rs
+++ b/crates/edge/tests/support/poison_model.rs
@@ -4,6 +4,7 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, HashMap, HashSet};
 
+use heatherknot_edge::feed_topology::FeedTopology;
 use heatherknot_edge::poison::clean_runs::CleanRuns;
 use heatherknot_edge::poison::exchange::{BATCH_DELAY, RETRY_INTERVAL};
 use heatherknot_edge::poison::fingerprint::Fingerprint;
@@ -12,7 +13,6 @@
     CrashId, Origin, RequestSummary, SendPolicy, Suspect, SuspectTable, Verdict, placement_hash,
 };
 use heatherknot_edge::presence::VmEntry;
-use heatherknot_edge::relay::Relay;
 use heatherknot_types::hash;
 use heatherknot_types::prelude::*;
 
@@ -253,7 +253,7 @@
     next_event: u64,
     /// The VMs that are believed to be alive.
     view: Vec<VmEntry>,
-    relay: Relay,
+    feed_topology: FeedTopology,
     store_unavailable_until: u64,
     /// The rejection records in the store.
     records: BTreeMap<Fingerprint, Suspect>,
@@ -319,7 +319,7 @@
             events: BinaryHeap::new(),
             pending: HashMap::new(),
             next_event: 0,
-            relay: Relay::new(&view),
+            feed_topology: FeedTopology::new(&view),
             view,
             store_unavailable_until: 0,
             records: BTreeMap::new(),
@@ -770,7 +770,7 @@
         let domain = vm.entry.domain.clone();
         let name = vm.entry.name.clone();
         let mut messages = Vec::new();
-        for (to, role) in recipients(&self.relay, &self.view, &name, &domain) {
+        for (to, role) in recipients(&self.feed_topology, &self.view, &name, &domain) {
             let number = number_of(&to);
             let known = self.view.iter().find(|entry| entry.name == to);
             let incarnation = known.map(|entry| entry.incarnation);
@@ -984,7 +984,7 @@
         let alive = self.vms.iter().filter(|vm| vm.is_up);
         let alive: Vec<VmEntry> = alive.map(|vm| vm.entry.clone()).collect();
         if alive != self.view {
-            self.relay = Relay::new(&alive);
+            self.feed_topology = FeedTopology::new(&alive);
             self.view = alive;
         }
         if self.now < self.scenario.duration {
--- a/crates/edge/tests/support/region_model.rs
+++ b/crates/edge/tests/support/region_model.rs
@@ -340,7 +340,7 @@
             latency_target: self.scenario.target,
             time_left: Millis(self.scenario.target.0 * 4),
             now: Millis(self.now()),
-            is_region_bound: false,
+            is_region_restricted: false,
             switches: Switches::default(),
             assigned: None,
             is_home,
--- a/crates/edge/tests/unbound_share.rs
+++ b/crates/edge/tests/unrestricted_share.rs
@@ -1,9 +1,9 @@
-//! Tests of the share of its slots that a region leaves to requests not bound to a region.
+//! Tests of the share of its slots that a region leaves to requests that any region may serve.
 
 use std::collections::BTreeMap;
 
 use heatherknot_edge::accounts::RestrictedShare;
-use heatherknot_edge::unbound_share::{UnboundShares, target_shares};
+use heatherknot_edge::unrestricted_share::{UnrestrictedShares, target_shares};
 use heatherknot_test_support::property::check;
 use heatherknot_types::prelude::*;
 
@@ -25,8 +25,8 @@
     targets[region]
 }
 
-/// Returns the requests per slot of a region, bound and unbound, that result from the target
-/// shares.
+/// Returns the requests per slot of a region, restricted and unrestricted, that result from the
+/// target shares.
 fn load(slots: &BTreeMap<RegionName, f64>, shares: &[RestrictedShare], region: &str) -> f64 {
     let targets = target_shares(slots, shares);
     let unrestricted = 1.0 - shares.iter().map(|share| share.fraction).sum::<f64>();
@@ -39,14 +39,14 @@
     (reserved + unrestricted * region_slots * targets[region] / weight) / region_slots
 }
 
-/// Guards against crowding out an account with a fifth of all requests that is bound to a region
-/// with a ninth of the servers. If unbound requests were spread evenly over all servers, those of
-/// the small region would get three times as many requests per slot as the others, and would refuse
-/// them while the others are idle.
+/// Guards against crowding out an account with a fifth of all requests that is restricted to a
+/// region with a ninth of the servers. If unrestricted requests were spread evenly over all
+/// servers, those of the small region would get three times as many requests per slot as the
+/// others, and would refuse them while the others are idle.
 ///
 /// The regions have 378, 414 and 90 slots; limits range from 14 to 625 requests per second.
 #[test]
-fn a_small_region_is_left_to_the_account_bound_to_it() {
+fn a_small_region_is_left_to_the_account_restricted_to_it() {
     let slots = slots(&[("north", 378.0), ("plaines", 414.0), ("south", 90.0)]);
     let shares = [restricted("south", 0.2)];
 
@@ -56,9 +56,9 @@
     assert!(share_of(&targets, "north") == 1.0 && share_of(&targets, "plaines") == 1.0);
 }
 
-/// The same account is bound to a region that has enough slots for it.
+/// The same account is restricted to a region that has enough slots for it.
 #[test]
-fn a_large_region_gives_up_the_bound_share() {
+fn a_large_region_gives_up_the_restricted_share() {
     let slots = slots(&[("north", 400.0), ("plaines", 400.0), ("south", 100.0)]);
     let shares = [restricted("north", 0.2), restricted("plaines", 0.05)];
 
@@ -85,7 +85,7 @@
 /// For any restricted shares, every target share is within its bounds, and regions with clearly
 /// more than the minimum share are filled evenly.
 #[test]
-fn regions_with_unbound_requests_are_filled_evenly() {
+fn regions_with_unrestricted_requests_are_filled_evenly() {
     check()
         .with_type::<([u8; 3], [u8; 3])>()
         .for_each(|(sizes, reserved)| {
@@ -115,14 +115,14 @@
         });
 }
 
-/// Guards against shares that jump when an operator binds a large account to a region under
-/// traffic. Within two seconds a third of the unbound requests would move to another region, where
-/// none of their objects is cached.
+/// Guards against shares that jump when an operator restricts a large account to a region under
+/// traffic. Within two seconds a third of the unrestricted requests would move to another region,
+/// where none of their objects is cached.
 ///
 /// At most 0.15 of a region's requests may move to another region in two seconds.
 #[test]
 fn shares_move_slowly_under_traffic() {
-    let shares = UnboundShares::default();
+    let shares = UnrestrictedShares::default();
     let full = BTreeMap::from([("south".into(), 1.0)]);
     let least = BTreeMap::from([("south".into(), 0.02)]);
     shares.update(&full, Millis(0));
@@ -141,7 +141,7 @@
 
 #[test]
 fn before_the_first_request_shares_jump_to_their_targets() {
-    let shares = UnboundShares::default();
+    let shares = UnrestrictedShares::default();
     shares.update(&BTreeMap::from([("south".into(), 1.0)]), Millis(0));
     shares.update(&BTreeMap::from([("south".into(), 0.1)]), Millis(250));
     assert!((shares.share(&"south".into()) - 0.1).abs() < 1e-9);
