--- a/crates/edge/src/attempt.rs
+++ b/crates/edge/src/attempt.rs
@@ -63,7 +63,7 @@
     }
 }
 
-/// Sends a request to the backend server of `prospect`.
+/// Sends a request to the backend server of `candidate`.
 pub(crate) async fn send(cx: &EdgeContext, call: &mut Call, candidate: &Candidate) -> SendOutcome {
     let Some(body) = call.body.body_for_send() else {
         return SendOutcome::NotSent("its body can't be sent again");
@@ -151,8 +151,8 @@
     }
 }
 
-/// Builds the request head for one server: which instance may run the request, and how long it may
-/// take.
+/// Builds the request head for one server. It states which server may run the request, and how
+/// long it may take.
 fn outgoing_head(
     cx: &EdgeContext,
     call: &Call,
--- a/crates/edge/src/call.rs
+++ b/crates/edge/src/call.rs
@@ -139,7 +139,7 @@
         self.fingerprint_with(cx, &self.body.known_content())
     }
 
-    /// Returns all fingerprints under which the request may have been recorded. If a server ended
+    /// Returns all fingerprints under which the request may have been recorded. If a server crashed
     /// before a long body had been read completely, only its length was part of the fingerprint.
     pub(crate) fn fingerprints(&self, cx: &EdgeContext) -> Vec<Fingerprint> {
         let known = self.body.known_content();
--- a/crates/edge/src/daemon.rs
+++ b/crates/edge/src/daemon.rs
@@ -36,8 +36,8 @@
 use crate::switches::{Mechanism, Switches};
 use crate::upstream::{self, IDLE_TIMEOUT};
 use crate::{
-    call, entry_maintenance, forward, hand_over, lookup, peer_feed, poison, presence, reply,
-    round_trip, spillover_update, stop,
+    call, entry_maintenance, forward, hand_over, locality_update, lookup, peer_feed, poison,
+    presence, reply, round_trip, stop,
 };
 
 /// Interval of the periodic maintenance in [`tick`].
@@ -425,7 +425,7 @@
 }
 
 /// Runs the periodic maintenance: drops backend servers whose store entries stay missing, refreshes
-/// the live VMs, adjusts the spillover, and sweeps idle connections.
+/// the live VMs, updates where objects are served, and sweeps idle connections.
 async fn tick(cx: Rc<EdgeContext>) {
     for round in 1_u64.. {
         cx.timer.wait(TICK_INTERVAL).await;
@@ -433,7 +433,7 @@
             cx.routing_state.borrow_mut().remove_missing();
         }
         presence::refresh(&cx);
-        spillover_update::run(&cx);
+        locality_update::run(&cx);
         if round.is_multiple_of(TICKS_PER_SWEEP) {
             let routing_state = cx.routing_state.borrow();
             routing_state
--- a/crates/edge/src/dialect.rs
+++ b/crates/edge/src/dialect.rs
@@ -48,7 +48,7 @@
     pub request_id: HeaderName,
     /// Milliseconds that the caller still waits.
     pub time_left: HeaderName,
-    /// The only instance of a backend server that may take the request.
+    /// The only backend server that may run the request.
     pub expected_server: HeaderName,
     /// Marks a response as made by the backend server.
     pub signature: HeaderName,
--- a/crates/edge/src/entry_maintenance.rs
+++ b/crates/edge/src/entry_maintenance.rs
@@ -1,7 +1,7 @@
 //! Maintains this VM's entry in the store and deletes the entries of VMs that are gone.
 //!
 //! An entry has no lease: keeping a lease alive for each VM would account for most calls to the
-//! store. Peers notice within seconds that a VM is gone and leave it out of look-up answers; the
+//! store. Peers notice within seconds that a VM is gone and leave it out of lookup answers; the
 //! head of its domain then deletes its entry. A VM that restarts in place finds its entry unchanged
 //! and writes nothing.
 
@@ -134,13 +134,13 @@
         key: own_entry(cx).key(),
         end: None,
     };
-    let failed = "this VM's entry could not be withdrawn; its domain's head will do it";
+    let failed = "this VM's entry could not be deleted; its domain's head will do it";
     commit(cx, Vec::new(), vec![delete], failed).await;
 }
 
 /// Deletes the entries of VMs that are gone, if this VM is responsible for them.
 ///
-/// A VM that starts knows the others only by their entries. It would name a lost VM in look-up
+/// A VM that starts knows the others only by their entries. It would name a lost VM in lookup
 /// answers until it detects the loss itself.
 async fn delete_stale_entries(cx: &EdgeContext) {
     let gone = stale_entries(cx);
--- a/crates/edge/src/feed.rs
+++ b/crates/edge/src/feed.rs
@@ -54,7 +54,7 @@
     timer: Timer,
     mirror: RefCell<Mirror>,
     routing_state: Rc<RefCell<RoutingState>>,
-    settle: Millis,
+    settle_time: Millis,
     /// The time of the newest update from the store, received directly or through peers.
     last_update_at: Cell<Option<Millis>>,
     /// Whether this VM's own last store call failed. Updates may still arrive from peers.
@@ -83,7 +83,7 @@
         store: Store,
         timer: Timer,
         routing_state: Rc<RefCell<RoutingState>>,
-        settle: Millis,
+        settle_time: Millis,
     ) -> Rc<Self> {
         let await_peers_until = Cell::new(timer.now() + PEER_WAIT_AT_START);
         Rc::new(Self {
@@ -92,7 +92,7 @@
             timer,
             mirror: RefCell::default(),
             routing_state,
-            settle,
+            settle_time,
             last_update_at: Cell::new(None),
             store_unreachable: Cell::new(false),
             settled_at: Cell::new(Millis(0)),
@@ -151,8 +151,8 @@
     /// cost more than their result is worth.
     pub fn back_off_from_store(&self) {
         let retry_interval = self.retry_interval.borrow().clone();
-        let pause = retry_interval.and_then(|retry_interval| retry_interval());
-        let until = self.timer.now() + pause.unwrap_or_default();
+        let interval = retry_interval.and_then(|retry_interval| retry_interval());
+        let until = self.timer.now() + interval.unwrap_or_default();
         self.back_off_until
             .set(until.max(self.back_off_until.get()));
     }
@@ -160,7 +160,7 @@
     /// Records that a peer answered but has no recent update from the store either. Only the first
     /// such answer after an update delays this VM's own attempts, so that they are never postponed
     /// indefinitely.
-    pub fn note_stale_peer(&self) {
+    pub fn record_stale_peer(&self) {
         if self.back_off_until.get() == Millis(0) {
             self.back_off_from_store();
         }
@@ -239,7 +239,7 @@
                 Err(error) => {
                     failures += 1;
                     compacted |= matches!(error.source, Cause::Compacted { .. });
-                    self.note_failure(&error);
+                    self.record_store_failure(&error);
                     if !self.is_watcher() {
                         self.back_off_from_store();
                     }
@@ -268,16 +268,16 @@
             };
             self.apply_message(message?);
             *failures = 0;
-            self.note_store_answer();
+            self.substitute_for_watchers();
             let spent = self.timer.now().since(began);
             self.timer.wait(WATCH_READ_INTERVAL - spent).await;
         }
         Ok(())
     }
 
-    /// Records that the store answered this VM directly. If this VM is not a watcher, the watchers
-    /// are receiving nothing.
-    fn note_store_answer(&self) {
+    /// Substitutes for the watchers for a while after the store has answered this VM directly. A VM
+    /// that is not a watcher calls the store only while the watchers receive nothing.
+    fn substitute_for_watchers(&self) {
         if !self.is_watcher() {
             let until = self.timer.now() + SUBSTITUTE_PERIOD;
             self.substitute_until.set(until);
@@ -306,13 +306,13 @@
     async fn fetch_all(&self) -> Result<(), StoreError> {
         let found = self.store.range(RangeRequest::prefix("")).await?;
         let listed = found.kvs.into_iter().map(Change::from).collect();
-        self.note_store_heard();
+        self.record_store_answer();
         self.apply_snapshot(listed, found.revision, self.is_settled());
         Ok(())
     }
 
     fn apply_message(&self, message: WatchMessage) {
-        self.note_store_heard();
+        self.record_store_answer();
         let changes: Vec<Change> = message.events.into_iter().map(to_change).collect();
         self.apply_changes(changes, message.revision, self.is_settled());
     }
@@ -367,8 +367,8 @@
     ///
     /// Every answer between peers carries this age. Without it, two VMs that are both cut off from
     /// the store would count each other's answers as fresh updates forever.
-    pub fn note_peer_data_age(&self, age: Millis) {
-        self.note_update(self.timer.now() - age);
+    pub fn record_peer_data_age(&self, age: Millis) {
+        self.record_update(self.timer.now() - age);
     }
 
     /// Removes servers whose entries are missing here, because a peer whose copy is settled has
@@ -380,18 +380,18 @@
         self.routing_state.borrow_mut().remove_missing();
     }
 
-    fn note_store_heard(&self) {
+    fn record_store_answer(&self) {
         if self.store_unreachable.replace(false) {
             info!(store:% = self.store.peer; "the store answers again");
         }
-        self.note_update(self.timer.now());
+        self.record_update(self.timer.now());
     }
 
     /// Records that the store's data was current at `updated_at`. After a period without any
     /// update, directly or through peers, entries may have expired and be written again shortly
     /// afterwards. A process that has just started does not know about the time before, and treats
     /// it as such a period.
-    fn note_update(&self, updated_at: Millis) {
+    fn record_update(&self, updated_at: Millis) {
         let last = self.last_update_at.get();
         if last.is_some_and(|last| last >= updated_at) {
             return;
@@ -401,11 +401,11 @@
         let quiet = last.map(|last| updated_at.since(last));
         if quiet.is_none_or(|quiet| quiet > STALE_AFTER + WATCH_READ_INTERVAL) {
             info!(quiet_ms = quiet.unwrap_or_default().0; "store updates are arriving");
-            self.settled_at.set(self.timer.now() + self.settle);
+            self.settled_at.set(self.timer.now() + self.settle_time);
         }
     }
 
-    fn note_failure(&self, error: &StoreError) {
+    fn record_store_failure(&self, error: &StoreError) {
         if !self.store_unreachable.replace(true) {
             let at = self.mirror.borrow().revision();
             warn!(step:% = error.step, store:% = error.peer, error:% = error.source, held:% = at;
--- a/crates/edge/src/forward.rs
+++ b/crates/edge/src/forward.rs
@@ -91,7 +91,7 @@
     // This check also comes before the hand-over: the home VM may not know of the suspicion yet and
     // would send the request.
     match guard::check(cx, &call) {
-        SendDecision::Unrestricted => {}
+        SendDecision::Normal => {}
         SendDecision::Isolated(fingerprint, _) => call.isolate(&fingerprint),
         SendDecision::Refused(cause, retry_after) => {
             let refusal = Refusal::suspected(cause, retry_after);
@@ -117,11 +117,11 @@
     history: &mut SendHistory,
 ) -> Response {
     while call.body.can_send() {
-        let under_way = match guard::check(cx, call) {
-            SendDecision::Unrestricted => None,
-            SendDecision::Isolated(fingerprint, under_way) => {
+        let suspect_guard = match guard::check(cx, call) {
+            SendDecision::Normal => None,
+            SendDecision::Isolated(fingerprint, guard) => {
                 call.isolate(&fingerprint);
-                Some(under_way)
+                Some(guard)
             }
             SendDecision::Refused(cause, retry_after) => {
                 let refusal = Refusal::suspected(cause, retry_after);
@@ -138,13 +138,13 @@
         history.servers.push(candidate.upstream.id.clone());
         let at = cx.now();
         let is_from_caller = call.assigned_server.is_none();
-        let _under_way = is_from_caller.then(|| {
+        let _region_guard = is_from_caller.then(|| {
             call.state
                 .sent_by_region
                 .start_request(&candidate.upstream.region)
         });
         let outcome = attempt::send(cx, call, &candidate).await;
-        drop(under_way);
+        drop(suspect_guard);
         history
             .sends
             .push(SendRecord::new(cx, call, &candidate, at, &outcome));
--- a/crates/edge/src/hand_over.rs
+++ b/crates/edge/src/hand_over.rs
@@ -135,7 +135,7 @@
         return None;
     }
     let began = cx.now();
-    let _in_flight = call.state.sent_by_region.start_request(&upstream.region);
+    let _region_guard = call.state.sent_by_region.start_request(&upstream.region);
     let outcome = send(cx, call, &peer, &upstream).await;
     let label = outcome.label();
     cx.metrics.handed_over.with_label_values(&[label]).inc();
--- a/crates/edge/src/spillover_update.rs
+++ b/crates/edge/src/locality_update.rs
@@ -1,5 +1,5 @@
-//! Periodically updates the spillover thresholds and unrestricted shares of all services and the
-//! localities of all routes from the known servers and VMs.
+//! Periodically updates where objects are served: the spillover thresholds and unrestricted shares
+//! of all services and the localities of all routes, from the known servers and VMs.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
--- a/crates/edge/src/metrics.rs
+++ b/crates/edge/src/metrics.rs
@@ -20,7 +20,7 @@
     /// Sends to backend servers by service and result.
     pub sends: IntCounterVec,
     /// Requests that a backend server was running when it crashed, by service.
-    pub requests_at_server_end: IntCounterVec,
+    pub requests_at_server_crash: IntCounterVec,
     /// Requests handed over to the home VMs of their servers, by result.
     pub handed_over: IntCounterVec,
     /// Refusals by service and cause.
@@ -69,7 +69,7 @@
                 "Sends to backend servers by service and result",
                 &["service", "result"],
             )?,
-            requests_at_server_end: counters(
+            requests_at_server_crash: counters(
                 "heatherknot_requests_at_server_ends_total",
                 "Requests that a backend server had when it ended, by service",
                 &["service"],
--- a/crates/edge/src/peer_feed.rs
+++ b/crates/edge/src/peer_feed.rs
@@ -163,7 +163,7 @@
             // When VMs start together, the peer may not have read the store yet.
             Ok(None) if cx.feed.is_awaiting_peers() => false,
             Ok(_) => {
-                note_stale_peer(&cx);
+                back_off_unless_leader(&cx);
                 true
             }
             Err(error) => {
@@ -221,13 +221,13 @@
 
 /// Delays this VM's own attempts to reach the store, unless it is a leader: in an outage that
 /// affects peers too, only leaders of domains keep trying.
-fn note_stale_peer(cx: &EdgeContext) {
+fn back_off_unless_leader(cx: &EdgeContext) {
     if !cx
         .feed_topology
         .borrow()
         .is_leader(&cx.cfg.vm, &cx.cfg.domain)
     {
-        cx.feed.note_stale_peer();
+        cx.feed.record_stale_peer();
     }
 }
 
@@ -288,7 +288,7 @@
     let age = answer.age_ms;
     let is_applied = answer.revision < after.0 || apply_keys(cx, answer);
     let age = age.filter(|_| is_applied)?;
-    cx.feed.note_peer_data_age(age);
+    cx.feed.record_peer_data_age(age);
     Some(age)
 }
 
--- a/crates/edge/src/poison/exchange.rs
+++ b/crates/edge/src/poison/exchange.rs
@@ -56,7 +56,7 @@
     });
 }
 
-/// Sends updates to peers for as long as the process runs.
+/// Sends updates to peers until the process ends.
 pub(crate) async fn run(cx: Rc<EdgeContext>) {
     let progress = SharedProgress::default();
     loop {
--- a/crates/edge/src/poison/guard.rs
+++ b/crates/edge/src/poison/guard.rs
@@ -10,7 +10,7 @@
 
 use super::crash;
 use super::fingerprint::Fingerprint;
-use super::state::InFlightGuard;
+use super::state::SuspectInFlightGuard;
 use super::suspects::{CrashId, RequestSummary, SendPolicy};
 use crate::call::Call;
 use crate::context::EdgeContext;
@@ -31,10 +31,10 @@
 /// Whether and how a request may be sent now.
 pub(crate) enum SendDecision {
     /// It may be sent to any server.
-    Unrestricted,
+    Normal,
     /// It may be sent, is placed by its fingerprint and counts as in flight until the guard is
     /// dropped.
-    Isolated(Fingerprint, InFlightGuard),
+    Isolated(Fingerprint, SuspectInFlightGuard),
     /// It may not be sent, for this cause; its caller may retry after this time.
     Refused(&'static str, Millis),
 }
@@ -42,11 +42,11 @@
 /// Decides whether and how a request may be sent now.
 pub(crate) fn check(cx: &EdgeContext, call: &Call) -> SendDecision {
     let Some(fingerprint) = find_suspect(cx, call) else {
-        return SendDecision::Unrestricted;
+        return SendDecision::Normal;
     };
     let policy = cx.poison.suspects().send_policy(&fingerprint, cx.now());
     match policy {
-        SendPolicy::Unrestricted => SendDecision::Unrestricted,
+        SendPolicy::Normal => SendDecision::Normal,
         SendPolicy::Rejected => SendDecision::Refused(REJECTED, REJECTED_RETRY_AFTER),
         SendPolicy::Delayed(left) => SendDecision::Refused("servers ended under it just now", left),
         SendPolicy::Isolated => match cx.poison.try_start(fingerprint) {
@@ -138,7 +138,7 @@
     if crash::has_crashed(&upstream).await {
         let service = upstream.service.as_str();
         cx.metrics
-            .requests_at_server_end
+            .requests_at_server_crash
             .with_label_values(&[service])
             .inc();
         info!(id = id.as_str(), fingerprint:% = request.fingerprint, route:% = request.route,
--- a/crates/edge/src/poison/records.rs
+++ b/crates/edge/src/poison/records.rs
@@ -67,7 +67,7 @@
     });
 }
 
-/// Writes and deletes records for as long as the process runs.
+/// Writes and deletes records until the process ends.
 pub(crate) async fn run(cx: Rc<EdgeContext>) {
     loop {
         let verdict_change = cx.poison.next_verdict_change();
--- a/crates/edge/src/poison/state.rs
+++ b/crates/edge/src/poison/state.rs
@@ -28,12 +28,12 @@
 }
 
 /// Keeps a suspected request marked as in flight until it is dropped.
-pub(crate) struct InFlightGuard {
+pub(crate) struct SuspectInFlightGuard {
     detector: Rc<PoisonDetector>,
     fingerprint: Fingerprint,
 }
 
-impl Drop for InFlightGuard {
+impl Drop for SuspectInFlightGuard {
     fn drop(&mut self) {
         let mut in_flight = self.detector.in_flight.borrow_mut();
         in_flight.remove(&self.fingerprint);
@@ -85,9 +85,12 @@
     }
 
     /// Marks a suspected request as in flight; returns `None` if it already is.
-    pub(crate) fn try_start(self: &Rc<Self>, fingerprint: Fingerprint) -> Option<InFlightGuard> {
+    pub(crate) fn try_start(
+        self: &Rc<Self>,
+        fingerprint: Fingerprint,
+    ) -> Option<SuspectInFlightGuard> {
         let is_first = self.in_flight.borrow_mut().insert(fingerprint);
-        is_first.then(|| InFlightGuard {
+        is_first.then(|| SuspectInFlightGuard {
             detector: Rc::clone(self),
             fingerprint,
         })
@@ -185,10 +188,10 @@
         };
         let request = &entry.suspect.request;
         let account = request.account.as_ref().map_or("", |name| name.as_str());
-        let ends = entry.suspect.crashes.len();
+        let crashes = entry.suspect.crashes.len();
         match (before, after) {
             (_, Verdict::Rejected) => {
-                warn!(fingerprint:% = fingerprint, route:% = request.route, account, ends;
+                warn!(fingerprint:% = fingerprint, route:% = request.route, account, ends = crashes;
                     "request rejected: it crashed backend servers");
                 self.verdict_change.borrow().fire();
             }
--- a/crates/edge/src/poison/suspects.rs
+++ b/crates/edge/src/poison/suspects.rs
@@ -131,7 +131,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SendPolicy {
     /// It may be sent to any server.
-    Unrestricted,
+    Normal,
     /// It may be sent while no other attempt of it is in flight, and is placed by its fingerprint.
     /// All VMs then send it to the same server, and requests that shared a server are separated.
     Isolated,
@@ -243,7 +243,7 @@
     /// Returns whether and how a request may be sent at `now`.
     pub fn send_policy(&self, fingerprint: &Fingerprint, now: Millis) -> SendPolicy {
         match self.verdict(fingerprint) {
-            Verdict::Unknown => SendPolicy::Unrestricted,
+            Verdict::Unknown => SendPolicy::Normal,
             Verdict::Rejected => SendPolicy::Rejected,
             Verdict::Suspected(crashes) if crashes + 1 < CRASHES_TO_REJECT => SendPolicy::Isolated,
             Verdict::Suspected(_) => {
@@ -315,7 +315,7 @@
     }
 
     /// Remembers the crashes of an update as recent. Those read from the store are old.
-    fn note_recent_crashes(&mut self, suspect: &Suspect, origin: Origin, now: Millis) {
+    fn record_recent_crashes(&mut self, suspect: &Suspect, origin: Origin, now: Millis) {
         if origin == Origin::Store || self.recent_crashes.len() >= MAX_RECENT_CRASHES {
             return;
         }
@@ -375,7 +375,7 @@
         let version = self.last_version + 1;
         let fingerprint = suspect.request.fingerprint;
         let crashes_before = self.crash_count(&fingerprint);
-        self.note_recent_crashes(suspect, origin, now);
+        self.record_recent_crashes(suspect, origin, now);
         if let Some(entry) = self.entries.get_mut(&suspect.request.fingerprint) {
             if !entry.suspect.merge(suspect) {
                 return false;
--- a/crates/edge/src/presence.rs
+++ b/crates/edge/src/presence.rs
@@ -23,7 +23,7 @@
 const VM_KEY_PREFIX: &str = "hk/vm/";
 
 /// How long a VM of this domain may have an entry without any peer having seen it, before it is
-/// left out of look-up answers. Heartbeats make all VMs of a domain known to each other within two
+/// left out of lookup answers. Heartbeats make all VMs of a domain known to each other within two
 /// seconds.
 const UNCONFIRMED_LIMIT: Millis = Millis(4_000);
 
@@ -171,7 +171,7 @@
         .map(|entry| entry.peers)
 }
 
-/// Recomputes the list of live VMs. Called several times a second, so that look-ups need not read
+/// Recomputes the list of live VMs. Called several times a second, so that lookups need not read
 /// all entries each time.
 pub fn refresh(cx: &EdgeContext) {
     let views = cx.membership.views();
@@ -194,7 +194,7 @@
     cx.metrics.vms.set(vms.len() as i64);
     if cx.feed.mirror().revision() > StoreRevision(0) {
         cx.max_vms_seen.set(cx.max_vms_seen.get().max(vms.len()));
-        cx.quota.note_vms(vms.len());
+        cx.quota.record_vm_count(vms.len());
     }
     vms.sort_by(|a, b| a.name.cmp(&b.name));
     if **cx.vms.borrow() == vms {
--- a/crates/edge/src/quota/exchange.rs
+++ b/crates/edge/src/quota/exchange.rs
@@ -35,7 +35,7 @@
     });
 }
 
-/// Reports counts for as long as the process runs.
+/// Reports counts until the process ends.
 pub async fn run(cx: Rc<EdgeContext>) {
     loop {
         let surge = cx.quota.next_surge();
--- a/crates/edge/src/quota/state.rs
+++ b/crates/edge/src/quota/state.rs
@@ -60,7 +60,7 @@
 }
 
 impl PeakVmCount {
-    fn note(&mut self, vms: usize, now: Millis) {
+    fn record(&mut self, vms: usize, now: Millis) {
         if now.since(self.since) >= VM_COUNT_WINDOW {
             self.since = now;
             self.previous = std::mem::take(&mut self.current);
@@ -90,8 +90,8 @@
     }
 
     /// Records the number of live VMs, once all of them are known.
-    pub fn note_vms(&self, vms: usize) {
-        self.vm_count.borrow_mut().note(vms, self.timer.now());
+    pub fn record_vm_count(&self, vms: usize) {
+        self.vm_count.borrow_mut().record(vms, self.timer.now());
     }
 
     /// Returns whether the number of live VMs is known.
--- a/crates/edge/src/quota/status.rs
+++ b/crates/edge/src/quota/status.rs
@@ -34,12 +34,12 @@
 
 /// Returns the status of all accounts, sorted by name.
 pub fn statuses(quota: &Quota, accounts: &Accounts) -> Vec<AccountStatus> {
-    let standings = quota.usages();
+    let usages = quota.usages();
     let meter = quota.meter();
     let now = quota.now();
     let of = |account: &Account| {
-        let standing = standings.get(&account.name).copied();
-        status_of(account, standing, &meter, now)
+        let usage = usages.get(&account.name).copied();
+        status_of(account, usage, &meter, now)
     };
     let mut all: Vec<AccountStatus> = accounts.all().map(|account| of(account)).collect();
     all.sort_by(|a, b| a.account.cmp(&b.account));
@@ -48,7 +48,7 @@
 
 fn status_of(
     account: &Account,
-    standing: Option<AccountUsage>,
+    usage: Option<AccountUsage>,
     meter: &Meter,
     now: Millis,
 ) -> AccountStatus {
@@ -57,8 +57,8 @@
         per_second: account.limit.map(|limit| limit.per_second),
         burst: account.limit.map(|limit| limit.burst),
         home_regions: account.home_regions.clone(),
-        asked: standing.map(|standing| standing.asked),
-        level: standing.map(|standing| standing.level),
+        asked: usage.map(|usage| usage.asked),
+        level: usage.map(|usage| usage.level),
         part: meter.fraction(&account.name, now),
         age_ms: meter.fraction_age(now),
     }
--- a/crates/edge/src/quota/totals.rs
+++ b/crates/edge/src/quota/totals.rs
@@ -144,7 +144,7 @@
     /// While another VM of its domain received them instead, this one missed what was admitted. If
     /// it took over in the middle of a surge with the bursts that have refilled here meanwhile,
     /// those would be granted a second time.
-    fn note_report(&mut self, now: Millis) {
+    fn record_report(&mut self, now: Millis) {
         if now.since(self.last_report_at) >= SILENT_AFTER {
             self.totals.clear();
             self.started = now;
@@ -153,7 +153,7 @@
     }
 
     fn apply_counts(&mut self, counts: &Counts, accounts: &Accounts, now: Millis) {
-        self.note_report(now);
+        self.record_report(now);
         for (name, count) in counts {
             let Some(limit) = accounts.limit_of(name) else {
                 continue;
--- a/crates/edge/tests/decisions.rs
+++ b/crates/edge/tests/decisions.rs
@@ -77,9 +77,12 @@
     assert_eq!(with_one_waiting.upstream.id, target.id);
     assert!(!with_one_waiting.has_free_slot);
     let _many: Vec<_> = (0..12).map(|_| target.start_request()).collect();
-    let bounded = select(&params, &servers, &service_times, Locality::Region);
-    assert_eq!(bounded.expect("there are servers").upstream.id, target.id);
-    let _yet_more: Vec<_> = (0..25).map(|_| target.start_request()).collect();
+    let with_many_waiting = select(&params, &servers, &service_times, Locality::Region);
+    assert_eq!(
+        with_many_waiting.expect("there are servers").upstream.id,
+        target.id
+    );
+    let _even_more: Vec<_> = (0..25).map(|_| target.start_request()).collect();
     let relieved = select(&params, &servers, &service_times, Locality::Region);
     let relieved = relieved.expect("there are servers").upstream;
     assert_ne!(relieved.id, target.id);
@@ -152,10 +155,10 @@
     };
     spillover.update(few_local, Millis(1_000));
     assert!((spillover.remote_fraction() - 0.5).abs() < 1e-9);
-    let away = (0..1000)
+    let redirected = (0..1000)
         .filter(|object| spillover.is_remote(*object))
         .count();
-    assert!((400..600).contains(&away), "{away} of 1000");
+    assert!((400..600).contains(&redirected), "{redirected} of 1000");
 }
 
 /// Guards against moving callers' requests to another region all at once: at most 0.15 of them may
--- a/crates/edge/tests/feed.rs
+++ b/crates/edge/tests/feed.rs
@@ -30,12 +30,12 @@
 /// Creates the feed of a VM that is not a watcher and has been running for a long time.
 fn feed(clock: &TestClock) -> (Rc<Feed>, Rc<RefCell<RoutingState>>) {
     let routing_state = Rc::new(RefCell::new(routing_state(&clock.clock())));
-    let settle = Millis(2_500);
+    let settle_time = Millis(2_500);
     let feed = Feed::new(
         silent_store(),
         clock.timer(),
         Rc::clone(&routing_state),
-        settle,
+        settle_time,
     );
     feed.set_watch_policy(|| false, || None);
     feed.stop_awaiting_peers();
@@ -55,16 +55,16 @@
     clock.advance(10_000);
     let (one, _) = feed(&clock);
     let (other, _) = feed(&clock);
-    one.note_peer_data_age(Millis(100));
-    other.note_peer_data_age(Millis(100));
+    one.record_peer_data_age(Millis(100));
+    other.record_peer_data_age(Millis(100));
     assert!(!one.should_watch_store(), "both have a recent update");
 
     for _ in 0..20 {
         clock.advance(200);
         let age = other.age().expect("it received an update");
-        one.note_peer_data_age(age);
+        one.record_peer_data_age(age);
         let age = one.age().expect("it received an update");
-        other.note_peer_data_age(age);
+        other.record_peer_data_age(age);
     }
 
     assert!(!one.is_fresh());
@@ -89,7 +89,7 @@
         feed.is_settled(),
     );
     assert_eq!(servers(&routing_state), 1, "its entry may be written again");
-    feed.note_peer_data_age(Millis(50));
+    feed.record_peer_data_age(Millis(50));
     assert_eq!(
         servers(&routing_state),
         1,
@@ -135,21 +135,21 @@
     let clock = TestClock::default();
     clock.advance(10_000);
     let (feed, _) = feed(&clock);
-    feed.note_peer_data_age(Millis(0));
+    feed.record_peer_data_age(Millis(0));
     assert!(!feed.is_settled(), "the time before is unknown");
     for _ in 0..13 {
         clock.advance(200);
-        feed.note_peer_data_age(Millis(0));
+        feed.record_peer_data_age(Millis(0));
     }
     assert!(feed.is_settled());
 
     clock.advance(5_000);
-    feed.note_peer_data_age(Millis(0));
+    feed.record_peer_data_age(Millis(0));
     assert!(!feed.is_settled());
 
     for _ in 0..13 {
         clock.advance(200);
-        feed.note_peer_data_age(Millis(0));
+        feed.record_peer_data_age(Millis(0));
     }
     assert!(feed.is_settled());
 }
@@ -167,7 +167,7 @@
     clock.advance(2_100);
     assert!(feed.should_watch_store(), "no peer answered");
 
-    feed.note_peer_data_age(Millis(100));
+    feed.record_peer_data_age(Millis(100));
     assert!(!feed.should_watch_store(), "a peer has answered");
 }
 
@@ -179,17 +179,17 @@
     clock.advance(10_000);
     let (feed, _) = feed(&clock);
     feed.set_watch_policy(|| false, || Some(Millis(30_000)));
-    feed.note_peer_data_age(Millis(0));
+    feed.record_peer_data_age(Millis(0));
 
     clock.advance(1_300);
-    feed.note_stale_peer();
+    feed.record_stale_peer();
     clock.advance(9_000);
     assert!(
         !feed.should_watch_store(),
         "its peers would pass updates on"
     );
 
-    feed.note_peer_data_age(Millis(50));
+    feed.record_peer_data_age(Millis(50));
     clock.advance(2_000);
     assert!(
         feed.should_watch_store(),
@@ -205,11 +205,11 @@
     clock.advance(10_000);
     let (feed, _) = feed(&clock);
     feed.set_watch_policy(|| false, || Some(Millis(5_000)));
-    feed.note_peer_data_age(Millis(0));
+    feed.record_peer_data_age(Millis(0));
 
     clock.advance(1_300);
     for _ in 0..10 {
-        feed.note_stale_peer();
+        feed.record_stale_peer();
         assert!(!feed.should_watch_store());
         clock.advance(500);
     }
@@ -224,7 +224,7 @@
     let (feed, _) = feed(&clock);
     feed.set_watch_policy(|| true, || Some(Millis(30_000)));
 
-    feed.note_stale_peer();
+    feed.record_stale_peer();
 
     assert!(feed.should_watch_store());
 }
--- a/crates/edge/tests/fingerprint.rs
+++ b/crates/edge/tests/fingerprint.rs
@@ -45,7 +45,8 @@
     }
 }
 
-/// A retry is not recognized, because its identifier, headers or body chunks differ.
+/// Guards against a retry that is not recognized because its identifier, headers or body chunks
+/// differ.
 #[test]
 fn another_attempt_is_the_same_request() {
     let again = Attempt {
@@ -62,7 +63,7 @@
     assert_eq!(again.fingerprint(), attempt().fingerprint());
 }
 
-/// A request that a server handles differently is taken for a poison request.
+/// Guards against taking a request that a server handles differently for a poison request.
 #[test]
 fn requests_that_a_server_tells_apart_have_different_fingerprints() {
     let whole = |text: &'static str| KnownBody::Whole(vec![Bytes::from_static(text.as_bytes())]);
--- a/crates/edge/tests/load_patterns.rs
+++ b/crates/edge/tests/load_patterns.rs
@@ -42,10 +42,10 @@
         spillover.update(half_local, Millis(tick * TICK.0));
     }
 
-    let away = (0..1_000)
+    let redirected = (0..1_000)
         .filter(|object| spillover.is_remote(*object))
         .count();
-    assert_eq!(away, 0);
+    assert_eq!(redirected, 0);
 }
 
 /// Guards against a threshold that jumps under traffic when servers of a region vanish and return.
@@ -183,16 +183,20 @@
     uploads.update(profile(true), Millis(0));
     reads.update(profile(false), Millis(0));
 
-    let away = |route: &RouteLocality| {
-        let places =
+    let count_remote = |route: &RouteLocality| {
+        let localities =
             (0..1_000).map(|object| route.locality_of(object, &spillover, Switches::default()));
-        places
-            .filter(|place| *place == Locality::OtherRegions)
+        localities
+            .filter(|locality| *locality == Locality::OtherRegions)
             .count()
     };
 
-    assert_eq!(away(&uploads), 0);
-    assert!((600..730).contains(&away(&reads)), "{}", away(&reads));
+    assert_eq!(count_remote(&uploads), 0);
+    assert!(
+        (600..730).contains(&count_remote(&reads)),
+        "{}",
+        count_remote(&reads)
+    );
 }
 
 /// Guards against moving objects when the first round trip measured during a start was too long.
@@ -203,24 +207,24 @@
 #[test]
 fn a_too_long_first_round_trip_moves_no_objects() {
     let (route, spillover) = (RouteLocality::default(), Spillover::default());
-    let slot_counts = |way| SlotCounts {
+    let slot_counts = |round_trip_ms| SlotCounts {
         local: 60.0,
         remote: 120.0,
         region_count: 3,
-        round_trip: Some(Millis(way)),
+        round_trip: Some(Millis(round_trip_ms)),
     };
-    let near = |spillover: &Spillover| {
-        let is_near = |object: &u64| {
+    let count_local = |spillover: &Spillover| {
+        let is_local = |object: &u64| {
             route.locality_of(*object, spillover, Switches::default()) == Locality::Region
         };
-        (0..1_000).filter(is_near).count()
+        (0..1_000).filter(is_local).count()
     };
 
     spillover.update(slot_counts(146), Millis(0));
-    let at_first = near(&spillover);
+    let at_first = count_local(&spillover);
     spillover.update(slot_counts(113), Millis(500));
 
-    assert_eq!((at_first, near(&spillover)), (1_000, 1_000));
+    assert_eq!((at_first, count_local(&spillover)), (1_000, 1_000));
 }
 
 /// Calls `body` with `count` servers of which this VM is the home, the selection parameters for one
--- a/crates/edge/tests/poison.rs
+++ b/crates/edge/tests/poison.rs
@@ -186,7 +186,8 @@
     summary
 }
 
-/// A poison request goes on crashing servers although there are no other faults.
+/// Guards against a poison request that goes on crashing servers although there are no other
+/// faults.
 #[test]
 fn a_poison_request_crashes_three_servers_and_is_sent_no_further() {
     let summary = simulate_all("one", |seed| Scenario {
@@ -198,8 +199,8 @@
     assert!(summary.p99_rejected_after() <= MAX_REJECTED_AFTER_MS);
 }
 
-/// Crashes are attributed to only one of several poison requests that share a server, and the
-/// others go on.
+/// Guards against attributing crashes to only one of several poison requests that share a server.
+/// The others would go on crashing servers.
 #[test]
 fn several_poison_requests_at_once_are_all_rejected() {
     simulate_all("three at once", |seed| Scenario {
@@ -208,8 +209,8 @@
     });
 }
 
-/// A harmless request is rejected that was at three servers when half of all servers crashed within
-/// a second.
+/// Guards against rejecting a harmless request that was at three servers when half of all servers
+/// crashed within a second.
 #[test]
 #[ignore = "known to fail, see KNOWN-RED.txt"]
 fn a_harmless_request_is_not_rejected_when_half_of_all_servers_crash() {
@@ -220,14 +221,14 @@
     }
 }
 
-/// A rejection is lost or late because of killed VMs, partitions or an unavailable store; or
-/// harmless requests are rejected because of other crashes.
+/// Guards against rejections that are lost or late because of killed VMs, partitions or an
+/// unavailable store, and against rejecting harmless requests because of other crashes.
 #[test]
 fn other_faults_neither_delay_rejections_nor_cause_wrong_ones() {
     simulate_all("faults", |seed| with_faults(small(seed)));
 }
 
-/// Harmless requests are rejected because of servers that crash for other reasons.
+/// Guards against rejecting harmless requests because of servers that crash for other reasons.
 #[test]
 fn crashes_without_a_poison_request_cause_no_rejection() {
     simulate_all("no poison request", |seed| Scenario {
@@ -237,7 +238,7 @@
     });
 }
 
-/// With hundreds of VMs, some of them learn of a rejection too late.
+/// Guards against rejections of which some VMs learn too late where there are hundreds of them.
 #[test]
 fn hundreds_of_vms_reject_a_poison_request_within_a_second() {
     let summary = simulate_all("570 VMs", large);
--- a/crates/edge/tests/quota.rs
+++ b/crates/edge/tests/quota.rs
@@ -246,7 +246,7 @@
     };
 
     let before = quota.apply_report(&"vm-1".into(), Incarnation(1), &report(1));
-    quota.note_vms(2);
+    quota.record_vm_count(2);
     let after = quota.apply_report(&"vm-1".into(), Incarnation(1), &report(2));
 
     assert_eq!(before.fractions, None);
--- a/crates/edge/tests/regions.rs
+++ b/crates/edge/tests/regions.rs
@@ -64,9 +64,9 @@
     }
 }
 
-/// The same with the region that has a tenth of the servers and a third of the callers. It has to
-/// redirect most of its requests. They are in transit for 55 ms and local ones for one, so hardly
-/// any local ones are left when callers stop.
+/// Guards against the same shift in the region that has a tenth of the servers and a third of the
+/// callers. It has to redirect most of its requests. They are in transit for 55 ms and local ones
+/// for 1 ms, so hardly any local ones are left when callers stop.
 #[test]
 #[ignore = "known to fail, see KNOWN-RED.txt"]
 fn the_last_requests_of_a_region_with_too_few_servers_do_not_shift() {
--- a/crates/edge/tests/support/poison_model.rs
+++ b/crates/edge/tests/support/poison_model.rs
@@ -513,7 +513,7 @@
         }
         let policy = vm.suspects.send_policy(&call.fingerprint, Millis(self.now));
         let is_isolated = match policy {
-            SendPolicy::Unrestricted => false,
+            SendPolicy::Normal => false,
             SendPolicy::Isolated if vm.in_flight.insert(call.fingerprint) => true,
             SendPolicy::Isolated | SendPolicy::Delayed(_) => {
                 self.outcome.held_back += usize::from(call.poison.is_none());
@@ -714,11 +714,11 @@
             self.schedule_in(10, Event::WriteRecord(vm, suspect.clone()));
         }
         if is_rejected {
-            self.note_rejected(vm, fingerprint);
+            self.record_rejected(vm, fingerprint);
         }
     }
 
-    fn note_rejected(&mut self, vm: usize, fingerprint: &Fingerprint) {
+    fn record_rejected(&mut self, vm: usize, fingerprint: &Fingerprint) {
         let (is_stable, run) = (self.is_stable(vm), self.vms[vm].run);
         for number in 0..self.outcome.poison.len() {
             let is_same = *fingerprint == poison_fingerprint(number);
--- a/crates/edge/tests/support/region_model.rs
+++ b/crates/edge/tests/support/region_model.rs
@@ -135,10 +135,10 @@
             .executions
             .iter()
             .filter(|execution| execution.from == from);
-        let (away, all) = all.fold((0_u32, 0_u32), |(away, all), execution| {
-            (away + u32::from(execution.at != from), all + 1)
+        let (remote, all) = all.fold((0_u32, 0_u32), |(remote, all), execution| {
+            (remote + u32::from(execution.at != from), all + 1)
         });
-        f64::from(away) / f64::from(all.max(1))
+        f64::from(remote) / f64::from(all.max(1))
     }
 }
 
--- a/crates/edge/tests/suspects.rs
+++ b/crates/edge/tests/suspects.rs
@@ -39,7 +39,7 @@
     suspects
 }
 
-/// A request is rejected too early, as two crashes may be chance, or never.
+/// Guards against rejecting a request too early, since two crashes may be chance, or never.
 #[test]
 fn a_request_is_rejected_after_three_crashes() {
     for crashes in 0..=CRASHES_TO_REJECT + 1 {
@@ -54,7 +54,7 @@
     }
 }
 
-/// A crash that several VMs saw is counted several times.
+/// Guards against counting a crash once for each VM that saw it.
 #[test]
 fn a_crash_counts_once_however_many_vms_report_it() {
     let mut suspects = with_crashes(1, 1);
@@ -68,8 +68,8 @@
     );
 }
 
-/// A request that ran without a crash is rejected for earlier crashes, which a late update brings
-/// back.
+/// Guards against rejecting a request that ran without a crash because of earlier crashes, which a
+/// late update brings back.
 #[test]
 fn a_clean_run_voids_the_crashes_before_it() {
     let mut suspects = with_crashes(1, 2);
@@ -81,7 +81,8 @@
     assert_eq!(suspects.verdict(&request(1).fingerprint), Verdict::Unknown);
 }
 
-/// Many servers crash at once, and a harmless request that was at three of them is rejected.
+/// Guards against rejecting a harmless request that was at three of many servers that crashed at
+/// once.
 #[test]
 fn three_of_many_crashes_at_once_are_attributed_to_no_request() {
     let mut suspects = SuspectTable::default();
@@ -99,7 +100,7 @@
     );
 }
 
-/// A harmless request that shared each crashed server with a rejected one is rejected as well.
+/// Guards against rejecting a harmless request that shared each crashed server with a rejected one.
 #[test]
 fn crashes_attributed_to_a_rejected_request_count_against_no_other() {
     let mut suspects = with_crashes(1, CRASHES_TO_REJECT + 1);
@@ -111,8 +112,9 @@
     assert_eq!(suspects.verdict(&request(2).fingerprint), Verdict::Unknown);
 }
 
-/// A VM that starts reads hundreds of rejected requests from the store and takes their crashes for
-/// recent ones, so that none is a large enough part to be rejected.
+/// Guards against a VM that reads hundreds of rejected requests from the store when it starts and
+/// takes their crashes for recent ones. None of the requests would have a large enough fraction of
+/// them to be rejected.
 #[test]
 fn requests_rejected_in_the_store_stay_rejected() {
     let mut suspects = SuspectTable::default();
@@ -134,7 +136,8 @@
     );
 }
 
-/// VMs that receive the same updates in another order, or twice, reject different requests.
+/// Guards against VMs that reject different requests because they receive the same updates in
+/// another order, or twice.
 #[test]
 fn merging_is_independent_of_order_and_repetition() {
     property::check()
@@ -165,7 +168,8 @@
         });
 }
 
-/// A client that sends ever new requests has rejected ones evicted, or uses up all memory.
+/// Guards against a client that sends ever new requests and thereby has rejected ones evicted, or
+/// uses up all memory.
 #[test]
 fn new_suspects_evict_no_rejected_request_and_take_bounded_memory() {
     let mut suspects = with_crashes(1, CRASHES_TO_REJECT);
@@ -182,7 +186,7 @@
     );
 }
 
-/// A request stays rejected for good, or not for the whole day.
+/// Guards against a request that stays rejected for good, or not for the whole day.
 #[test]
 fn crashes_count_for_a_day() {
     let mut suspects = with_crashes(1, CRASHES_TO_REJECT);
@@ -194,7 +198,7 @@
     assert!(suspects.is_empty());
 }
 
-/// An update or a stored record is read with other values than were written.
+/// Guards against an update or a stored record that is read with other values than were written.
 #[test]
 fn a_suspect_survives_serialization() {
     let sent = Suspect {
@@ -213,7 +217,8 @@
     );
 }
 
-/// A flood of requests with enough crashes keeps a VM busy for seconds with each reclassification.
+/// Guards against a flood of requests with enough crashes for a rejection, which would keep a VM
+/// busy for seconds with each reclassification.
 #[test]
 fn thousands_of_requests_with_three_crashes_are_reclassified_quickly() {
     let mut suspects = SuspectTable::default();
