--- a/crates/edge/src/attempt.rs
+++ b/crates/edge/src/attempt.rs
@@ -63,7 +63,7 @@
     }
 }
 
-/// Sends a request to the backend server of `prospect`.
+/// Sends a request to the backend server of `candidate`.
 pub(crate) async fn send(cx: &EdgeContext, call: &mut Call, candidate: &Candidate) -> SendOutcome {
     let Some(body) = call.body.body_for_send() else {
         return SendOutcome::NotSent("its body can't be sent again");
@@ -109,7 +109,7 @@
     let hangs = slowness >= HANG_FACTOR && upstream.is_silent_since(sent);
     if hangs && cx.switches.is_on(Mechanism::HangingServers) {
         log::info!(upstream:% = upstream.id, waited_ms = waited.0; "a backend server does not respond; treating it as unreachable");
-        upstream.record_hang(waited, now);
+        upstream.record_unreachable(waited, now);
     }
 }
 
@@ -151,8 +151,8 @@
     }
 }
 
-/// Builds the request head for one server: which instance may run the request, and how long it may
-/// take.
+/// Builds the request head for one server. It states which server may run the request, and how
+/// long it may take.
 fn outgoing_head(
     cx: &EdgeContext,
     call: &Call,
@@ -278,9 +278,11 @@
         let now = cx.now();
         let others = candidate.upstream.record_load(load, now);
         call.state.service_times.record_other_load(others, now);
-        let is_own = candidate.upstream.region == cx.region;
+        let is_local = candidate.upstream.region == cx.region;
         if cx.route(&call.route.name).may_spill_over(cx.switches) {
-            call.state.spill.record(is_own, load, now.since(sent), now);
+            call.state
+                .spillover
+                .record(is_local, load, now.since(sent), now);
         }
     }
 }
--- a/crates/edge/src/peer_feed.rs
+++ b/crates/edge/src/peer_feed.rs
@@ -163,7 +163,7 @@
             // When VMs start together, the peer may not have read the store yet.
             Ok(None) if cx.feed.is_awaiting_peers() => false,
             Ok(_) => {
-                note_stale_peer(&cx);
+                back_off_unless_leader(&cx);
                 true
             }
             Err(error) => {
@@ -187,7 +187,11 @@
     while !cx.has_read_vm_entries.get() {
         cx.timer.wait(cx.feed.idle_interval()).await;
     }
-    if !cx.relay.borrow().is_head(&cx.cfg.vm, &cx.cfg.domain) {
+    if !cx
+        .feed_topology
+        .borrow()
+        .is_head(&cx.cfg.vm, &cx.cfg.domain)
+    {
         return;
     }
     let own = cx.cfg.listen.peers;
@@ -217,9 +221,13 @@
 
 /// Delays this VM's own attempts to reach the store, unless it is a leader: in an outage that
 /// affects peers too, only leaders of domains keep trying.
-fn note_stale_peer(cx: &EdgeContext) {
-    if !cx.relay.borrow().is_leader(&cx.cfg.vm, &cx.cfg.domain) {
-        cx.feed.note_stale_peer();
+fn back_off_unless_leader(cx: &EdgeContext) {
+    if !cx
+        .feed_topology
+        .borrow()
+        .is_leader(&cx.cfg.vm, &cx.cfg.domain)
+    {
+        cx.feed.record_stale_peer();
     }
 }
 
@@ -280,7 +288,7 @@
     let age = answer.age_ms;
     let is_applied = answer.revision < after.0 || apply_keys(cx, answer);
     let age = age.filter(|_| is_applied)?;
-    cx.feed.note_peer_data_age(age);
+    cx.feed.record_peer_data_age(age);
     Some(age)
 }
 
@@ -293,7 +301,10 @@
 fn next_source(cx: &EdgeContext, avoided: &mut HashMap<VmName, Millis>) -> Option<VmName> {
     let now = cx.now();
     avoided.retain(|_, until| *until > now);
-    let sources = cx.relay.borrow().sources(&cx.cfg.vm, &cx.cfg.domain);
+    let sources = cx
+        .feed_topology
+        .borrow()
+        .sources(&cx.cfg.vm, &cx.cfg.domain);
     let has_stale_data = cx.feed.age().is_some() && !cx.feed.is_fresh();
     let may_ask_any = cx.feed.is_store_unreachable() || has_stale_data;
     select_source(sources, avoided, || {
--- a/crates/edge/src/quota/state.rs
+++ b/crates/edge/src/quota/state.rs
@@ -13,7 +13,7 @@
 use super::usage::{Counts, Reporter, UsageReport};
 use crate::accounts::{Account, Accounts};
 use crate::catalog::Catalog;
-use crate::world::RoutingState;
+use crate::routing_state::RoutingState;
 
 /// How long a VM that is no longer seen may still be running and admit requests; longer than most
 /// network partitions. After that the remaining VMs use its share as well.
@@ -25,7 +25,7 @@
 /// One VM's part in enforcing the limits of all accounts.
 pub struct Quota {
     timer: Timer,
-    world: Rc<RefCell<RoutingState>>,
+    routing_state: Rc<RefCell<RoutingState>>,
     meter: RefCell<Meter>,
     totals: RefCell<Totals>,
     reporters: RefCell<HashMap<VmName, Reporter>>,
@@ -60,7 +60,7 @@
 }
 
 impl PeakVmCount {
-    fn note(&mut self, vms: usize, now: Millis) {
+    fn record(&mut self, vms: usize, now: Millis) {
         if now.since(self.since) >= VM_COUNT_WINDOW {
             self.since = now;
             self.previous = std::mem::take(&mut self.current);
@@ -75,11 +75,11 @@
 
 impl Quota {
     /// Creates the state of a VM that has just started.
-    pub fn new(timer: Timer, world: Rc<RefCell<RoutingState>>) -> Self {
+    pub fn new(timer: Timer, routing_state: Rc<RefCell<RoutingState>>) -> Self {
         let totals = Totals::new(timer.now());
         Self {
             timer,
-            world,
+            routing_state,
             meter: RefCell::default(),
             totals: RefCell::new(totals),
             reporters: RefCell::default(),
@@ -90,8 +90,8 @@
     }
 
     /// Records the number of live VMs, once all of them are known.
-    pub fn note_vms(&self, vms: usize) {
-        self.vm_count.borrow_mut().note(vms, self.timer.now());
+    pub fn record_vm_count(&self, vms: usize) {
+        self.vm_count.borrow_mut().record(vms, self.timer.now());
     }
 
     /// Returns whether the number of live VMs is known.
@@ -156,7 +156,7 @@
     }
 
     pub(super) fn catalog(&self) -> Option<Rc<Catalog>> {
-        self.world.borrow().catalog().cloned()
+        self.routing_state.borrow().catalog().cloned()
     }
 
     pub(super) fn is_avoided(&self, vm: &VmName) -> bool {
--- a/crates/edge/tests/regions.rs
+++ b/crates/edge/tests/regions.rs
@@ -64,12 +64,12 @@
     }
 }
 
-/// The same with the region that has a tenth of the servers and a third of the callers. It has to
-/// redirect most of its requests. They are in transit for 55 ms and local ones for one, so hardly
-/// any local ones are left when callers stop.
+/// Guards against the same shift in the region that has a tenth of the servers and a third of the
+/// callers. It has to redirect most of its requests. They are in transit for 55 ms and local ones
+/// for 1 ms, so hardly any local ones are left when callers stop.
 #[test]
 #[ignore = "known to fail, see KNOWN-RED.txt"]
-fn where_callers_end_the_last_requests_run_where_those_before_them_did() {
+fn the_last_requests_of_a_region_with_too_few_servers_do_not_shift() {
     for seed in 1..=3 {
         let scenario = uneven_regions(seed);
 
