--- a/crates/gateway/src/local.rs
+++ b/crates/gateway/src/local.rs
@@ -24,28 +24,28 @@
 use crate::slots::{AcquireError, Slot, SlotRequest, UpstreamKey};
 
 /// How soon to ask again for slots whose homes were not ready.
-const HOME_PAUSE: Millis = Millis(20);
+const HOME_RETRY_INTERVAL: Millis = Millis(20);
 /// How long to go on asking.
-const HOME_PATIENCE: Millis = Millis(1_000);
+const HOME_RETRY_LIMIT: Millis = Millis(1_000);
 /// How long the home's word that it lends no slots is believed without asking again.
-const HOME_WORD: Millis = Millis(1_000);
+const HOME_LEAVING_TTL: Millis = Millis(1_000);
 /// When a caller may come back after its backend server failed or took nothing new.
 const RETRY_AFTER_FAILURE: Millis = Millis(1_000);
 
 impl Gateway {
     /// Sends a request to a backend server of `chosen.0`, by preference to `chosen.1`.
-    pub(crate) async fn send_here(
+    pub(crate) async fn send_local(
         self: &Rc<Self>,
         call: &Call,
         exchange: &mut Exchange,
-        tries: &Attempts,
+        attempts: &Attempts,
         admission: AdmissionGuard,
         chosen: (PlaceName, UpstreamName),
         flight: &mut Option<InFlightGuard>,
     ) -> Result<Response, AttemptFailure> {
-        let candidates = self.candidates(call, tries, &chosen);
+        let candidates = self.candidates(call, attempts, &chosen);
         let (upstream, slot) = self
-            .take_slot(call, exchange.started, &candidates)
+            .acquire_slot(call, exchange.started, &candidates)
             .await
             .map_err(not_attempted)?;
         if upstream.name != chosen.1 {
@@ -69,9 +69,9 @@
         let options = SendOptions {
             deadline: Some(call.deadline),
             idempotent: !call.at_most_once,
-            new_connection: tries.new_connection,
+            new_connection: attempts.new_connection,
         };
-        let head = self.forwarded_head(call, &exchange.head, tries, now);
+        let head = self.forwarded_head(call, &exchange.head, attempts, now);
         let pool = self.pool_of(slot.key(), &upstream);
         let sent = pool.send(head, body, options).await;
         let in_use = RequestResources {
@@ -80,8 +80,8 @@
             flight: None,
         };
         let response = match sent {
-            Ok(response) => self.check(response, &in_use, &upstream)?,
-            Err(error) => return Err(failed(error, &in_use, upstream.name)),
+            Ok(response) => self.check_response(response, &in_use, &upstream)?,
+            Err(error) => return Err(send_failure(error, &in_use, upstream.name)),
         };
         self.deliver(response, in_use, flight, &exchange.cancelled)
             .await
@@ -97,20 +97,20 @@
     fn candidates(
         &self,
         call: &Call,
-        tries: &Attempts,
+        attempts: &Attempts,
         chosen: &(PlaceName, UpstreamName),
     ) -> Vec<UpstreamPlan> {
         let (place, first) = chosen;
         let all = call.settings().upstreams.iter();
         let mut candidates: Vec<UpstreamPlan> =
             all.filter(|u| u.place == *place).cloned().collect();
-        candidates.sort_by_key(|u| (tries.avoid.contains(&u.name), u.name != *first));
+        candidates.sort_by_key(|u| (attempts.avoid.contains(&u.name), u.name != *first));
         candidates
     }
 
     /// Takes a slot of one of the candidates: a free one in their order, or else the first
     /// that comes free.
-    async fn take_slot(
+    async fn acquire_slot(
         &self,
         call: &Call,
         started: Millis,
@@ -130,20 +130,20 @@
                 term: call.time_left(now),
             };
             let error = match wait {
-                Millis(0) => self.take_in_order(call, candidates, want).await,
-                _ => self.take_any(call, candidates, want).await,
+                Millis(0) => self.acquire_in_order(call, candidates, want).await,
+                _ => self.acquire_any(call, candidates, want).await,
             };
             let error = match error {
-                Ok(taken) => return Ok(taken),
+                Ok(acquired) => return Ok(acquired),
                 Err(error) => error,
             };
             let now = self.cx.clock.now();
             match error {
                 Some(AcquireError::Busy { .. }) => {}
                 Some(AcquireError::NoHome { .. } | AcquireError::Unreachable { .. })
-                    if now.since(first_ask) < HOME_PATIENCE =>
+                    if now.since(first_ask) < HOME_RETRY_LIMIT =>
                 {
-                    self.cx.timer.wait(HOME_PAUSE).await;
+                    self.cx.timer.wait(HOME_RETRY_INTERVAL).await;
                 }
                 Some(error) => return Err(no_upstream(&error.to_string())),
                 None => return Err(no_upstream("no backend server takes new work")),
@@ -152,7 +152,7 @@
         }
     }
 
-    async fn take_in_order(
+    async fn acquire_in_order(
         &self,
         call: &Call,
         candidates: &[UpstreamPlan],
@@ -160,15 +160,15 @@
     ) -> Result<(UpstreamPlan, Slot), Option<AcquireError>> {
         let mut error = None;
         for upstream in candidates {
-            match self.take_one(call, upstream, want).await {
-                Ok(taken) => return Ok(taken),
-                Err(e) => error = Some(mildest(error, e)),
+            match self.acquire_one(call, upstream, want).await {
+                Ok(acquired) => return Ok(acquired),
+                Err(e) => error = Some(most_retryable(error, e)),
             }
         }
         Err(error)
     }
 
-    async fn take_any(
+    async fn acquire_any(
         &self,
         call: &Call,
         candidates: &[UpstreamPlan],
@@ -177,16 +177,16 @@
         if candidates.is_empty() {
             return Err(None);
         }
-        let takes = candidates
+        let requests = candidates
             .iter()
-            .map(|upstream| Box::pin(self.take_one(call, upstream, want)));
-        match pin!(select_ok(takes)).await {
-            Ok((taken, _others)) => Ok(taken),
+            .map(|upstream| Box::pin(self.acquire_one(call, upstream, want)));
+        match pin!(select_ok(requests)).await {
+            Ok((acquired, _others)) => Ok(acquired),
             Err(error) => Err(Some(error)),
         }
     }
 
-    async fn take_one(
+    async fn acquire_one(
         &self,
         call: &Call,
         upstream: &UpstreamPlan,
@@ -201,7 +201,7 @@
             Err(error) => {
                 if matches!(error, AcquireError::Leaving { .. }) {
                     // Spares the next requests the way to the home in vain.
-                    let until = self.cx.clock.now() + HOME_WORD;
+                    let until = self.cx.clock.now() + HOME_LEAVING_TTL;
                     self.mark_leaving(&key, LeavingSource::Home, Some(until));
                 }
                 return Err(error);
@@ -219,13 +219,13 @@
         &self,
         call: &Call,
         head: &RequestHead,
-        tries: &Attempts,
+        attempts: &Attempts,
         now: Millis,
     ) -> RequestHead {
         let mut head = head.clone();
         let left = HeaderValue::from(call.time_left(now).0);
         head.headers.insert(DEADLINE_HEADER, left);
-        let attempt = u64::from(call.attempt) + u64::from(tries.made);
+        let attempt = u64::from(call.attempt) + u64::from(attempts.made);
         head.headers
             .insert(ATTEMPT_HEADER, HeaderValue::from(attempt));
         head
@@ -248,19 +248,19 @@
             ..self.cx.settings.pool.clone()
         };
         let pool = Pool::new(upstream.address, config, self.cx.clock.clone());
-        let made = UpstreamPool {
+        let created = UpstreamPool {
             address: upstream.address,
             max,
             pool: pool.clone(),
         };
-        if let Some(old) = pools.insert(key.clone(), made) {
+        if let Some(old) = pools.insert(key.clone(), created) {
             old.pool.close_idle();
         }
         pool
     }
 
     /// Looks for a backend server's word that it is leaving or did not run the request.
-    fn check(
+    fn check_response(
         &self,
         mut response: Response,
         in_use: &RequestResources,
@@ -309,7 +309,7 @@
 
 /// Gives the error that best tells what to do next: where one upstream is merely busy, waiting
 /// helps.
-fn mildest(error: Option<AcquireError>, other: AcquireError) -> AcquireError {
+fn most_retryable(error: Option<AcquireError>, other: AcquireError) -> AcquireError {
     let rank = |error: &AcquireError| match error {
         AcquireError::Busy { .. } => 0,
         AcquireError::NoHome { .. } | AcquireError::Unreachable { .. } => 1,
@@ -321,17 +321,23 @@
     }
 }
 
-fn failed(error: SendError, in_use: &RequestResources, upstream: UpstreamName) -> AttemptFailure {
+fn send_failure(
+    error: SendError,
+    in_use: &RequestResources,
+    upstream: UpstreamName,
+) -> AttemptFailure {
     let expired = matches!(error, SendError::Expired { .. });
-    let own_fault = matches!(error, SendError::RequestBody { .. });
+    let is_request_body_error = matches!(error, SendError::RequestBody { .. });
     // A pool that is full says nothing of the upstream behind it.
     let full = matches!(error, SendError::PoolFull { .. });
-    in_use.admission.set_outcome(match own_fault || full {
-        true => RequestOutcome::Cancelled,
-        false => RequestOutcome::Failed,
-    });
+    in_use
+        .admission
+        .set_outcome(match is_request_body_error || full {
+            true => RequestOutcome::Cancelled,
+            false => RequestOutcome::Failed,
+        });
     let detail = error.to_string();
-    let refusal = match (error.handed(), expired, own_fault) {
+    let refusal = match (error.handed(), expired, is_request_body_error) {
         (Handed::NotSent, true, _) => deadline_passed(),
         (Handed::NotSent, _, true) => Refusal::not_run(Reason::BodyBroken, detail),
         (Handed::NotSent, _, _) if full => Refusal::not_run(Reason::NoRoom, detail),
@@ -344,7 +350,7 @@
         refusal: refusal.retry_after(RETRY_AFTER_FAILURE),
         avoid: (!error.is_stale_connection()).then_some(upstream),
         stale_connection: error.is_stale_connection(),
-        retryable: !expired && !own_fault,
+        retryable: !expired && !is_request_body_error,
     }
 }
 
--- a/crates/gateway/src/mac.rs
+++ b/crates/gateway/src/mac.rs
@@ -11,7 +11,7 @@
 use snafu::Snafu;
 
 /// Bytes of the code that a token carries.
-const CODE_LEN: usize = 16;
+const TAG_LEN: usize = 16;
 /// The longest token that is looked at, in bytes.
 const MAX_TOKEN_LEN: usize = 1024;
 
@@ -48,9 +48,9 @@
     pub fn sign<T: Serialize>(&self, prefix: &str, payload: &T) -> String {
         let body = serde_json::to_vec(payload).expect("payloads have a JSON form");
         let body = URL_SAFE_NO_PAD.encode(body);
-        let code = self.mac(prefix, &body).finalize().into_bytes();
-        let code = URL_SAFE_NO_PAD.encode(&code[..CODE_LEN]);
-        format!("{prefix}.{body}.{code}")
+        let tag = self.mac(prefix, &body).finalize().into_bytes();
+        let tag = URL_SAFE_NO_PAD.encode(&tag[..TAG_LEN]);
+        format!("{prefix}.{body}.{tag}")
     }
 
     /// Gives the payload of a token made by [`TokenKey::sign`] with the same prefix.
@@ -64,20 +64,20 @@
         }
         let mut parts = token.split('.');
         let found = (parts.next(), parts.next(), parts.next(), parts.next());
-        let (Some(kind), Some(body), Some(code), None) = found else {
+        let (Some(kind), Some(body), Some(tag), None) = found else {
             return Err(TokenError::Malformed);
         };
         if kind != prefix {
             return Err(TokenError::Malformed);
         }
-        let code = URL_SAFE_NO_PAD
-            .decode(code)
+        let tag = URL_SAFE_NO_PAD
+            .decode(tag)
             .map_err(|_| TokenError::Malformed)?;
-        if code.len() != CODE_LEN {
+        if tag.len() != TAG_LEN {
             return Err(TokenError::Forged);
         }
         self.mac(prefix, body)
-            .verify_truncated_left(&code)
+            .verify_truncated_left(&tag)
             .map_err(|_| TokenError::Forged)?;
         let body = URL_SAFE_NO_PAD
             .decode(body)
--- a/crates/gateway/src/once/claim.rs
+++ b/crates/gateway/src/once/claim.rs
@@ -46,14 +46,14 @@
 }
 
 /// Makes a claim.
-pub type MakeClaim =
+pub type ClaimFn =
     Rc<dyn Fn(ClaimRequest) -> LocalBoxFuture<'static, Result<ClaimOutcome, ClaimError>>>;
 
 /// Claims in the platform's store, by create-if-absent.
 #[derive(Clone)]
 pub struct ClaimPort {
     /// Makes a claim, or tells who holds it.
-    pub claim: MakeClaim,
+    pub claim: ClaimFn,
 }
 
 impl fmt::Debug for ClaimPort {
--- a/crates/gateway/src/once/mod.rs
+++ b/crates/gateway/src/once/mod.rs
@@ -6,11 +6,13 @@
 //! is gone, the answer is "unknown": nobody else ever runs the request.
 
 mod claim;
-mod keep;
-mod memory;
+mod records;
 mod run;
+mod stored_response;
 mod ticket;
 
-pub use claim::{ClaimError, ClaimOutcome, ClaimPort, ClaimRequest, MakeClaim};
-pub use memory::{Begin, Ended, KeptAnswer, RecordKey, RecordLimits, RecordTable, Run};
+pub use claim::{ClaimError, ClaimFn, ClaimOutcome, ClaimPort, ClaimRequest};
+pub use records::{
+    BeginOutcome, Completion, RecordKey, RecordLimits, RecordTable, RunGuard, StoredResponse,
+};
 pub use ticket::{TICKET_PREFIX, Ticket};
--- a/crates/gateway/src/once/memory.rs
+++ b/crates/gateway/src/once/records.rs
@@ -24,12 +24,12 @@
     /// The service.
     pub service: ServiceName,
     /// The ticket or the caller's own key.
-    pub text: Arc<str>,
+    pub key: Arc<str>,
 }
 
 /// An answer held for repeats.
 #[derive(Clone, Debug)]
-pub struct KeptAnswer {
+pub struct StoredResponse {
     /// The status.
     pub status: StatusCode,
     /// The headers.
@@ -38,19 +38,19 @@
     pub body: Bytes,
 }
 
-impl KeptAnswer {
+impl StoredResponse {
     /// Gives the bytes that the answer counts for.
-    fn weight(&self) -> usize {
-        const HEAD: usize = 512;
-        HEAD + self.body.len()
+    fn size(&self) -> usize {
+        const HEAD_BYTES: usize = 512;
+        HEAD_BYTES + self.body.len()
     }
 }
 
-/// How a request that runs at most once ended.
+/// How a request that runs at most once completion.
 #[derive(Clone, Debug)]
-pub enum Ended {
+pub enum Completion {
     /// It was answered, and this is the answer.
-    Answered(Rc<KeptAnswer>),
+    Answered(Rc<StoredResponse>),
     /// It was answered; the answer is not held.
     NotKept,
     /// It did not run.
@@ -63,8 +63,8 @@
 enum State {
     /// It has not run so far, and nobody is about to run it.
     Idle,
-    Running(Vec<oneshot::Sender<Ended>>),
-    Ended(Ended),
+    Running(Vec<oneshot::Sender<Completion>>),
+    Completed(Completion),
 }
 
 #[derive(Debug)]
@@ -84,13 +84,13 @@
 
 /// What a request finds.
 #[derive(Debug)]
-pub enum Begin {
+pub enum BeginOutcome {
     /// It is the first, or all before it did not run: it is to run.
-    Run(Run),
+    Run(RunGuard),
     /// It runs already; its end comes here.
-    Join(oneshot::Receiver<Ended>),
-    /// It has ended.
-    Repeat(Ended),
+    Join(oneshot::Receiver<Completion>),
+    /// It has completion.
+    Repeat(Completion),
     /// There is no room for a further record.
     Full,
 }
@@ -105,19 +105,19 @@
 #[derive(Default)]
 struct Inner {
     records: HashMap<RecordKey, Record>,
-    by_end: BinaryHeap<Reverse<(Millis, RecordKey)>>,
-    answers: VecDeque<RecordKey>,
+    by_expiry: BinaryHeap<Reverse<(Millis, RecordKey)>>,
+    response_order: VecDeque<RecordKey>,
     answer_bytes: usize,
 }
 
 /// The right to run one request now. Dropping it counts as "may have run".
 #[derive(Debug)]
-pub struct Run {
-    memory: Rc<RecordTable>,
+pub struct RunGuard {
+    records: Rc<RecordTable>,
     key: RecordKey,
-    /// Whether this incarnation knows that the request has not run here before.
-    pub known_unrun: bool,
-    ended: bool,
+    /// Whether this incarnation contains that the request has not run here before.
+    pub known_not_run: bool,
+    completed: bool,
 }
 
 impl RecordTable {
@@ -131,36 +131,36 @@
     }
 
     /// Begins a request, which is remembered until `until`.
-    pub fn begin(self: &Rc<Self>, key: &RecordKey, until: Millis) -> Begin {
+    pub fn begin(self: &Rc<Self>, key: &RecordKey, until: Millis) -> BeginOutcome {
         self.expire();
         let mut inner = self.inner.borrow_mut();
         let is_full = inner.records.len() >= self.limits.records;
-        let known_unrun = match inner.records.get_mut(key) {
-            None if is_full => return Begin::Full,
+        let known_not_run = match inner.records.get_mut(key) {
+            None if is_full => return BeginOutcome::Full,
             None => false,
             Some(record) => match &mut record.state {
                 State::Idle => true,
-                State::Ended(ended) => return Begin::Repeat(ended.clone()),
+                State::Completed(completion) => return BeginOutcome::Repeat(completion.clone()),
                 State::Running(waiting) => {
                     let (tx, rx) = oneshot::channel();
                     waiting.push(tx);
-                    return Begin::Join(rx);
+                    return BeginOutcome::Join(rx);
                 }
             },
         };
         let state = State::Running(Vec::new());
         inner.records.insert(key.clone(), Record { state, until });
-        inner.by_end.push(Reverse((until, key.clone())));
-        Begin::Run(Run {
-            memory: Rc::clone(self),
+        inner.by_expiry.push(Reverse((until, key.clone())));
+        BeginOutcome::Run(RunGuard {
+            records: Rc::clone(self),
             key: key.clone(),
-            known_unrun,
-            ended: false,
+            known_not_run,
+            completed: false,
         })
     }
 
     /// Says whether there is a record of the request.
-    pub fn knows(&self, key: &RecordKey) -> bool {
+    pub fn contains(&self, key: &RecordKey) -> bool {
         self.expire();
         self.inner.borrow().records.contains_key(key)
     }
@@ -178,19 +178,19 @@
     /// Drops the records whose time is over. One that still runs stays until it ends, and is
     /// looked at again a while later.
     fn expire(&self) {
-        const LATER: Millis = Millis(60_000);
+        const RECHECK_INTERVAL: Millis = Millis(60_000);
         let now = self.clock.now();
         let mut inner = self.inner.borrow_mut();
-        while let Some(Reverse((until, _))) = inner.by_end.peek() {
+        while let Some(Reverse((until, _))) = inner.by_expiry.peek() {
             if *until > now {
                 return;
             }
-            let Some(Reverse((_, key))) = inner.by_end.pop() else {
+            let Some(Reverse((_, key))) = inner.by_expiry.pop() else {
                 return;
             };
             match inner.records.get(&key) {
                 Some(record) if matches!(record.state, State::Running(_)) => {
-                    inner.by_end.push(Reverse((now + LATER, key)));
+                    inner.by_expiry.push(Reverse((now + RECHECK_INTERVAL, key)));
                 }
                 Some(record) if record.until <= now => inner.remove(&key),
                 Some(_) | None => {}
@@ -198,26 +198,26 @@
         }
     }
 
-    fn end(&self, key: &RecordKey, next: State, ended: Ended) {
+    fn complete(&self, key: &RecordKey, next: State, completion: Completion) {
         let mut inner = self.inner.borrow_mut();
         let Some(record) = inner.records.get_mut(key) else {
             return;
         };
-        let is_kept = matches!(next, State::Ended(Ended::Answered(_)));
+        let is_stored = matches!(next, State::Completed(Completion::Answered(_)));
         let waiting = match std::mem::replace(&mut record.state, next) {
             State::Running(waiting) => waiting,
-            State::Idle | State::Ended(_) => Vec::new(),
+            State::Idle | State::Completed(_) => Vec::new(),
         };
-        if is_kept && let Ended::Answered(answer) = &ended {
-            inner.answer_bytes += answer.weight();
-            inner.answers.push_back(key.clone());
-            inner.shed_answers(self.limits.answer_bytes);
-            inner.forget_stale_order();
+        if is_stored && let Completion::Answered(response) = &completion {
+            inner.answer_bytes += response.size();
+            inner.response_order.push_back(key.clone());
+            inner.evict_responses(self.limits.answer_bytes);
+            inner.prune_response_order();
         }
         drop(inner);
         for tx in waiting {
             // A caller that has left needs no answer.
-            let _ = tx.send(ended.clone());
+            let _ = tx.send(completion.clone());
         }
     }
 }
@@ -225,67 +225,67 @@
 impl Inner {
     fn remove(&mut self, key: &RecordKey) {
         if let Some(Record {
-            state: State::Ended(Ended::Answered(answer)),
+            state: State::Completed(Completion::Answered(response)),
             ..
         }) = self.records.remove(key)
         {
-            self.answer_bytes -= answer.weight();
+            self.answer_bytes -= response.size();
         }
     }
 
     /// Drops places in the order of answers whose records are gone, once they are most of it.
-    fn forget_stale_order(&mut self) {
+    fn prune_response_order(&mut self) {
         const SLACK: usize = 64;
-        if self.answers.len() > 2 * self.records.len() + SLACK {
+        if self.response_order.len() > 2 * self.records.len() + SLACK {
             let records = &self.records;
-            self.answers.retain(|key| records.contains_key(key));
+            self.response_order.retain(|key| records.contains_key(key));
         }
     }
 
     /// Lets the oldest answers go until those left fit; their records stay.
-    fn shed_answers(&mut self, max: usize) {
+    fn evict_responses(&mut self, max: usize) {
         while self.answer_bytes > max {
-            let Some(oldest) = self.answers.pop_front() else {
+            let Some(oldest) = self.response_order.pop_front() else {
                 return;
             };
             let Some(record) = self.records.get_mut(&oldest) else {
                 continue;
             };
-            if let State::Ended(Ended::Answered(answer)) = &record.state {
-                self.answer_bytes -= answer.weight();
-                record.state = State::Ended(Ended::NotKept);
+            if let State::Completed(Completion::Answered(response)) = &record.state {
+                self.answer_bytes -= response.size();
+                record.state = State::Completed(Completion::NotKept);
             }
         }
     }
 }
 
-impl Run {
-    /// Records how the request ended and tells those that wait.
-    pub fn end(mut self, ended: Ended) {
-        self.ended = true;
-        let next = State::Ended(ended.clone());
-        self.memory.end(&self.key, next, ended);
+impl RunGuard {
+    /// Records how the request completion and tells those that wait.
+    pub fn complete(mut self, completion: Completion) {
+        self.completed = true;
+        let next = State::Completed(completion.clone());
+        self.records.complete(&self.key, next, completion);
     }
 
     /// Records that this incarnation has not run the request, so that a repeat may, and tells
     /// those that wait what they are to answer.
-    pub fn release(mut self, ended: Ended) {
-        self.ended = true;
-        self.memory.end(&self.key, State::Idle, ended);
+    pub fn release(mut self, completion: Completion) {
+        self.completed = true;
+        self.records.complete(&self.key, State::Idle, completion);
     }
 }
 
-impl Drop for Run {
+impl Drop for RunGuard {
     /// A task that is dropped halfway may have sent the request, so it counts as run.
     fn drop(&mut self) {
-        if !self.ended {
+        if !self.completed {
             let refusal = Refusal::unknown(
                 crate::answer::Reason::ConnectionLost,
                 "the request was cut off while it ran",
             );
-            let ended = Ended::Unknown(refusal);
-            self.memory
-                .end(&self.key, State::Ended(ended.clone()), ended);
+            let completion = Completion::Unknown(refusal);
+            self.records
+                .complete(&self.key, State::Completed(completion.clone()), completion);
         }
     }
 }
--- a/crates/gateway/src/once/run.rs
+++ b/crates/gateway/src/once/run.rs
@@ -8,8 +8,8 @@
 use local_sync::oneshot;
 
 use super::claim::{ClaimOutcome, ClaimRequest};
-use super::keep::keep;
-use super::memory::{Begin, Ended, RecordKey, Run};
+use super::records::{BeginOutcome, Completion, RecordKey, RunGuard};
+use super::stored_response::buffer_response;
 use super::ticket::Ticket;
 use crate::answer::{Reason, Refusal};
 use crate::call::Call;
@@ -38,19 +38,19 @@
     ) -> Result<Response, Refusal> {
         let record = RecordKey {
             service: call.service.clone(),
-            text: Arc::clone(&key),
+            key: Arc::clone(&key),
         };
         match Ticket::from_text(&key, &self.tokens) {
             Ok(Some(ticket)) => {
-                self.run_ticket(call, exchange, record, ticket, flight)
+                self.run_with_ticket(call, exchange, record, ticket, flight)
                     .await
             }
-            Ok(None) => self.run_key(call, exchange, record, flight).await,
+            Ok(None) => self.run_with_key(call, exchange, record, flight).await,
             Err(error) => Err(Refusal::not_run(Reason::BadTicket, error.to_string())),
         }
     }
 
-    async fn run_ticket(
+    async fn run_with_ticket(
         self: &Rc<Self>,
         call: Call,
         exchange: Exchange,
@@ -68,19 +68,19 @@
             }
             return self.forward_to_owner(&call, exchange, &ticket.owner).await;
         }
-        // The record of a ticket is dropped when the ticket ends, so whether one that has ended
+        // The record of a ticket is dropped when the ticket ends, so whether one that has completion
         // was used is no longer known.
         if self.cx.clock.now() >= ticket.expires {
-            let detail = "the ticket has ended; whether it was used is no longer known";
+            let detail = "the ticket has completion; whether it was used is no longer known";
             return Err(Refusal::unknown(Reason::TicketExpired, detail));
         }
         match self.records.begin(&record, ticket.expires) {
-            Begin::Run(run) => self.run_here(call, exchange, run, flight).await,
-            other => self.repeat(&call, other).await,
+            BeginOutcome::Run(run) => self.run_here(call, exchange, run, flight).await,
+            other => self.answer_repeat(&call, other).await,
         }
     }
 
-    async fn run_key(
+    async fn run_with_key(
         self: &Rc<Self>,
         mut call: Call,
         exchange: Exchange,
@@ -89,14 +89,14 @@
     ) -> Result<Response, Refusal> {
         if let Some(incarnation) = call.owner_incarnation() {
             let is_here = incarnation == self.cx.own.incarnation;
-            if !is_here || !self.records.knows(&record) {
+            if !is_here || !self.records.contains(&record) {
                 return Err(owner_gone("no record of the request is left here"));
             }
         }
         let until = (self.cx.clock.now() + self.cx.settings.key_retention).max(call.deadline);
         let run = match self.records.begin(&record, until) {
-            Begin::Run(run) => run,
-            other => return self.repeat(&call, other).await,
+            BeginOutcome::Run(run) => run,
+            other => return self.answer_repeat(&call, other).await,
         };
         if call.owner_incarnation().is_some() {
             // The daemon before has read the claim, and it is this one's.
@@ -105,7 +105,7 @@
         let claim = (self.cx.claims.claim)(ClaimRequest {
             account: call.settings().account.clone(),
             service: call.service.clone(),
-            key: record.text.to_string(),
+            key: record.key.to_string(),
             owner: self.cx.own.clone(),
         });
         let claimed = self
@@ -120,13 +120,13 @@
                 self.run_here(call, exchange, run, flight).await
             }
             Some(Ok(ClaimOutcome::Held(owner))) if owner == self.cx.own => {
-                self.run_again(call, exchange, run, flight).await
+                self.rerun_with_claim(call, exchange, run, flight).await
             }
             Some(Ok(ClaimOutcome::Held(owner))) => {
-                self.ask_owner(&call, exchange, run, &owner).await
+                self.run_at_owner(&call, exchange, run, &owner).await
             }
-            Some(Err(error)) => Err(unclaimed(&call, run, &error.to_string())),
-            None => Err(unclaimed(&call, run, "the store did not answer in time")),
+            Some(Err(error)) => Err(claim_failed(&call, run, &error.to_string())),
+            None => Err(claim_failed(&call, run, "the store did not answer in time")),
         }
     }
 
@@ -135,42 +135,42 @@
     /// The claim was made by a try that did not run (its answer was lost, or there was no
     /// room), and the record of that try is still here. Without a record the request may have
     /// run and been forgotten since.
-    async fn run_again(
+    async fn rerun_with_claim(
         self: &Rc<Self>,
         call: Call,
         exchange: Exchange,
-        run: Run,
+        run: RunGuard,
         flight: InFlightGuard,
     ) -> Result<Response, Refusal> {
-        if run.known_unrun {
+        if run.known_not_run {
             return self.run_here(call, exchange, run, flight).await;
         }
         let refusal = owner_gone("the record of the request was dropped");
-        run.end(Ended::Unknown(refusal.clone()));
+        run.complete(Completion::Unknown(refusal.clone()));
         Err(refusal)
     }
 
     /// Hands a request to the daemon that holds its claim. The end is not recorded here: the
     /// owner may only be cut off, and can answer a later repeat.
-    async fn ask_owner(
+    async fn run_at_owner(
         self: &Rc<Self>,
         call: &Call,
         exchange: Exchange,
-        run: Run,
+        run: RunGuard,
         owner: &Member,
     ) -> Result<Response, Refusal> {
         if owner.vm == self.cx.own.vm {
             // An earlier run of this VM held the claim.
             let refusal = owner_gone("the daemon that claimed the request is gone");
-            run.end(Ended::Unknown(refusal.clone()));
+            run.complete(Completion::Unknown(refusal.clone()));
             return Err(refusal);
         }
         let answered = self.forward_to_owner(call, exchange, owner).await;
-        let ended = match &answered {
-            Ok(_) => Ended::Unknown(still_running()),
-            Err(refusal) => Ended::Unknown(refusal.clone()),
+        let completion = match &answered {
+            Ok(_) => Completion::Unknown(still_running()),
+            Err(refusal) => Completion::Unknown(refusal.clone()),
         };
-        run.release(ended);
+        run.release(completion);
         answered
     }
 
@@ -180,7 +180,7 @@
         self: &Rc<Self>,
         call: Call,
         mut exchange: Exchange,
-        run: Run,
+        run: RunGuard,
         flight: InFlightGuard,
     ) -> Result<Response, Refusal> {
         exchange.cancelled = Flag::new();
@@ -190,66 +190,66 @@
             let answered = gateway.run(&call, exchange, flight).await;
             let max = gateway.cx.settings.stored_response_limit;
             // A caller that has left will ask again.
-            let _ = tx.send(record(run, answered, max).await);
+            let _ = tx.send(record_completion(run, answered, max).await);
         });
         let cut_off = || owner_gone("the request was cut off while it ran");
         rx.await.unwrap_or_else(|_| Err(cut_off()))
     }
 
-    /// Answers a request that runs already or has ended.
-    async fn repeat(&self, call: &Call, begin: Begin) -> Result<Response, Refusal> {
-        let ended = match begin {
-            Begin::Repeat(ended) => ended,
-            Begin::Join(rx) => {
+    /// Answers a request that runs already or has completion.
+    async fn answer_repeat(&self, call: &Call, begin: BeginOutcome) -> Result<Response, Refusal> {
+        let completion = match begin {
+            BeginOutcome::Repeat(completion) => completion,
+            BeginOutcome::Join(rx) => {
                 let left = call.time_left(self.cx.clock.now());
                 match self.cx.timer.limit(left, rx).await {
-                    Some(Ok(ended)) => ended,
-                    Some(Err(_)) | None => Ended::Unknown(still_running()),
+                    Some(Ok(completion)) => completion,
+                    Some(Err(_)) | None => Completion::Unknown(still_running()),
                 }
             }
-            Begin::Full | Begin::Run(_) => {
+            BeginOutcome::Full | BeginOutcome::Run(_) => {
                 let detail = "no further request that runs at most once can be remembered";
                 let refusal = Refusal::not_run(Reason::MemoryFull, detail);
                 return Err(refusal.retry_after(MEMORY_RETRY_AFTER));
             }
         };
-        let (name, answer) = match ended {
-            Ended::Answered(kept) => ("answered", Ok(kept.to_response())),
-            Ended::NotKept => ("not-kept", Err(not_kept())),
-            Ended::NotRun(refusal) => ("not-run", Err(refusal)),
-            Ended::Unknown(refusal) => ("unknown", Err(refusal)),
+        let (name, answer) = match completion {
+            Completion::Answered(kept) => ("answered", Ok(kept.to_response())),
+            Completion::NotKept => ("not-kept", Err(not_stored())),
+            Completion::NotRun(refusal) => ("not-run", Err(refusal)),
+            Completion::Unknown(refusal) => ("unknown", Err(refusal)),
         };
         self.metrics.repeat(&call.service, name);
         answer
     }
 }
 
-/// Records how a run ended, and gives the answer of its first caller.
-async fn record(
-    run: Run,
+/// Records how a run completion, and gives the answer of its first caller.
+async fn record_completion(
+    run: RunGuard,
     answered: Result<Response, Refusal>,
     max: usize,
 ) -> Result<Response, Refusal> {
     let response = match answered {
         Ok(response) => response,
         Err(refusal) if refusal.outcome == Outcome::NotRun => {
-            run.release(Ended::NotRun(refusal.clone()));
+            run.release(Completion::NotRun(refusal.clone()));
             return Err(refusal);
         }
         Err(refusal) => {
-            run.end(Ended::Unknown(refusal.clone()));
+            run.complete(Completion::Unknown(refusal.clone()));
             return Err(refusal);
         }
     };
-    match keep(response, max).await {
-        Ok((response, ended)) => {
-            run.end(ended);
+    match buffer_response(response, max).await {
+        Ok((response, completion)) => {
+            run.complete(completion);
             Ok(response)
         }
         Err(error) => {
             let detail = format!("the answer broke off: {error}");
             let refusal = Refusal::unknown(Reason::ConnectionLost, detail);
-            run.end(Ended::Unknown(refusal.clone()));
+            run.complete(Completion::Unknown(refusal.clone()));
             Err(refusal)
         }
     }
@@ -257,15 +257,15 @@
 
 /// Refuses a request whose claim could not be made. Where the caller says that it has sent the
 /// request before, that earlier try may have run, so "not run" would mislead it.
-fn unclaimed(call: &Call, run: Run, cause: &str) -> Refusal {
+fn claim_failed(call: &Call, run: RunGuard, cause: &str) -> Refusal {
     let refusal = match call.attempt {
         0 | 1 => Refusal::not_run(Reason::ClaimFailed, cause),
         _ => Refusal::unknown(Reason::ClaimFailed, cause),
     };
     let refusal = refusal.retry_after(CLAIM_RETRY_AFTER);
     run.release(match refusal.outcome {
-        Outcome::NotRun => Ended::NotRun(refusal.clone()),
-        Outcome::Unknown | Outcome::Answered => Ended::Unknown(refusal.clone()),
+        Outcome::NotRun => Completion::NotRun(refusal.clone()),
+        Outcome::Unknown | Outcome::Answered => Completion::Unknown(refusal.clone()),
     });
     refusal
 }
@@ -274,7 +274,7 @@
     Refusal::unknown(Reason::OwnerGone, detail)
 }
 
-fn not_kept() -> Refusal {
+fn not_stored() -> Refusal {
     let detail = "the request ran and was answered; the answer is no longer held";
     Refusal::unknown(Reason::AnswerNotKept, detail)
 }
--- a/crates/gateway/src/once/keep.rs
+++ b/crates/gateway/src/once/stored_response.rs
@@ -4,9 +4,9 @@
 use heatherknot_http::{Body, BodyError, Response};
 use std::rc::Rc;
 
-use super::memory::{Ended, KeptAnswer};
+use super::records::{Completion, StoredResponse};
 
-impl KeptAnswer {
+impl StoredResponse {
     /// Makes the response to a repeat.
     pub fn to_response(&self) -> Response {
         Response {
@@ -23,7 +23,10 @@
 /// # Errors
 ///
 /// Returns an error where the answer broke off in the part that was read.
-pub(super) async fn keep(response: Response, max: usize) -> Result<(Response, Ended), BodyError> {
+pub(super) async fn buffer_response(
+    response: Response,
+    max: usize,
+) -> Result<(Response, Completion), BodyError> {
     let Response {
         status,
         headers,
@@ -35,29 +38,29 @@
         match body.next_chunk().await.transpose()? {
             Some(chunk) => start.extend_from_slice(&chunk),
             None => {
-                let kept = Rc::new(KeptAnswer {
+                let kept = Rc::new(StoredResponse {
                     status,
                     headers,
                     body: start.freeze(),
                 });
-                return Ok((kept.to_response(), Ended::Answered(kept)));
+                return Ok((kept.to_response(), Completion::Answered(kept)));
             }
         }
     }
     let body = match start.is_empty() {
         true => body,
-        false => joined(start.freeze(), body),
+        false => prepend(start.freeze(), body),
     };
     let response = Response {
         status,
         headers,
         body,
     };
-    Ok((response, Ended::NotKept))
+    Ok((response, Completion::NotKept))
 }
 
 /// Makes the body that begins with `start` and goes on with `rest`.
-fn joined(start: Bytes, mut rest: Body) -> Body {
+fn prepend(start: Bytes, mut rest: Body) -> Body {
     let len = rest.known_len().map(|len| len + start.len() as u64);
     let (mut tx, body) = Body::channel_with_len(len);
     monoio::spawn(async move {
--- a/crates/gateway/src/queues.rs
+++ b/crates/gateway/src/queues.rs
@@ -9,7 +9,7 @@
 use slotmap::{SlotMap, new_key_type};
 
 /// Interactive turns after which a bulk request that waits gets one.
-const TURNS_PER_BULK: u32 = 8;
+const INTERACTIVE_TURNS_PER_BULK: u32 = 8;
 
 new_key_type! {
     struct Position;
@@ -18,24 +18,24 @@
 /// The queues of every service of one daemon.
 #[derive(Debug, Default)]
 pub struct RequestQueues {
-    lines: RefCell<HashMap<ServiceName, Line>>,
+    services: RefCell<HashMap<ServiceName, ServiceQueues>>,
 }
 
 #[derive(Debug, Default)]
-struct Line {
-    waiting: SlotMap<Position, Flag>,
+struct ServiceQueues {
+    wakeups: SlotMap<Position, Flag>,
     order: [VecDeque<Position>; Class::ALL.len()],
-    turns: u32,
+    interactive_turns: u32,
 }
 
 /// A request's position in a queue. Dropping it leaves the queue.
 #[derive(Debug)]
 pub struct QueueEntry {
-    lines: Rc<RequestQueues>,
+    queues: Rc<RequestQueues>,
     service: ServiceName,
     class: Class,
     position: Position,
-    turn: Flag,
+    wakeup: Flag,
 }
 
 impl RequestQueues {
@@ -46,19 +46,21 @@
 
     /// Gives the number of requests that wait.
     pub fn len(&self, service: &ServiceName, class: Class) -> usize {
-        let lines = self.lines.borrow();
-        lines.get(service).map_or(0, |line| line.queue(class).len())
+        let services = self.services.borrow();
+        services
+            .get(service)
+            .map_or(0, |queues| queues.queue(class).len())
     }
 
     /// Says whether a new request of `class` has to wait behind others.
     pub fn has_waiting_ahead(&self, service: &ServiceName, class: Class) -> bool {
-        let lines = self.lines.borrow();
-        let Some(line) = lines.get(service) else {
+        let services = self.services.borrow();
+        let Some(queues) = services.get(service) else {
             return false;
         };
         Class::ALL
             .into_iter()
-            .any(|other| other <= class && !line.queue(other).is_empty())
+            .any(|other| other <= class && !queues.queue(other).is_empty())
     }
 
     /// Joins the end of a queue, unless `max` requests wait there.
@@ -68,45 +70,45 @@
         class: Class,
         max: usize,
     ) -> Option<QueueEntry> {
-        let mut lines = self.lines.borrow_mut();
-        let line = lines.entry(service.clone()).or_default();
-        if line.queue(class).len() >= max {
+        let mut services = self.services.borrow_mut();
+        let queues = services.entry(service.clone()).or_default();
+        if queues.queue(class).len() >= max {
             return None;
         }
-        let turn = Flag::new();
-        let position = line.waiting.insert(turn.clone());
-        line.order[index(class)].push_back(position);
+        let wakeup = Flag::new();
+        let position = queues.wakeups.insert(wakeup.clone());
+        queues.order[index(class)].push_back(position);
         Some(QueueEntry {
-            lines: Rc::clone(self),
+            queues: Rc::clone(self),
             service: service.clone(),
             class,
             position,
-            turn,
+            wakeup,
         })
     }
 
     /// Lets the next request of every service look whether there is room.
     pub fn wake_all(&self) {
-        for line in self.lines.borrow().values() {
-            line.wake_next();
+        for queues in self.services.borrow().values() {
+            queues.wake_next();
         }
     }
 
     fn leave(&self, service: &ServiceName, class: Class, position: Position) {
-        let mut lines = self.lines.borrow_mut();
-        let Some(line) = lines.get_mut(service) else {
+        let mut services = self.services.borrow_mut();
+        let Some(queues) = services.get_mut(service) else {
             return;
         };
-        line.waiting.remove(position);
-        line.order[index(class)].retain(|other| *other != position);
-        line.wake_next();
-        if line.waiting.is_empty() {
-            lines.remove(service);
+        queues.wakeups.remove(position);
+        queues.order[index(class)].retain(|other| *other != position);
+        queues.wake_next();
+        if queues.wakeups.is_empty() {
+            services.remove(service);
         }
     }
 }
 
-impl Line {
+impl ServiceQueues {
     fn queue(&self, class: Class) -> &VecDeque<Position> {
         &self.order[index(class)]
     }
@@ -116,23 +118,23 @@
     fn next(&self) -> Option<Position> {
         let interactive = self.queue(Class::Interactive).front();
         let bulk = self.queue(Class::Bulk).front();
-        match self.turns >= TURNS_PER_BULK {
+        match self.interactive_turns >= INTERACTIVE_TURNS_PER_BULK {
             true => bulk.or(interactive).copied(),
             false => interactive.or(bulk).copied(),
         }
     }
 
     fn wake_next(&self) {
-        if let Some(turn) = self.next().and_then(|next| self.waiting.get(next)) {
-            turn.fire();
+        if let Some(wakeup) = self.next().and_then(|next| self.wakeups.get(next)) {
+            wakeup.fire();
         }
     }
 
     fn count_turn(&mut self, class: Class) {
-        self.turns = match class {
+        self.interactive_turns = match class {
             Class::Bulk => 0,
             Class::Interactive if self.queue(Class::Bulk).is_empty() => 0,
-            Class::Interactive => self.turns + 1,
+            Class::Interactive => self.interactive_turns + 1,
         };
     }
 }
@@ -140,23 +142,23 @@
 impl QueueEntry {
     /// Says whether it is this request's turn.
     pub fn is_next(&self) -> bool {
-        let lines = self.lines.lines.borrow();
-        lines
+        let services = self.queues.services.borrow();
+        services
             .get(&self.service)
-            .is_some_and(|line| line.next() == Some(self.position))
+            .is_some_and(|queues| queues.next() == Some(self.position))
     }
 
     /// Gives the event at which this request is to look again, and forgets earlier ones.
     pub fn next_wakeup(&mut self) -> Flag {
-        if self.turn.is_fired() {
-            self.turn = Flag::new();
-            let mut lines = self.lines.lines.borrow_mut();
-            let line = lines.get_mut(&self.service);
-            if let Some(turn) = line.and_then(|line| line.waiting.get_mut(self.position)) {
-                *turn = self.turn.clone();
+        if self.wakeup.is_fired() {
+            self.wakeup = Flag::new();
+            let mut services = self.queues.services.borrow_mut();
+            let queues = services.get_mut(&self.service);
+            if let Some(wakeup) = queues.and_then(|queues| queues.wakeups.get_mut(self.position)) {
+                *wakeup = self.wakeup.clone();
             }
         }
-        self.turn.clone()
+        self.wakeup.clone()
     }
 
     /// Gives up a turn that found no room. A bulk request waits until two slots are free, and
@@ -165,28 +167,28 @@
         if self.class != Class::Bulk {
             return;
         }
-        let mut lines = self.lines.lines.borrow_mut();
-        let Some(line) = lines.get_mut(&self.service) else {
+        let mut services = self.queues.services.borrow_mut();
+        let Some(queues) = services.get_mut(&self.service) else {
             return;
         };
-        line.turns = 0;
-        if line.next() != Some(self.position) {
-            line.wake_next();
+        queues.interactive_turns = 0;
+        if queues.next() != Some(self.position) {
+            queues.wake_next();
         }
     }
 
     /// Leaves the queue because it was this request's turn.
     pub fn dequeue(self) {
-        let mut lines = self.lines.lines.borrow_mut();
-        if let Some(line) = lines.get_mut(&self.service) {
-            line.count_turn(self.class);
+        let mut services = self.queues.services.borrow_mut();
+        if let Some(queues) = services.get_mut(&self.service) {
+            queues.count_turn(self.class);
         }
     }
 }
 
 impl Drop for QueueEntry {
     fn drop(&mut self) {
-        self.lines.leave(&self.service, self.class, self.position);
+        self.queues.leave(&self.service, self.class, self.position);
     }
 }
 
--- a/crates/gateway/src/run.rs
+++ b/crates/gateway/src/run.rs
@@ -58,11 +58,11 @@
         mut exchange: Exchange,
         flight: InFlightGuard,
     ) -> Result<Response, Refusal> {
-        let mut tries = Attempts::new();
+        let mut attempts = Attempts::new();
         let mut flight = Some(flight);
         let mut last: Option<Refusal> = None;
         loop {
-            let admitted = match self.admit(call, tries.made).await {
+            let admitted = match self.admit(call, attempts.made).await {
                 Ok(admitted) => admitted,
                 // What became of the attempt before tells more than why there is no further one.
                 Err(refusal) => return Err(last.unwrap_or(refusal)),
@@ -74,8 +74,15 @@
                     upstream,
                 } => {
                     let chosen = (place, upstream);
-                    self.send_here(call, &mut exchange, &tries, admission, chosen, &mut flight)
-                        .await
+                    self.send_local(
+                        call,
+                        &mut exchange,
+                        &attempts,
+                        admission,
+                        chosen,
+                        &mut flight,
+                    )
+                    .await
                 }
                 Admitted::Remote {
                     admission,
@@ -85,7 +92,7 @@
                     self.forward_under_grant(
                         call,
                         &mut exchange,
-                        &tries,
+                        &attempts,
                         admission,
                         vm,
                         token,
@@ -98,14 +105,14 @@
                 Ok(response) => return Ok(response),
                 Err(failure) => failure,
             };
-            tries.made += 1;
-            if !self.may_retry(call, &exchange, &tries, &failure) {
-                return Err(worse(last, failure.refusal));
+            attempts.made += 1;
+            if !self.may_retry(call, &exchange, &attempts, &failure) {
+                return Err(prefer_unknown(last, failure.refusal));
             }
             self.metrics.retry(&call.service);
-            tries.avoid.extend(failure.avoid);
-            tries.new_connection = failure.stale_connection;
-            last = Some(worse(last, failure.refusal));
+            attempts.avoid.extend(failure.avoid);
+            attempts.new_connection = failure.stale_connection;
+            last = Some(prefer_unknown(last, failure.refusal));
         }
     }
 
@@ -114,24 +121,24 @@
         &self,
         call: &Call,
         exchange: &Exchange,
-        tries: &Attempts,
+        attempts: &Attempts,
         failure: &AttemptFailure,
     ) -> bool {
-        let ran_surely_not = failure.refusal.outcome == Outcome::NotRun;
-        let is_safe = ran_surely_not || !call.at_most_once;
+        let did_not_run = failure.refusal.outcome == Outcome::NotRun;
+        let is_safe_to_repeat = did_not_run || !call.at_most_once;
         let has_time = self.cx.clock.now() < call.deadline;
         failure.retryable
-            && is_safe
+            && is_safe_to_repeat
             && has_time
             && exchange.payload.is_available()
-            && tries.made < self.cx.settings.max_attempts
+            && attempts.made < self.cx.settings.max_attempts
             && !exchange.cancelled.is_fired()
     }
 }
 
 /// Gives the answer that stands after several attempts: one of them may have run the request,
 /// whatever became of the others.
-fn worse(last: Option<Refusal>, refusal: Refusal) -> Refusal {
+fn prefer_unknown(last: Option<Refusal>, refusal: Refusal) -> Refusal {
     match last {
         Some(last) if last.outcome == Outcome::Unknown => last,
         _ => refusal,
--- a/crates/gateway/src/slots/take.rs
+++ b/crates/gateway/src/slots/acquire.rs
@@ -9,7 +9,7 @@
 use snafu::Snafu;
 
 use super::message::{
-    AcquireReply, AcquireSlot, ExtendSlot, LoanId, Member, ReleaseSlot, Tenure, UpstreamKey,
+    AcquireReply, AcquireSlot, ExtendSlot, HomeEpoch, LoanId, Member, ReleaseSlot, UpstreamKey,
 };
 use super::{PeerError, Slots};
 
@@ -63,7 +63,7 @@
     loan: LoanId,
     leaving: Cell<bool>,
     /// Whether the home may have lent the slot.
-    held: Cell<bool>,
+    may_be_lent: Cell<bool>,
 }
 
 impl Slots {
@@ -86,60 +86,64 @@
             return Err(no_home());
         }
         let home = self.home_of(key).ok_or_else(no_home)?;
-        let asked = self.cx.clock.now();
-        let take = AcquireSlot {
+        let asked_at = self.cx.clock.now();
+        let req = AcquireSlot {
             key: key.clone(),
-            loan: self.new_loan(),
+            loan: self.new_loan_id(),
             class: want.class,
             waited: want.waited,
             wait: want.wait,
             term: want.term,
-            known: self.tenures.borrow().get(key).cloned(),
+            known: self.agreed_epochs.borrow().get(key).cloned(),
         };
         let slot = Slot {
             slots: Rc::clone(self),
             key: key.clone(),
-            loan: take.loan.clone(),
+            loan: req.loan.clone(),
             leaving: Cell::new(false),
-            held: Cell::new(true),
+            may_be_lent: Cell::new(true),
         };
-        let tenure = if home == self.cx.own {
-            self.take_here(&take).await
+        let epoch = if home == self.cx.own {
+            self.acquire_local(&req).await
         } else {
-            let lent = self.take_there(&home, take).await;
-            let surely_not = matches!(
+            let lent = self.acquire_remote(&home, req).await;
+            let not_lent = matches!(
                 lent,
                 Err(AcquireError::Busy { .. }
                     | AcquireError::NoHome { .. }
                     | AcquireError::Leaving { .. })
             );
-            slot.held.set(!surely_not);
+            slot.may_be_lent.set(!not_lent);
             lent
         }?;
-        self.accept(&slot, tenure, asked + want.term)?;
+        self.accept_loan(&slot, epoch, asked_at + want.term)?;
         Ok(slot)
     }
 
-    async fn take_there(&self, home: &Member, take: AcquireSlot) -> Result<Tenure, AcquireError> {
-        let key = take.key.clone();
-        if self.is_avoided(home) {
+    async fn acquire_remote(
+        &self,
+        home: &Member,
+        req: AcquireSlot,
+    ) -> Result<HomeEpoch, AcquireError> {
+        let key = req.key.clone();
+        if self.is_backed_off(home) {
             return Err(unreachable_home(home, "it gave no answer of late"));
         }
-        let limit = take.wait + self.cx.timing.call_limit;
-        let call = (self.cx.port.acquire)(&home.vm, take);
+        let limit = req.wait + self.cx.timing.call_timeout;
+        let call = (self.cx.port.acquire)(&home.vm, req);
         let reply = match self.cx.timer.limit(limit, call).await {
             Some(Ok(reply)) => reply,
             Some(Err(source)) => {
-                self.avoid(home);
+                self.back_off(home);
                 return Err(AcquireError::Unreachable { source });
             }
             None => {
-                self.avoid(home);
+                self.back_off(home);
                 return Err(unreachable_home(home, "no answer in time"));
             }
         };
         match reply {
-            AcquireReply::Lent(tenure) => Ok(tenure),
+            AcquireReply::Lent(epoch) => Ok(epoch),
             AcquireReply::Busy => Err(AcquireError::Busy { key }),
             AcquireReply::NotHome => Err(AcquireError::NoHome { key }),
             AcquireReply::Leaving => Err(AcquireError::Leaving { key }),
@@ -150,21 +154,21 @@
     ///
     /// Where a cut swallows messages, each request would wait for the whole limit of a call
     /// before it went to an upstream whose home can be reached.
-    fn avoid(&self, home: &Member) {
-        let until = self.cx.clock.now() + self.cx.timing.avoid;
-        self.avoided.borrow_mut().insert(home.clone(), until);
+    fn back_off(&self, home: &Member) {
+        let until = self.cx.clock.now() + self.cx.timing.unreachable_backoff;
+        self.unreachable.borrow_mut().insert(home.clone(), until);
     }
 
-    fn is_avoided(&self, home: &Member) -> bool {
+    fn is_backed_off(&self, home: &Member) -> bool {
         let now = self.cx.clock.now();
-        let mut avoided = self.avoided.borrow_mut();
-        avoided.retain(|_, until| *until > now);
-        avoided.contains_key(home)
+        let mut unreachable = self.unreachable.borrow_mut();
+        unreachable.retain(|_, until| *until > now);
+        unreachable.contains_key(home)
     }
 
     /// Waits for a slot at this VM, whoever borrows it.
-    pub(super) async fn take_here(&self, take: &AcquireSlot) -> Result<Tenure, AcquireError> {
-        let key = &take.key;
+    pub(super) async fn acquire_local(&self, req: &AcquireSlot) -> Result<HomeEpoch, AcquireError> {
+        let key = &req.key;
         let no_home = || AcquireError::NoHome { key: key.clone() };
         let limit = (self.cx.limit)(key);
         if limit == 0 {
@@ -174,31 +178,31 @@
             return Err(no_home());
         }
         let now = self.cx.clock.now();
-        let margin = self.cx.timing.margin;
+        let margin = self.cx.timing.reclaim_margin;
         let taken = self
-            .with_home(key, |home| home.try_take(now, limit, take, margin))
+            .with_home(key, |home| home.try_acquire(now, limit, req, margin))
             .ok_or_else(no_home)?;
-        if let Some(tenure) = taken {
-            return Ok(tenure);
+        if let Some(epoch) = taken {
+            return Ok(epoch);
         }
-        if take.wait == Millis::default() {
+        if req.wait == Millis::default() {
             return Err(AcquireError::Busy { key: key.clone() });
         }
         let rx = self
-            .with_home(key, |home| home.wait(now, take))
+            .with_home(key, |home| home.enqueue(now, req))
             .ok_or_else(no_home)?;
-        self.wait_here(take, rx, now + take.wait).await
+        self.wait_local(req, rx, now + req.wait).await
     }
 
-    async fn wait_here(
+    async fn wait_local(
         &self,
-        take: &AcquireSlot,
-        mut rx: local_sync::oneshot::Receiver<Tenure>,
+        req: &AcquireSlot,
+        mut rx: local_sync::oneshot::Receiver<HomeEpoch>,
         end: Millis,
-    ) -> Result<Tenure, AcquireError> {
-        let key = &take.key;
+    ) -> Result<HomeEpoch, AcquireError> {
+        let key = &req.key;
         loop {
-            self.lend(key);
+            self.lend_free_slots(key);
             let now = self.cx.clock.now();
             if now >= end {
                 return Err(AcquireError::Busy { key: key.clone() });
@@ -208,65 +212,70 @@
             let reclaim = self.with_home(key, |home| home.next_reclaim(now)).flatten();
             let wake = reclaim.filter(|at| *at > now).map_or(end, |at| at.min(end));
             match self.cx.timer.limit(wake.since(now), &mut rx).await {
-                Some(Ok(tenure)) => return Ok(tenure),
+                Some(Ok(epoch)) => return Ok(epoch),
                 Some(Err(_)) => return Err(AcquireError::NoHome { key: key.clone() }),
                 None => {}
             }
         }
     }
 
-    /// Counts a slot lent as in use, unless it was lent under a tenure that this VM has since
+    /// Counts a slot lent as in use, unless it was lent under a epoch that this VM has since
     /// given up.
     ///
     /// A home that lent a slot just before another VM became the home is no longer the one that
     /// counts: the answer is still under way when this VM tells the new home what it uses, and
-    /// the slot would be lent twice. The tenure was recorded in that answer, so the late loan
+    /// the slot would be lent twice. The epoch was recorded in that answer, so the late loan
     /// differs from it and is given back unused. A loan whose term passed meanwhile (a paused
     /// process) is given back as well.
-    fn accept(&self, slot: &Slot, tenure: Tenure, until: Millis) -> Result<(), AcquireError> {
+    fn accept_loan(
+        &self,
+        slot: &Slot,
+        epoch: HomeEpoch,
+        until: Millis,
+    ) -> Result<(), AcquireError> {
         let key = &slot.key;
         let no_home = AcquireError::NoHome { key: key.clone() };
-        let known = self.tenures.borrow().get(key).cloned();
+        let known = self.agreed_epochs.borrow().get(key).cloned();
         match known {
-            Some(known) if known != tenure => return Err(no_home),
+            Some(known) if known != epoch => return Err(no_home),
             Some(_) => {}
-            None if self.home_of(key).as_ref() == Some(&tenure.home) => {
-                self.tenures
+            None if self.home_of(key).as_ref() == Some(&epoch.home) => {
+                self.agreed_epochs
                     .borrow_mut()
-                    .insert(key.clone(), tenure.clone());
+                    .insert(key.clone(), epoch.clone());
             }
             None => return Err(no_home),
         }
-        self.note_lent(key, &tenure);
+        self.record_lending(key, &epoch);
         if self.cx.clock.now() >= until {
             return Err(AcquireError::Busy { key: key.clone() });
         }
-        let mut uses = self.uses.borrow_mut();
-        let of_key = uses.entry(key.clone()).or_default();
-        of_key.insert(slot.loan.clone(), until + self.cx.timing.margin);
+        let mut own_loans = self.own_loans.borrow_mut();
+        let of_key = own_loans.entry(key.clone()).or_default();
+        of_key.insert(slot.loan.clone(), until + self.cx.timing.reclaim_margin);
         Ok(())
     }
 
-    fn forget_use(&self, key: &UpstreamKey, loan: &LoanId) {
-        let mut uses = self.uses.borrow_mut();
-        let Some(of_key) = uses.get_mut(key) else {
+    fn remove_own_loan(&self, key: &UpstreamKey, loan: &LoanId) {
+        let mut own_loans = self.own_loans.borrow_mut();
+        let Some(of_key) = own_loans.get_mut(key) else {
             return;
         };
         of_key.remove(loan);
         if of_key.is_empty() {
-            uses.remove(key);
+            own_loans.remove(key);
         }
     }
 
     /// Tells the home of `key` that the upstream is leaving.
     pub fn report_leaving(self: &Rc<Self>, key: &UpstreamKey) {
-        let none = self.new_loan();
-        self.release(key, &none, true);
+        let unused = self.new_loan_id();
+        self.release(key, &unused, true);
     }
 
     fn release(self: &Rc<Self>, key: &UpstreamKey, loan: &LoanId, leaving: bool) {
-        self.forget_use(key, loan);
-        let give = ReleaseSlot {
+        self.remove_own_loan(key, loan);
+        let release = ReleaseSlot {
             key: key.clone(),
             loan: loan.clone(),
             leaving,
@@ -275,10 +284,10 @@
             return;
         };
         if home == self.cx.own {
-            self.serve_release(&give);
+            self.serve_release(&release);
             return;
         }
-        let call = (self.cx.port.release)(&home.vm, give);
+        let call = (self.cx.port.release)(&home.vm, release);
         monoio::spawn(async move {
             if let Err(error) = call.await {
                 debug!(peer = home.vm.as_str(), error:% = error; "slot not given back; the home reclaims it after its term");
@@ -311,11 +320,11 @@
     /// Prolongs the use of the slot to `term` from now, for an answer still being streamed.
     pub fn extend(&self, term: Millis) {
         let slots = &self.slots;
-        let until = slots.cx.clock.now() + term + slots.cx.timing.margin;
-        if let Some(of_key) = slots.uses.borrow_mut().get_mut(&self.key) {
+        let until = slots.cx.clock.now() + term + slots.cx.timing.reclaim_margin;
+        if let Some(of_key) = slots.own_loans.borrow_mut().get_mut(&self.key) {
             of_key.insert(self.loan.clone(), until);
         }
-        let keep = ExtendSlot {
+        let extend = ExtendSlot {
             key: self.key.clone(),
             loan: self.loan.clone(),
             term,
@@ -324,10 +333,10 @@
             return;
         };
         if home == slots.cx.own {
-            slots.serve_extend(keep);
+            slots.serve_extend(extend);
             return;
         }
-        let call = (slots.cx.port.extend)(&home.vm, keep);
+        let call = (slots.cx.port.extend)(&home.vm, extend);
         monoio::spawn(async move {
             if let Err(error) = call.await {
                 debug!(peer = home.vm.as_str(), error:% = error; "slot not prolonged");
@@ -338,7 +347,7 @@
 
 impl Drop for Slot {
     fn drop(&mut self) {
-        if self.held.get() {
+        if self.may_be_lent.get() {
             self.slots
                 .release(&self.key, &self.loan, self.leaving.get());
         }
--- a/crates/gateway/src/slots/message.rs
+++ b/crates/gateway/src/slots/message.rs
@@ -44,7 +44,7 @@
 
 /// The time in which one VM is the home of an upstream.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Tenure {
+pub struct HomeEpoch {
     /// The home.
     #[serde(rename = "h")]
     pub home: Member,
@@ -85,17 +85,17 @@
     /// How long the slot is used at most, counted by the borrower from before it asked.
     #[serde(rename = "t")]
     pub term: Millis,
-    /// The tenure under which the borrower takes slots of the upstream.
+    /// The epoch under which the borrower takes slots of the upstream.
     #[serde(rename = "p", default, skip_serializing_if = "Option::is_none")]
-    pub known: Option<Tenure>,
+    pub known: Option<HomeEpoch>,
 }
 
 /// The answer to [`AcquireSlot`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum AcquireReply {
-    /// The slot is lent under this tenure.
+    /// The slot is lent under this epoch.
     #[serde(rename = "l")]
-    Lent(Tenure),
+    Lent(HomeEpoch),
     /// No slot came free in the time given.
     #[serde(rename = "b")]
     Busy,
@@ -154,7 +154,7 @@
 pub enum AdoptReply {
     /// The receiver uses these slots, and will take no other except from the new home.
     #[serde(rename = "a")]
-    Adopted(Vec<KeyState>),
+    Adopted(Vec<UpstreamState>),
     /// The receiver knows of newer members.
     #[serde(rename = "n")]
     Newer(Members),
@@ -162,16 +162,16 @@
 
 /// What one VM knows of the use of one upstream.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct KeyState {
+pub struct UpstreamState {
     /// The upstream.
     #[serde(rename = "u")]
     pub key: UpstreamKey,
-    /// The newest tenure under which the VM has seen slots lent.
+    /// The newest epoch under which the VM has seen slots lent.
     #[serde(rename = "p", default, skip_serializing_if = "Option::is_none")]
-    pub previous: Option<Tenure>,
+    pub previous: Option<HomeEpoch>,
     /// The slots in use that the VM answers for.
     #[serde(rename = "l", default, skip_serializing_if = "Vec::is_empty")]
-    pub loans: Vec<LoanLeft>,
+    pub loans: Vec<ActiveLoan>,
     /// How much longer slots of a VM that is gone must be kept free.
     #[serde(rename = "w", default)]
     pub held: Millis,
@@ -179,7 +179,7 @@
 
 /// A slot in use and for how much longer at most.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct LoanLeft {
+pub struct ActiveLoan {
     /// The name of the use.
     #[serde(rename = "l")]
     pub loan: LoanId,
--- a/crates/gateway/src/slots/mod.rs
+++ b/crates/gateway/src/slots/mod.rs
@@ -9,13 +9,13 @@
 //! said that it takes slots of that upstream from nobody else. A VM that can't be asked holds
 //! this up until the ledger no longer lists it.
 
+mod acquire;
 mod adopt;
 mod home;
 mod members;
 mod message;
 mod port;
 mod serve;
-mod take;
 
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, HashSet};
@@ -24,40 +24,40 @@
 
 use heatherknot_types::prelude::*;
 
+pub use acquire::{AcquireError, Slot, SlotRequest};
 pub use home::Home;
 pub use message::{
-    AcquireReply, AcquireSlot, AdoptReply, AdoptSlots, ExtendSlot, KeyState, LoanId, LoanLeft,
-    Member, Members, ReleaseSlot, Tenure, UpstreamKey,
+    AcquireReply, AcquireSlot, ActiveLoan, AdoptReply, AdoptSlots, ExtendSlot, HomeEpoch, LoanId,
+    Member, Members, ReleaseSlot, UpstreamKey, UpstreamState,
 };
 pub use port::{PeerCall, PeerError, SlotPort};
-pub use take::{AcquireError, Slot, SlotRequest};
 
 /// Spans that the sharing of slots uses.
 #[derive(Clone, Copy, Debug)]
 pub struct SlotTiming {
     /// How long after the end of its term a slot is taken back from a VM that has not given
     /// it back: for messages under way and clocks that run at different speeds.
-    pub margin: Millis,
+    pub reclaim_margin: Millis,
     /// How long a new home keeps the slots free that a VM which is gone may have used. Backend
     /// servers that see closed connections free their slots at once; where a VM's loss leaves
     /// connections silent, this is to be the longest deadline.
     pub orphan_hold: Millis,
     /// The time between two tries to reach a VM that must let go.
-    pub adopt_retry: Millis,
+    pub adopt_retry_interval: Millis,
     /// Longest time for a call to another VM and back, besides the time that the call waits there.
-    pub call_limit: Millis,
+    pub call_timeout: Millis,
     /// How long a home that gave no answer is not asked again.
-    pub avoid: Millis,
+    pub unreachable_backoff: Millis,
 }
 
 impl Default for SlotTiming {
     fn default() -> Self {
         Self {
-            margin: Millis(1_000),
+            reclaim_margin: Millis(1_000),
             orphan_hold: Millis(2_000),
-            adopt_retry: Millis(200),
-            call_limit: Millis(200),
-            avoid: Millis(1_000),
+            adopt_retry_interval: Millis(200),
+            call_timeout: Millis(200),
+            unreachable_backoff: Millis(1_000),
         }
     }
 }
@@ -90,14 +90,14 @@
     members: RefCell<Members>,
     homes: RefCell<HashMap<UpstreamKey, Home>>,
     adopting: RefCell<HashMap<UpstreamKey, HashSet<LoanId>>>,
-    /// The tenure that this VM has agreed to, which may never begin.
-    tenures: RefCell<HashMap<UpstreamKey, Tenure>>,
-    /// The newest tenure under which this VM has seen slots lent.
-    lent_under: RefCell<HashMap<UpstreamKey, Tenure>>,
-    uses: RefCell<HashMap<UpstreamKey, HashMap<LoanId, Millis>>>,
-    wanted: RefCell<HashSet<UpstreamKey>>,
+    /// The epoch that this VM has agreed to, which may never begin.
+    agreed_epochs: RefCell<HashMap<UpstreamKey, HomeEpoch>>,
+    /// The newest epoch under which this VM has seen slots lent.
+    last_lending_epoch: RefCell<HashMap<UpstreamKey, HomeEpoch>>,
+    own_loans: RefCell<HashMap<UpstreamKey, HashMap<LoanId, Millis>>>,
+    upstreams: RefCell<HashSet<UpstreamKey>>,
     /// Homes that gave no answer of late, and until when they are not asked.
-    avoided: RefCell<HashMap<Member, Millis>>,
+    unreachable: RefCell<HashMap<Member, Millis>>,
     next_loan: Cell<u64>,
 }
 
@@ -109,11 +109,11 @@
             members: RefCell::default(),
             homes: RefCell::default(),
             adopting: RefCell::default(),
-            tenures: RefCell::default(),
-            lent_under: RefCell::default(),
-            uses: RefCell::default(),
-            wanted: RefCell::default(),
-            avoided: RefCell::default(),
+            agreed_epochs: RefCell::default(),
+            last_lending_epoch: RefCell::default(),
+            own_loans: RefCell::default(),
+            upstreams: RefCell::default(),
+            unreachable: RefCell::default(),
             next_loan: Cell::new(0),
         })
     }
@@ -132,7 +132,7 @@
     pub fn on_upstreams(self: &Rc<Self>, keys: HashSet<UpstreamKey>) {
         // An upstream that comes back is counted anew from what the VMs then use.
         self.homes.borrow_mut().retain(|key, _| keys.contains(key));
-        *self.wanted.borrow_mut() = keys;
+        *self.upstreams.borrow_mut() = keys;
         self.adopt_missing();
     }
 
@@ -166,7 +166,7 @@
 
     /// Gives the number of slots of `key` that this VM uses.
     pub fn own_use(&self, key: &UpstreamKey) -> usize {
-        self.uses.borrow().get(key).map_or(0, HashMap::len)
+        self.own_loans.borrow().get(key).map_or(0, HashMap::len)
     }
 
     /// Gives the number of slots of `key` that are lent, where this VM is the home.
@@ -174,7 +174,7 @@
         self.homes.borrow().get(key).map(Home::in_use)
     }
 
-    /// Ends the tenures that the members in force no longer give to this VM.
+    /// Ends the agreed_epochs that the members in force no longer give to this VM.
     ///
     /// A VM that is not listed is not asked to let go. It would lend beside the next home as
     /// soon as it is listed again, and both would lend the same slots.
@@ -185,15 +185,15 @@
         }
     }
 
-    /// Remembers that slots of `key` are lent under `tenure`.
-    fn note_lent(&self, key: &UpstreamKey, tenure: &Tenure) {
-        let mut lent_under = self.lent_under.borrow_mut();
-        if lent_under.get(key) != Some(tenure) {
-            lent_under.insert(key.clone(), tenure.clone());
+    /// Remembers that slots of `key` are lent under `epoch`.
+    fn record_lending(&self, key: &UpstreamKey, epoch: &HomeEpoch) {
+        let mut last_lending_epoch = self.last_lending_epoch.borrow_mut();
+        if last_lending_epoch.get(key) != Some(epoch) {
+            last_lending_epoch.insert(key.clone(), epoch.clone());
         }
     }
 
-    fn new_loan(&self) -> LoanId {
+    fn new_loan_id(&self) -> LoanId {
         let number = self.next_loan.get();
         self.next_loan.set(number + 1);
         LoanId {
@@ -208,13 +208,13 @@
     }
 
     /// Lends what is free to those that wait for `key`.
-    fn lend(&self, key: &UpstreamKey) {
+    fn lend_free_slots(&self, key: &UpstreamKey) {
         let limit = (self.cx.limit)(key);
         let now = self.cx.clock.now();
-        let margin = self.cx.timing.margin;
+        let margin = self.cx.timing.reclaim_margin;
         self.with_home(key, |home| match limit {
-            0 => home.turn_away(),
-            _ => home.lend_to_waiting(now, limit, margin),
+            0 => home.reject_waiters(),
+            _ => home.lend_to_waiters(now, limit, margin),
         });
     }
 }
--- a/crates/gateway/src/slots/serve.rs
+++ b/crates/gateway/src/slots/serve.rs
@@ -6,46 +6,46 @@
 use heatherknot_types::prelude::*;
 
 use super::Slots;
+use super::acquire::AcquireError;
 use super::message::{
-    AcquireReply, AcquireSlot, AdoptReply, AdoptSlots, ExtendSlot, KeyState, LoanId, LoanLeft,
-    Members, ReleaseSlot, Tenure, UpstreamKey,
+    AcquireReply, AcquireSlot, ActiveLoan, AdoptReply, AdoptSlots, ExtendSlot, HomeEpoch, LoanId,
+    Members, ReleaseSlot, UpstreamKey, UpstreamState,
 };
-use super::take::AcquireError;
 
 /// Takes a loan back where the message that lends it is never sent: the connection to the
 /// borrower broke while it waited, so the borrower does not know of the loan.
-struct Undelivered<'a> {
+struct UndeliveredLoan<'a> {
     slots: &'a Rc<Slots>,
-    give: Option<ReleaseSlot>,
+    release: Option<ReleaseSlot>,
 }
 
-impl Drop for Undelivered<'_> {
+impl Drop for UndeliveredLoan<'_> {
     fn drop(&mut self) {
-        if let Some(give) = self.give.take() {
-            self.slots.serve_release(&give);
+        if let Some(release) = self.release.take() {
+            self.slots.serve_release(&release);
         }
     }
 }
 
 impl Slots {
     /// Answers a VM that asks for a slot.
-    pub async fn serve_acquire(self: &Rc<Self>, take: AcquireSlot) -> AcquireReply {
-        let mut undelivered = Undelivered {
+    pub async fn serve_acquire(self: &Rc<Self>, req: AcquireSlot) -> AcquireReply {
+        let mut undelivered = UndeliveredLoan {
             slots: self,
-            give: Some(ReleaseSlot {
-                key: take.key.clone(),
-                loan: take.loan.clone(),
+            release: Some(ReleaseSlot {
+                key: req.key.clone(),
+                loan: req.loan.clone(),
                 leaving: false,
             }),
         };
-        if self.differs(&take) {
-            self.readopt(&take.key);
+        if self.has_stale_epoch(&req) {
+            self.readopt(&req.key);
             return AcquireReply::NotHome;
         }
-        match self.take_here(&take).await {
-            Ok(tenure) => {
-                undelivered.give = None;
-                AcquireReply::Lent(tenure)
+        match self.acquire_local(&req).await {
+            Ok(epoch) => {
+                undelivered.release = None;
+                AcquireReply::Lent(epoch)
             }
             Err(AcquireError::Busy { .. }) => AcquireReply::Busy,
             Err(AcquireError::Leaving { .. }) => AcquireReply::Leaving,
@@ -55,14 +55,14 @@
         }
     }
 
-    /// Says whether the borrower takes slots under another tenure than this VM's.
+    /// Says whether the borrower takes slots under another epoch than this VM's.
     ///
     /// It does where a VM began to become the home, got the borrower's word, and was overtaken
     /// by further changes that this VM never saw. The borrower would refuse every loan.
-    fn differs(&self, take: &AcquireSlot) -> bool {
+    fn has_stale_epoch(&self, req: &AcquireSlot) -> bool {
         let homes = self.homes.borrow();
-        match (&take.known, homes.get(&take.key)) {
-            (Some(known), Some(home)) => home.lending && *known != home.tenure,
+        match (&req.known, homes.get(&req.key)) {
+            (Some(known), Some(home)) => home.lending && *known != home.epoch,
             _ => false,
         }
     }
@@ -73,21 +73,21 @@
     }
 
     /// Takes a slot back.
-    pub fn serve_release(&self, give: &ReleaseSlot) {
-        if give.leaving {
-            (self.cx.on_leaving)(&give.key);
+    pub fn serve_release(&self, release: &ReleaseSlot) {
+        if release.leaving {
+            (self.cx.on_leaving)(&release.key);
         }
-        if let Some(given) = self.adopting.borrow_mut().get_mut(&give.key) {
-            given.insert(give.loan.clone());
+        if let Some(released) = self.adopting.borrow_mut().get_mut(&release.key) {
+            released.insert(release.loan.clone());
         }
-        self.with_home(&give.key, |home| home.give(&give.loan));
-        self.lend(&give.key);
+        self.with_home(&release.key, |home| home.release(&release.loan));
+        self.lend_free_slots(&release.key);
     }
 
     /// Prolongs the use of a slot.
-    pub fn serve_extend(&self, keep: ExtendSlot) {
-        let until = self.cx.clock.now() + keep.term + self.cx.timing.margin;
-        self.with_home(&keep.key, |home| home.keep(keep.loan, until));
+    pub fn serve_extend(&self, extend: ExtendSlot) {
+        let until = self.cx.clock.now() + extend.term + self.cx.timing.reclaim_margin;
+        self.with_home(&extend.key, |home| home.extend(extend.loan, until));
     }
 
     /// Lets go of upstreams for a VM that becomes their home.
@@ -95,37 +95,37 @@
         if adopt.members.version < self.version() {
             return AdoptReply::Newer(self.members.borrow().clone());
         }
-        let tenure = Tenure {
+        let epoch = HomeEpoch {
             home: adopt.home.clone(),
             version: adopt.members.version,
         };
         self.on_members(adopt.members.clone());
-        let named = adopt
+        let owned = adopt
             .keys
             .into_iter()
             .filter(|key| adopt.members.home_of(key) == Some(&adopt.home));
-        let states = named
-            .map(|key| self.let_go(key, &tenure, &adopt.members))
+        let states = owned
+            .map(|key| self.relinquish(key, &epoch, &adopt.members))
             .collect();
         AdoptReply::Adopted(states)
     }
 
-    /// Ends this VM's own tenure of `key`, where it has one, and takes slots from `tenure`
+    /// Ends this VM's own epoch of `key`, where it has one, and takes slots from `epoch`
     /// alone from here on.
-    fn let_go(&self, key: UpstreamKey, tenure: &Tenure, members: &Members) -> KeyState {
+    fn relinquish(&self, key: UpstreamKey, epoch: &HomeEpoch, members: &Members) -> UpstreamState {
         let now = self.cx.clock.now();
-        self.tenures
+        self.agreed_epochs
             .borrow_mut()
-            .insert(key.clone(), tenure.clone());
-        let previous = self.lent_under.borrow().get(&key).cloned();
-        let mut loans = self.own_loans(&key, now);
+            .insert(key.clone(), epoch.clone());
+        let previous = self.last_lending_epoch.borrow().get(&key).cloned();
+        let mut loans = self.own_active_loans(&key, now);
         let mut held = Millis::default();
         if let Some(home) = self.homes.borrow_mut().remove(&key) {
             // The VMs listed answer for their own loans; those of others would be forgotten.
-            loans.extend(home.loans_left(now, |loan| !members.contains(&loan.borrower)));
+            loans.extend(home.active_loans(now, |loan| !members.contains(&loan.borrower)));
             held = home.held_until().since(now);
         }
-        KeyState {
+        UpstreamState {
             key,
             previous,
             loans,
@@ -133,18 +133,22 @@
         }
     }
 
-    pub(super) fn own_loans(&self, key: &UpstreamKey, now: Millis) -> Vec<LoanLeft> {
-        let uses = self.uses.borrow();
-        let of_key = uses.get(key).into_iter().flatten();
-        let left = |(loan, until): (&LoanId, &Millis)| LoanLeft {
+    pub(super) fn own_active_loans(&self, key: &UpstreamKey, now: Millis) -> Vec<ActiveLoan> {
+        let own_loans = self.own_loans.borrow();
+        let of_key = own_loans.get(key).into_iter().flatten();
+        let left = |(loan, until): (&LoanId, &Millis)| ActiveLoan {
             loan: loan.clone(),
             left: until.since(now),
         };
         of_key.map(left).collect()
     }
 
-    pub(super) fn loans_of(&self, states: &[KeyState], now: Millis) -> HashMap<LoanId, Millis> {
-        let margin = self.cx.timing.margin;
+    pub(super) fn reclaim_times(
+        &self,
+        states: &[UpstreamState],
+        now: Millis,
+    ) -> HashMap<LoanId, Millis> {
+        let margin = self.cx.timing.reclaim_margin;
         let left = states.iter().flat_map(|state| state.loans.iter());
         left.map(|loan| (loan.loan.clone(), now + loan.left + margin))
             .collect()
--- a/crates/gateway/src/wait_estimator.rs
+++ b/crates/gateway/src/wait_estimator.rs
@@ -6,23 +6,23 @@
 use heatherknot_types::prelude::*;
 
 /// How much of a new span goes into the smoothed one.
-const GAIN: f64 = 0.1;
+const SMOOTHING: f64 = 0.1;
 
 /// The usual spans of every service.
 #[derive(Debug, Default)]
 pub(crate) struct WaitEstimator {
-    usual: RefCell<HashMap<ServiceName, f64>>,
+    smoothed_ms: RefCell<HashMap<ServiceName, f64>>,
 }
 
 impl WaitEstimator {
     /// Notes that a request of `service` was in progress for `span`.
     pub(crate) fn record(&self, service: &ServiceName, span: Millis) {
         let span = span.0 as f64;
-        let mut usual = self.usual.borrow_mut();
-        match usual.get_mut(service) {
-            Some(usual) => *usual += (span - *usual) * GAIN,
+        let mut smoothed = self.smoothed_ms.borrow_mut();
+        match smoothed.get_mut(service) {
+            Some(smoothed) => *smoothed += (span - *smoothed) * SMOOTHING,
             None => {
-                usual.insert(service.clone(), span);
+                smoothed.insert(service.clone(), span);
             }
         }
     }
@@ -35,10 +35,12 @@
         ahead: usize,
         slots: usize,
     ) -> Millis {
-        let usual = self.usual.borrow().get(service).copied();
-        match (usual, slots) {
+        let smoothed = self.smoothed_ms.borrow().get(service).copied();
+        match (smoothed, slots) {
             (None, _) | (_, 0) => Millis::default(),
-            (Some(usual), slots) => Millis((usual * (ahead + 1) as f64 / slots as f64) as u64),
+            (Some(smoothed), slots) => {
+                Millis((smoothed * (ahead + 1) as f64 / slots as f64) as u64)
+            }
         }
     }
 }
