--- a/crates/gateway/src/local.rs
+++ b/crates/gateway/src/local.rs
@@ -1,4 +1,4 @@
-//! One attempt at a backend server of this failure domain.
+//! One attempt to send a request to a backend server of this failure domain.
 
 use std::pin::pin;
 use std::rc::Rc;
@@ -23,17 +23,17 @@
 use crate::run::{AttemptFailure, Attempts};
 use crate::slots::{AcquireError, Slot, SlotRequest, UpstreamKey};
 
-/// How soon to ask again for slots whose homes were not ready.
+/// Interval between acquisitions while the homes of the slots are not ready.
 const HOME_RETRY_INTERVAL: Millis = Millis(20);
-/// How long to go on asking.
+/// How long to retry while the homes of the slots are not ready.
 const HOME_RETRY_LIMIT: Millis = Millis(1_000);
-/// How long the home's word that it lends no slots is believed without asking again.
+/// How long an upstream counts as leaving after its home reported so, without asking again.
 const HOME_LEAVING_TTL: Millis = Millis(1_000);
-/// When a caller may come back after its backend server failed or took nothing new.
+/// Retry interval for a caller whose backend server failed or takes no new work.
 const RETRY_AFTER_FAILURE: Millis = Millis(1_000);
 
 impl Gateway {
-    /// Sends a request to a backend server of `chosen.0`, by preference to `chosen.1`.
+    /// Sends a request to a backend server in the place `chosen.0`, preferably to `chosen.1`.
     pub(crate) async fn send_local(
         self: &Rc<Self>,
         call: &Call,
@@ -53,7 +53,7 @@
             steering.reassign(admission.ticket(), &upstream.name);
         }
         let now = self.cx.clock.now();
-        // The wait may have used up the time, or the upstream may have begun to leave.
+        // The wait for the slot may have used up the time.
         if now >= call.deadline {
             return Err(not_attempted(deadline_passed()));
         }
@@ -93,7 +93,7 @@
             })
     }
 
-    /// Lists the upstreams of the place, the chosen one first and those that failed last.
+    /// Returns the upstreams of the place, the chosen one first and those that failed last.
     fn candidates(
         &self,
         call: &Call,
@@ -108,8 +108,8 @@
         candidates
     }
 
-    /// Takes a slot of one of the candidates: a free one in their order, or else the first
-    /// that comes free.
+    /// Acquires a slot of one of the candidates: a free one in their order, or else the first
+    /// that becomes free.
     async fn acquire_slot(
         &self,
         call: &Call,
@@ -200,7 +200,7 @@
             Ok(slot) => slot,
             Err(error) => {
                 if matches!(error, AcquireError::Leaving { .. }) {
-                    // Spares the next requests the way to the home in vain.
+                    // Spares the next requests a futile call to the home.
                     let until = self.cx.clock.now() + HOME_LEAVING_TTL;
                     self.mark_leaving(&key, LeavingSource::Home, Some(until));
                 }
@@ -208,13 +208,13 @@
             }
         };
         if self.slot_limit(&key) == 0 {
-            // It began to leave while the request waited.
+            // The upstream began to leave while the request waited.
             return Err(AcquireError::Leaving { key });
         }
         Ok((upstream.clone(), slot))
     }
 
-    /// Makes the head that the next server gets, with the time left and the attempt.
+    /// Returns the head for the next server, with the time left and the attempt number.
     pub(crate) fn forwarded_head(
         &self,
         call: &Call,
@@ -231,8 +231,8 @@
         head
     }
 
-    /// Gives the connections to an upstream. Each VM of the failure domain opens its part of
-    /// those that the upstream accepts.
+    /// Returns the connection pool of an upstream. Each VM of the failure domain opens an equal
+    /// part of the connections that the upstream accepts.
     pub(crate) fn pool_of(&self, key: &UpstreamKey, upstream: &UpstreamPlan) -> Pool {
         let vms = self.slots.member_count().max(1);
         let max = (usize::from(upstream.connections) / vms).max(1);
@@ -259,7 +259,8 @@
         pool
     }
 
-    /// Looks for a backend server's word that it is leaving or did not run the request.
+    /// Checks whether a response states that its backend server is leaving or did not run the
+    /// request.
     fn check_response(
         &self,
         mut response: Response,
@@ -281,7 +282,7 @@
             response.headers.insert(OUTCOME_HEADER, answered);
             return Ok(response);
         }
-        // A server that leaves says nothing of the load on its place.
+        // The refusal of a server that is leaving is no sign of overload in its place.
         in_use.admission.set_outcome(match leaving {
             true => RequestOutcome::Cancelled,
             false => RequestOutcome::Shed,
@@ -307,8 +308,8 @@
     Some(Millis(seconds.saturating_mul(1_000)))
 }
 
-/// Gives the error that best tells what to do next: where one upstream is merely busy, waiting
-/// helps.
+/// Returns the error that is more likely to be resolved by a retry: if one upstream is merely
+/// busy, waiting for it helps.
 fn most_retryable(error: Option<AcquireError>, other: AcquireError) -> AcquireError {
     let rank = |error: &AcquireError| match error {
         AcquireError::Busy { .. } => 0,
@@ -328,7 +329,7 @@
 ) -> AttemptFailure {
     let expired = matches!(error, SendError::Expired { .. });
     let is_request_body_error = matches!(error, SendError::RequestBody { .. });
-    // A pool that is full says nothing of the upstream behind it.
+    // A full pool is no sign of a failure of the upstream.
     let full = matches!(error, SendError::PoolFull { .. });
     in_use
         .admission
@@ -354,8 +355,7 @@
     }
 }
 
-/// Wraps the answer to a request of which nothing was sent, and for which there is nothing left
-/// to try.
+/// Returns the failure of an attempt that sent nothing and for which a retry can't help.
 pub(crate) fn not_attempted(refusal: Refusal) -> AttemptFailure {
     AttemptFailure {
         refusal,
--- a/crates/gateway/src/mac.rs
+++ b/crates/gateway/src/mac.rs
@@ -1,4 +1,4 @@
-//! Message authentication with the deployment's secret.
+//! Tokens that are authenticated with the deployment's secret.
 
 use std::fmt;
 
@@ -10,54 +10,54 @@
 use sha2::Sha256;
 use snafu::Snafu;
 
-/// Bytes of the code that a token carries.
+/// Length of the truncated HMAC tag in a token, in bytes.
 const TAG_LEN: usize = 16;
-/// The longest token that is looked at, in bytes.
+/// Maximum length of a token, in bytes. Longer ones are rejected unread.
 const MAX_TOKEN_LEN: usize = 1024;
 
-/// Why a token was refused.
+/// Why a token was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu)]
 pub enum TokenError {
-    /// The text is no token of this kind.
+    /// The text is not a token of this kind.
     #[snafu(display("not a token of this kind"))]
     Malformed,
-    /// The code doesn't fit: another deployment made it, or it was altered.
+    /// The tag doesn't match: the token was signed by another deployment, or was altered.
     #[snafu(display("the token was not made by this deployment"))]
     Forged,
 }
 
-/// Makes and checks tokens: a prefix, a payload and a code, as header-safe text.
+/// Signs and verifies tokens: a prefix, a payload and an HMAC tag, as header-safe text.
 #[derive(Clone)]
 pub struct TokenKey {
     secret: Vec<u8>,
 }
 
 impl TokenKey {
-    /// Makes a key from the deployment's secret.
+    /// Creates a key from the deployment's secret.
     pub fn new(secret: &[u8]) -> Self {
         Self {
             secret: secret.to_vec(),
         }
     }
 
-    /// Makes the token of a payload. `prefix` tells the kinds of tokens apart.
+    /// Returns the token of a payload. `prefix` distinguishes the kinds of tokens.
     ///
     /// # Panics
     ///
-    /// Panics where the payload has no JSON form, which no payload of this package lacks.
+    /// Panics if the payload can't be serialized as JSON; all payloads of this package can.
     pub fn sign<T: Serialize>(&self, prefix: &str, payload: &T) -> String {
-        let body = serde_json::to_vec(payload).expect("payloads have a JSON form");
+        let body = serde_json::to_vec(payload).expect("payloads can be serialized as JSON");
         let body = URL_SAFE_NO_PAD.encode(body);
         let tag = self.mac(prefix, &body).finalize().into_bytes();
         let tag = URL_SAFE_NO_PAD.encode(&tag[..TAG_LEN]);
         format!("{prefix}.{body}.{tag}")
     }
 
-    /// Gives the payload of a token made by [`TokenKey::sign`] with the same prefix.
+    /// Returns the payload of a token made by [`TokenKey::sign`] with the same prefix.
     ///
     /// # Errors
     ///
-    /// Returns an error where the text is no such token or was not made with this key.
+    /// Returns an error if the text is not such a token or was not signed with this key.
     pub fn verify<T: DeserializeOwned>(&self, prefix: &str, token: &str) -> Result<T, TokenError> {
         if token.len() > MAX_TOKEN_LEN {
             return Err(TokenError::Malformed);
@@ -87,7 +87,7 @@
 
     fn mac(&self, prefix: &str, body: &str) -> Hmac<Sha256> {
         let mut mac =
-            Hmac::<Sha256>::new_from_slice(&self.secret).expect("HMAC takes keys of any length");
+            Hmac::<Sha256>::new_from_slice(&self.secret).expect("HMAC accepts keys of any length");
         mac.update(prefix.as_bytes());
         mac.update(b".");
         mac.update(body.as_bytes());
--- a/crates/gateway/src/once/claim.rs
+++ b/crates/gateway/src/once/claim.rs
@@ -1,4 +1,4 @@
-//! The port for claims of callers' idempotency keys.
+//! The port for claims on callers' idempotency keys.
 
 use std::fmt;
 use std::rc::Rc;
@@ -9,7 +9,7 @@
 
 use crate::slots::Member;
 
-/// Asks for the right to run the request with a caller's idempotency key.
+/// A request for the right to run the request with a caller's idempotency key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ClaimRequest {
     /// The client account that owns the service.
@@ -22,37 +22,38 @@
     pub owner: Member,
 }
 
-/// Who may run the request.
+/// Which daemon may run the request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ClaimOutcome {
-    /// The asker: the claim was made by this very call.
+    /// The calling daemon: this call made the claim.
     New {
-        /// The point on the asker's clock by which the request must have been sent. Later the
-        /// claim may have ended and be another's, as where the asker was paused for long.
+        /// The time on the calling daemon's clock by which the request must have been sent. Later
+        /// the claim may have expired and another daemon may hold it, as after a long pause of
+        /// the process.
         start_by: Millis,
     },
-    /// This daemon, by an earlier claim. It may be the asker itself.
+    /// This daemon, by an earlier claim. It may be the calling daemon itself.
     Held(Member),
 }
 
-/// The claim failed, or its answer was lost.
+/// The claim failed or its reply was lost. It may have taken effect.
 #[derive(Clone, Debug, Snafu)]
 #[snafu(display("{step}: {cause}"))]
 pub struct ClaimError {
     /// The step that failed.
     pub step: &'static str,
-    /// What was found.
+    /// The cause.
     pub cause: String,
 }
 
-/// Makes a claim.
+/// The function that makes a claim.
 pub type ClaimFn =
     Rc<dyn Fn(ClaimRequest) -> LocalBoxFuture<'static, Result<ClaimOutcome, ClaimError>>>;
 
-/// Claims in the platform's store, by create-if-absent.
+/// Access to the claims in the platform's store, which are made by create-if-absent.
 #[derive(Clone)]
 pub struct ClaimPort {
-    /// Makes a claim, or tells who holds it.
+    /// Creates a claim, or returns its holder.
     pub claim: ClaimFn,
 }
 
--- a/crates/gateway/src/once/mod.rs
+++ b/crates/gateway/src/once/mod.rs
@@ -1,9 +1,10 @@
-//! Requests that must not run twice and bear a key.
+//! At-most-once execution of requests that carry an idempotency key.
 //!
-//! A ticket from a look-up names the one incarnation that runs the request. A caller's own key
-//! is claimed in the platform's store by the incarnation that meets it first. In both cases
-//! that incarnation remembers the request, and every other daemon hands repeats to it. Where it
-//! is gone, the answer is "unknown": nobody else ever runs the request.
+//! The key is either a ticket from a look-up, which names the one incarnation that runs the
+//! request, or the caller's own key, which the incarnation that receives it first claims in the
+//! platform's store. In both cases that incarnation keeps a record of the request, and every
+//! other daemon forwards repeats to it. If it is gone, the outcome is "unknown": no other
+//! incarnation ever runs the request.
 
 mod claim;
 mod records;
--- a/crates/gateway/src/once/records.rs
+++ b/crates/gateway/src/once/records.rs
@@ -1,8 +1,8 @@
-//! What one incarnation remembers of the requests that run at most once.
+//! The records that one incarnation keeps of requests that run at most once.
 //!
-//! A record is never dropped to make room: a request whose record is gone could run again. The
-//! room for records is bounded, and a request that finds none is refused before it runs. Only
-//! the answers, which are large, give way to newer ones.
+//! A record is never evicted to make room, because a request without a record could run again.
+//! The number of records is bounded, and a request that would exceed it is refused before it
+//! runs. Only the stored responses, which are large, are evicted in favor of newer ones.
 
 use std::cell::RefCell;
 use std::cmp::Reverse;
@@ -18,7 +18,7 @@
 
 use crate::answer::Refusal;
 
-/// Names a request that runs at most once.
+/// Identifies a request that runs at most once.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RecordKey {
     /// The service.
@@ -27,7 +27,7 @@
     pub key: Arc<str>,
 }
 
-/// An answer held for repeats.
+/// A response stored for repeats of its request.
 #[derive(Clone, Debug)]
 pub struct StoredResponse {
     /// The status.
@@ -39,19 +39,20 @@
 }
 
 impl StoredResponse {
-    /// Gives the bytes that the answer counts for.
+    /// Returns the number of bytes that the response counts towards the limit.
     fn size(&self) -> usize {
+        /// Flat amount for the status and the headers.
         const HEAD_BYTES: usize = 512;
         HEAD_BYTES + self.body.len()
     }
 }
 
-/// How a request that runs at most once completion.
+/// How a request that runs at most once ended.
 #[derive(Clone, Debug)]
 pub enum Completion {
-    /// It was answered, and this is the answer.
+    /// It was answered with this response.
     Answered(Rc<StoredResponse>),
-    /// It was answered; the answer is not held.
+    /// It was answered; the response is not stored.
     NotKept,
     /// It did not run.
     NotRun(Refusal),
@@ -61,8 +62,9 @@
 
 #[derive(Debug)]
 enum State {
-    /// It has not run so far, and nobody is about to run it.
+    /// It has not run so far, and no attempt is in progress.
     Idle,
+    /// An attempt is in progress. The senders notify the repeats that wait for its completion.
     Running(Vec<oneshot::Sender<Completion>>),
     Completed(Completion),
 }
@@ -70,28 +72,28 @@
 #[derive(Debug)]
 struct Record {
     state: State,
-    until: Millis,
+    expires: Millis,
 }
 
-/// Bounds of a [`RecordTable`].
+/// The limits of a [`RecordTable`].
 #[derive(Clone, Copy, Debug)]
 pub struct RecordLimits {
-    /// Records held at once.
+    /// Maximum number of records.
     pub records: usize,
-    /// Bytes of answers held at once.
+    /// Maximum total size of the stored responses, in bytes.
     pub answer_bytes: usize,
 }
 
-/// What a request finds.
+/// What is known of a request when it begins.
 #[derive(Debug)]
 pub enum BeginOutcome {
-    /// It is the first, or all before it did not run: it is to run.
+    /// It may run: it is the first with its key, or no earlier one ran.
     Run(RunGuard),
-    /// It runs already; its end comes here.
+    /// It is running; the receiver gets its completion.
     Join(oneshot::Receiver<Completion>),
-    /// It has completion.
+    /// It has ended.
     Repeat(Completion),
-    /// There is no room for a further record.
+    /// The limit on records is reached.
     Full,
 }
 
@@ -105,23 +107,26 @@
 #[derive(Default)]
 struct Inner {
     records: HashMap<RecordKey, Record>,
+    /// The records by expiry. May hold outdated entries of a key.
     by_expiry: BinaryHeap<Reverse<(Millis, RecordKey)>>,
+    /// The keys of stored responses, oldest first. May hold keys whose records are gone.
     response_order: VecDeque<RecordKey>,
     answer_bytes: usize,
 }
 
-/// The right to run one request now. Dropping it counts as "may have run".
+/// The right to run one request now. Dropping it without a completion records that the request
+/// may have run.
 #[derive(Debug)]
 pub struct RunGuard {
     records: Rc<RecordTable>,
     key: RecordKey,
-    /// Whether this incarnation contains that the request has not run here before.
+    /// Whether a record shows that this incarnation has not run the request before.
     pub known_not_run: bool,
     completed: bool,
 }
 
 impl RecordTable {
-    /// Makes an empty memory.
+    /// Creates an empty table.
     pub fn new(limits: RecordLimits, clock: Clock) -> Rc<Self> {
         Rc::new(Self {
             limits,
@@ -130,8 +135,8 @@
         })
     }
 
-    /// Begins a request, which is remembered until `until`.
-    pub fn begin(self: &Rc<Self>, key: &RecordKey, until: Millis) -> BeginOutcome {
+    /// Begins a request whose record is kept until `expires`.
+    pub fn begin(self: &Rc<Self>, key: &RecordKey, expires: Millis) -> BeginOutcome {
         self.expire();
         let mut inner = self.inner.borrow_mut();
         let is_full = inner.records.len() >= self.limits.records;
@@ -149,8 +154,8 @@
             },
         };
         let state = State::Running(Vec::new());
-        inner.records.insert(key.clone(), Record { state, until });
-        inner.by_expiry.push(Reverse((until, key.clone())));
+        inner.records.insert(key.clone(), Record { state, expires });
+        inner.by_expiry.push(Reverse((expires, key.clone())));
         BeginOutcome::Run(RunGuard {
             records: Rc::clone(self),
             key: key.clone(),
@@ -159,30 +164,30 @@
         })
     }
 
-    /// Says whether there is a record of the request.
+    /// Returns whether there is a record of the request.
     pub fn contains(&self, key: &RecordKey) -> bool {
         self.expire();
         self.inner.borrow().records.contains_key(key)
     }
 
-    /// Gives the number of records held.
+    /// Returns the number of records.
     pub fn len(&self) -> usize {
         self.inner.borrow().records.len()
     }
 
-    /// Says whether no record is held.
+    /// Returns whether there are no records.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// Drops the records whose time is over. One that still runs stays until it ends, and is
-    /// looked at again a while later.
+    /// Removes expired records. The record of a request that still runs is kept, and checked
+    /// again after an interval.
     fn expire(&self) {
         const RECHECK_INTERVAL: Millis = Millis(60_000);
         let now = self.clock.now();
         let mut inner = self.inner.borrow_mut();
-        while let Some(Reverse((until, _))) = inner.by_expiry.peek() {
-            if *until > now {
+        while let Some(Reverse((expires, _))) = inner.by_expiry.peek() {
+            if *expires > now {
                 return;
             }
             let Some(Reverse((_, key))) = inner.by_expiry.pop() else {
@@ -192,7 +197,7 @@
                 Some(record) if matches!(record.state, State::Running(_)) => {
                     inner.by_expiry.push(Reverse((now + RECHECK_INTERVAL, key)));
                 }
-                Some(record) if record.until <= now => inner.remove(&key),
+                Some(record) if record.expires <= now => inner.remove(&key),
                 Some(_) | None => {}
             }
         }
@@ -216,7 +221,7 @@
         }
         drop(inner);
         for tx in waiting {
-            // A caller that has left needs no answer.
+            // The receiver is gone if the caller has disconnected.
             let _ = tx.send(completion.clone());
         }
     }
@@ -233,7 +238,7 @@
         }
     }
 
-    /// Drops places in the order of answers whose records are gone, once they are most of it.
+    /// Removes the keys without a record from the response order, once they are the majority.
     fn prune_response_order(&mut self) {
         const SLACK: usize = 64;
         if self.response_order.len() > 2 * self.records.len() + SLACK {
@@ -242,7 +247,8 @@
         }
     }
 
-    /// Lets the oldest answers go until those left fit; their records stay.
+    /// Evicts the oldest stored responses until the others fit into `max` bytes. Their records
+    /// stay.
     fn evict_responses(&mut self, max: usize) {
         while self.answer_bytes > max {
             let Some(oldest) = self.response_order.pop_front() else {
@@ -260,15 +266,15 @@
 }
 
 impl RunGuard {
-    /// Records how the request completion and tells those that wait.
+    /// Records how the request ended and notifies the repeats that wait.
     pub fn complete(mut self, completion: Completion) {
         self.completed = true;
         let next = State::Completed(completion.clone());
         self.records.complete(&self.key, next, completion);
     }
 
-    /// Records that this incarnation has not run the request, so that a repeat may, and tells
-    /// those that wait what they are to answer.
+    /// Records that this incarnation has not run the request, so that a repeat may run, and
+    /// sends `completion` to the repeats that wait.
     pub fn release(mut self, completion: Completion) {
         self.completed = true;
         self.records.complete(&self.key, State::Idle, completion);
@@ -276,7 +282,7 @@
 }
 
 impl Drop for RunGuard {
-    /// A task that is dropped halfway may have sent the request, so it counts as run.
+    /// A task that is dropped before it completes may have sent the request.
     fn drop(&mut self) {
         if !self.completed {
             let refusal = Refusal::unknown(
--- a/crates/gateway/src/once/run.rs
+++ b/crates/gateway/src/once/run.rs
@@ -1,4 +1,5 @@
-//! Finding out who runs a request that must not run twice, and running it where that is here.
+//! Execution of a request with an idempotency key: finds its owner, and runs it if that is this
+//! incarnation.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -16,19 +17,19 @@
 use crate::gateway::{Exchange, Gateway, InFlightGuard};
 use crate::slots::Member;
 
-/// When a caller may ask again for the end of a request that still runs.
+/// Retry interval for a caller whose request with the same key still runs.
 const STILL_RUNNING_RETRY_AFTER: Millis = Millis(1_000);
-/// When a caller may come back while the store of claims is away.
+/// Retry interval for a caller while claims can't be made.
 const CLAIM_RETRY_AFTER: Millis = Millis(2_000);
-/// When a caller may come back where no further request can be remembered.
+/// Retry interval for a caller while the record table is full.
 const MEMORY_RETRY_AFTER: Millis = Millis(5_000);
 
 impl Gateway {
-    /// Runs a request that bears a key, or gives the answer that it had.
+    /// Runs a request that carries a key, or repeats the response that it had.
     ///
     /// # Errors
     ///
-    /// Returns the answer to a request that did not run or may have run.
+    /// Returns a refusal if the request did not run or may have run.
     pub(crate) async fn run_once(
         self: &Rc<Self>,
         call: Call,
@@ -68,10 +69,10 @@
             }
             return self.forward_to_owner(&call, exchange, &ticket.owner).await;
         }
-        // The record of a ticket is dropped when the ticket ends, so whether one that has completion
-        // was used is no longer known.
+        // The record of a ticket expires with the ticket, so it is not known whether an expired
+        // ticket was used.
         if self.cx.clock.now() >= ticket.expires {
-            let detail = "the ticket has completion; whether it was used is no longer known";
+            let detail = "the ticket has ended; whether it was used is no longer known";
             return Err(Refusal::unknown(Reason::TicketExpired, detail));
         }
         match self.records.begin(&record, ticket.expires) {
@@ -99,7 +100,7 @@
             other => return self.answer_repeat(&call, other).await,
         };
         if call.owner_incarnation().is_some() {
-            // The daemon before has read the claim, and it is this one's.
+            // The forwarding daemon has read the claim, which this daemon holds.
             return self.run_here(call, exchange, run, flight).await;
         }
         let claim = (self.cx.claims.claim)(ClaimRequest {
@@ -114,8 +115,8 @@
             .limit(call.time_left(self.cx.clock.now()), claim);
         match claimed.await {
             Some(Ok(ClaimOutcome::New { start_by })) => {
-                // Nothing is sent past the deadline, so a daemon that was paused past the end
-                // of its claim sends nothing either.
+                // Nothing is sent past the deadline, so this also stops a daemon that was paused
+                // until its claim expired.
                 call.deadline = call.deadline.min(start_by);
                 self.run_here(call, exchange, run, flight).await
             }
@@ -130,11 +131,12 @@
         }
     }
 
-    /// Runs a request whose claim this incarnation holds already.
+    /// Runs a request whose claim this incarnation already holds, if its record shows that it
+    /// has not run.
     ///
-    /// The claim was made by a try that did not run (its answer was lost, or there was no
-    /// room), and the record of that try is still here. Without a record the request may have
-    /// run and been forgotten since.
+    /// Such a claim belongs to an earlier attempt that did not run, because the reply to the
+    /// claim was lost or there was no capacity. Without a record the request may have run and
+    /// its record may have expired.
     async fn rerun_with_claim(
         self: &Rc<Self>,
         call: Call,
@@ -150,8 +152,8 @@
         Err(refusal)
     }
 
-    /// Hands a request to the daemon that holds its claim. The end is not recorded here: the
-    /// owner may only be cut off, and can answer a later repeat.
+    /// Forwards a request to the daemon that holds its claim. The completion is not recorded
+    /// here: the owner may only be temporarily unreachable, and can answer a later repeat.
     async fn run_at_owner(
         self: &Rc<Self>,
         call: &Call,
@@ -160,7 +162,7 @@
         owner: &Member,
     ) -> Result<Response, Refusal> {
         if owner.vm == self.cx.own.vm {
-            // An earlier run of this VM held the claim.
+            // An earlier incarnation of this VM holds the claim.
             let refusal = owner_gone("the daemon that claimed the request is gone");
             run.complete(Completion::Unknown(refusal.clone()));
             return Err(refusal);
@@ -174,8 +176,8 @@
         answered
     }
 
-    /// Runs a request in a task of its own, so that it ends and is remembered even where the
-    /// caller leaves: the caller's repeat then gets the answer.
+    /// Runs a request in a separate task, so that it completes and is recorded even if the
+    /// caller disconnects. A repeat then gets the response.
     async fn run_here(
         self: &Rc<Self>,
         call: Call,
@@ -189,14 +191,14 @@
         monoio::spawn(async move {
             let answered = gateway.run(&call, exchange, flight).await;
             let max = gateway.cx.settings.stored_response_limit;
-            // A caller that has left will ask again.
+            // The receiver is gone if the caller has disconnected; a repeat finds the record.
             let _ = tx.send(record_completion(run, answered, max).await);
         });
         let cut_off = || owner_gone("the request was cut off while it ran");
         rx.await.unwrap_or_else(|_| Err(cut_off()))
     }
 
-    /// Answers a request that runs already or has completion.
+    /// Answers a request that is running, has ended or can't be recorded.
     async fn answer_repeat(&self, call: &Call, begin: BeginOutcome) -> Result<Response, Refusal> {
         let completion = match begin {
             BeginOutcome::Repeat(completion) => completion,
@@ -224,7 +226,7 @@
     }
 }
 
-/// Records how a run completion, and gives the answer of its first caller.
+/// Records how a run ended, and returns the result for its first caller.
 async fn record_completion(
     run: RunGuard,
     answered: Result<Response, Refusal>,
@@ -255,8 +257,8 @@
     }
 }
 
-/// Refuses a request whose claim could not be made. Where the caller says that it has sent the
-/// request before, that earlier try may have run, so "not run" would mislead it.
+/// Refuses a request whose claim could not be made. If the caller states that it has sent the
+/// request before, the earlier attempt may have run elsewhere, so the outcome is "unknown".
 fn claim_failed(call: &Call, run: RunGuard, cause: &str) -> Refusal {
     let refusal = match call.attempt {
         0 | 1 => Refusal::not_run(Reason::ClaimFailed, cause),
--- a/crates/gateway/src/once/stored_response.rs
+++ b/crates/gateway/src/once/stored_response.rs
@@ -1,4 +1,4 @@
-//! Reading an answer so far that it can be kept for repeats.
+//! Buffering of responses that are stored for repeats of the request.
 
 use bytes::{Bytes, BytesMut};
 use heatherknot_http::{Body, BodyError, Response};
@@ -7,7 +7,7 @@
 use super::records::{Completion, StoredResponse};
 
 impl StoredResponse {
-    /// Makes the response to a repeat.
+    /// Returns the response to a repeat.
     pub fn to_response(&self) -> Response {
         Response {
             status: self.status,
@@ -17,12 +17,12 @@
     }
 }
 
-/// Reads an answer of at most `max` bytes whole, to be kept. Of a longer one what was read goes
-/// before the rest.
+/// Buffers a response of at most `max` bytes to store it. A longer response is not stored, and
+/// its buffered part is put back in front of the rest.
 ///
 /// # Errors
 ///
-/// Returns an error where the answer broke off in the part that was read.
+/// Returns an error if the response ended prematurely while it was buffered.
 pub(super) async fn buffer_response(
     response: Response,
     max: usize,
@@ -38,12 +38,12 @@
         match body.next_chunk().await.transpose()? {
             Some(chunk) => start.extend_from_slice(&chunk),
             None => {
-                let kept = Rc::new(StoredResponse {
+                let stored = Rc::new(StoredResponse {
                     status,
                     headers,
                     body: start.freeze(),
                 });
-                return Ok((kept.to_response(), Completion::Answered(kept)));
+                return Ok((stored.to_response(), Completion::Answered(stored)));
             }
         }
     }
@@ -59,7 +59,7 @@
     Ok((response, Completion::NotKept))
 }
 
-/// Makes the body that begins with `start` and goes on with `rest`.
+/// Returns a body that consists of `start` followed by `rest`.
 fn prepend(start: Bytes, mut rest: Body) -> Body {
     let len = rest.known_len().map(|len| len + start.len() as u64);
     let (mut tx, body) = Body::channel_with_len(len);
--- a/crates/gateway/src/queues.rs
+++ b/crates/gateway/src/queues.rs
@@ -1,4 +1,4 @@
-//! The bounded queues of one service: one for each class.
+//! The bounded queues of requests that wait for admission: one for each service and class.
 
 use std::cell::RefCell;
 use std::collections::{HashMap, VecDeque};
@@ -8,7 +8,7 @@
 use heatherknot_types::prelude::*;
 use slotmap::{SlotMap, new_key_type};
 
-/// Interactive turns after which a bulk request that waits gets one.
+/// Number of consecutive interactive admissions after which a waiting bulk request is next.
 const INTERACTIVE_TURNS_PER_BULK: u32 = 8;
 
 new_key_type! {
@@ -23,12 +23,15 @@
 
 #[derive(Debug, Default)]
 struct ServiceQueues {
+    /// The event that wakes each waiting request.
     wakeups: SlotMap<Position, Flag>,
+    /// The queue of each class, oldest first.
     order: [VecDeque<Position>; Class::ALL.len()],
+    /// Consecutive interactive admissions while bulk requests waited.
     interactive_turns: u32,
 }
 
-/// A request's position in a queue. Dropping it leaves the queue.
+/// A request's entry in a queue. Dropping it leaves the queue.
 #[derive(Debug)]
 pub struct QueueEntry {
     queues: Rc<RequestQueues>,
@@ -39,12 +42,12 @@
 }
 
 impl RequestQueues {
-    /// Makes empty queues.
+    /// Creates empty queues.
     pub fn new() -> Rc<Self> {
         Rc::default()
     }
 
-    /// Gives the number of requests that wait.
+    /// Returns the number of waiting requests.
     pub fn len(&self, service: &ServiceName, class: Class) -> usize {
         let services = self.services.borrow();
         services
@@ -52,7 +55,7 @@
             .map_or(0, |queues| queues.queue(class).len())
     }
 
-    /// Says whether a new request of `class` has to wait behind others.
+    /// Returns whether requests of the same or a more urgent class than `class` wait.
     pub fn has_waiting_ahead(&self, service: &ServiceName, class: Class) -> bool {
         let services = self.services.borrow();
         let Some(queues) = services.get(service) else {
@@ -63,7 +66,7 @@
             .any(|other| other <= class && !queues.queue(other).is_empty())
     }
 
-    /// Joins the end of a queue, unless `max` requests wait there.
+    /// Appends a request to a queue, or returns `None` if `max` requests wait there.
     pub fn enqueue(
         self: &Rc<Self>,
         service: &ServiceName,
@@ -87,7 +90,7 @@
         })
     }
 
-    /// Lets the next request of every service look whether there is room.
+    /// Wakes the next request of every service, so that it tries to be admitted.
     pub fn wake_all(&self) {
         for queues in self.services.borrow().values() {
             queues.wake_next();
@@ -113,8 +116,8 @@
         &self.order[index(class)]
     }
 
-    /// Gives the request whose turn it is: the oldest interactive one, but now and then the
-    /// oldest bulk one, so that steady interactive traffic never holds bulk up for good.
+    /// Returns the request whose turn it is: the oldest interactive one, or periodically the
+    /// oldest bulk one, so that steady interactive traffic doesn't starve bulk requests.
     fn next(&self) -> Option<Position> {
         let interactive = self.queue(Class::Interactive).front();
         let bulk = self.queue(Class::Bulk).front();
@@ -140,7 +143,7 @@
 }
 
 impl QueueEntry {
-    /// Says whether it is this request's turn.
+    /// Returns whether it is this request's turn.
     pub fn is_next(&self) -> bool {
         let services = self.queues.services.borrow();
         services
@@ -148,7 +151,8 @@
             .is_some_and(|queues| queues.next() == Some(self.position))
     }
 
-    /// Gives the event at which this request is to look again, and forgets earlier ones.
+    /// Returns the event at which this request should check its turn again. Events that have
+    /// already fired are discarded.
     pub fn next_wakeup(&mut self) -> Flag {
         if self.wakeup.is_fired() {
             self.wakeup = Flag::new();
@@ -161,8 +165,8 @@
         self.wakeup.clone()
     }
 
-    /// Gives up a turn that found no room. A bulk request waits until two slots are free, and
-    /// interactive ones need only one, so it must not hold them up.
+    /// Yields the turn of a bulk request that could not be admitted. A bulk request needs two
+    /// free slots and an interactive one only one, so it must not block interactive requests.
     pub fn yield_turn(&self) {
         if self.class != Class::Bulk {
             return;
@@ -177,7 +181,7 @@
         }
     }
 
-    /// Leaves the queue because it was this request's turn.
+    /// Leaves the queue because the request was admitted.
     pub fn dequeue(self) {
         let mut services = self.queues.services.borrow_mut();
         if let Some(queues) = services.get_mut(&self.service) {
--- a/crates/gateway/src/run.rs
+++ b/crates/gateway/src/run.rs
@@ -1,4 +1,4 @@
-//! Running a request: attempts, and retries where they are allowed.
+//! Execution of a request: attempts, and retries where they are allowed.
 
 use std::rc::Rc;
 
@@ -10,33 +10,33 @@
 use crate::call::Call;
 use crate::gateway::{Exchange, Gateway, InFlightGuard};
 
-/// An attempt that gave no answer.
+/// The failure of one attempt.
 #[derive(Debug)]
 pub(crate) struct AttemptFailure {
-    /// What the caller gets where there is no further attempt. Its outcome says whether the
+    /// The response to the caller if there is no further attempt. Its outcome states whether the
     /// request may have run.
     pub(crate) refusal: Refusal,
-    /// The upstream that is better left alone at the next attempt.
+    /// The upstream that the next attempt should avoid.
     pub(crate) avoid: Option<UpstreamName>,
-    /// Whether an open connection may be the cause, so that the next attempt opens a new one.
+    /// Whether a stale connection may be the cause, so that the next attempt opens a new one.
     pub(crate) stale_connection: bool,
-    /// Whether another attempt can help at all.
+    /// Whether another attempt may succeed.
     pub(crate) retryable: bool,
 }
 
-/// What the attempts of one request have in common.
+/// The state that is carried across the attempts of one request.
 #[derive(Debug)]
 pub(crate) struct Attempts {
-    /// Attempts made here before the present one.
+    /// Number of attempts made here before the current one.
     pub(crate) made: u8,
-    /// The upstreams that failed.
+    /// The upstreams that failed, which are tried last.
     pub(crate) avoid: Vec<UpstreamName>,
     /// Whether to open a new connection.
     pub(crate) new_connection: bool,
 }
 
 impl Attempts {
-    /// Makes the state before the first attempt.
+    /// Creates the state before the first attempt.
     pub(crate) fn new() -> Self {
         Self {
             made: 0,
@@ -47,11 +47,11 @@
 }
 
 impl Gateway {
-    /// Sends a request until it is answered, or until it must not or need not be sent again.
+    /// Sends a request until it is answered or may not be sent again.
     ///
     /// # Errors
     ///
-    /// Returns the answer to a request that did not run or may have run.
+    /// Returns a refusal if the request did not run or may have run.
     pub(crate) async fn run(
         self: &Rc<Self>,
         call: &Call,
@@ -64,7 +64,8 @@
         loop {
             let admitted = match self.admit(call, attempts.made).await {
                 Ok(admitted) => admitted,
-                // What became of the attempt before tells more than why there is no further one.
+                // The failure of the previous attempt tells the caller more than why the next
+                // one is not admitted.
                 Err(refusal) => return Err(last.unwrap_or(refusal)),
             };
             let sent = match admitted {
@@ -116,7 +117,7 @@
         }
     }
 
-    /// Says whether a request may be sent again. The budget for retries is the admission's.
+    /// Returns whether a request may be sent again. Admission enforces the retry budget.
     fn may_retry(
         &self,
         call: &Call,
@@ -136,8 +137,8 @@
     }
 }
 
-/// Gives the answer that stands after several attempts: one of them may have run the request,
-/// whatever became of the others.
+/// Returns the refusal that applies after several attempts. Once one of them may have run the
+/// request, the outcome stays "unknown" regardless of the others.
 fn prefer_unknown(last: Option<Refusal>, refusal: Refusal) -> Refusal {
     match last {
         Some(last) if last.outcome == Outcome::Unknown => last,
--- a/crates/gateway/src/slots/acquire.rs
+++ b/crates/gateway/src/slots/acquire.rs
@@ -1,4 +1,4 @@
-//! Taking a slot of an upstream, from this VM or from the upstream's home.
+//! Acquisition of a slot from the upstream's home, which may be this VM.
 
 use std::cell::Cell;
 use std::fmt;
@@ -13,24 +13,24 @@
 };
 use super::{PeerError, Slots};
 
-/// What a request wants of an upstream.
+/// The parameters of an acquisition.
 #[derive(Clone, Copy, Debug)]
 pub struct SlotRequest {
     /// The class of the request.
     pub class: Class,
     /// How long the request has waited already.
     pub waited: Millis,
-    /// How long it may wait for a slot now; zero asks for a slot that is free.
+    /// How long it may wait for a slot now; zero fails at once if no slot is free.
     pub wait: Millis,
-    /// How long the slot is used at most.
+    /// Maximum duration of the loan.
     pub term: Millis,
 }
 
-/// Why a slot could not be taken. Nothing has been sent to the upstream.
+/// Why no slot could be acquired. Nothing has been sent to the upstream.
 #[derive(Clone, Debug, Snafu)]
 #[snafu(visibility(pub(super)))]
 pub enum AcquireError {
-    /// No slot came free in the time given.
+    /// No slot became free in the time allowed.
     #[snafu(display("{} of {} has no free slot", key.upstream, key.service))]
     Busy {
         /// The upstream.
@@ -42,7 +42,7 @@
         /// The upstream.
         key: UpstreamKey,
     },
-    /// The home of the upstream is not known, not ready or just changing.
+    /// The home of the upstream is unknown, not ready or changing.
     #[snafu(display("{} of {} has no home that lends", key.upstream, key.service))]
     NoHome {
         /// The upstream.
@@ -56,32 +56,33 @@
     },
 }
 
-/// A slot in use. Dropping it gives it back.
+/// A slot in use. Dropping it releases it.
 pub struct Slot {
     slots: Rc<Slots>,
     key: UpstreamKey,
     loan: LoanId,
     leaving: Cell<bool>,
-    /// Whether the home may have lent the slot.
+    /// Whether the home may have lent the slot, so that it must be released.
     may_be_lent: Cell<bool>,
 }
 
 impl Slots {
-    /// Takes a slot of `key`.
+    /// Acquires a slot of `key`.
     ///
-    /// Dropping the future leaves the queue, and gives back a slot lent meanwhile.
+    /// Dropping the future leaves the queue and releases a slot lent meanwhile.
     ///
     /// # Errors
     ///
-    /// Returns an error where no slot came free in time, the upstream gets no new work, or its
-    /// home can't be asked.
+    /// Returns an error if no slot became free in time, the upstream gets no new work, or its
+    /// home can't be reached.
     pub async fn acquire(
         self: &Rc<Self>,
         key: &UpstreamKey,
         want: SlotRequest,
     ) -> Result<Slot, AcquireError> {
         let no_home = || AcquireError::NoHome { key: key.clone() };
-        // A new home asks the VMs listed for what they use. What others used would be forgotten.
+        // A new home asks only the listed VMs what they use. It would not learn of slots that
+        // other VMs use.
         if !self.members.borrow().contains(&self.cx.own) {
             return Err(no_home());
         }
@@ -150,10 +151,10 @@
         }
     }
 
-    /// Leaves a home alone that gave no answer.
+    /// Makes acquisitions from `home` fail at once for a while, because it didn't reply.
     ///
-    /// Where a cut swallows messages, each request would wait for the whole limit of a call
-    /// before it went to an upstream whose home can be reached.
+    /// In a partition that drops messages, each request would otherwise wait for the timeout of
+    /// a call before it tried an upstream whose home can be reached.
     fn back_off(&self, home: &Member) {
         let until = self.cx.clock.now() + self.cx.timing.unreachable_backoff;
         self.unreachable.borrow_mut().insert(home.clone(), until);
@@ -166,7 +167,7 @@
         unreachable.contains_key(home)
     }
 
-    /// Waits for a slot at this VM, whoever borrows it.
+    /// Acquires a slot from this VM, which is the home, for itself or for another borrower.
     pub(super) async fn acquire_local(&self, req: &AcquireSlot) -> Result<HomeEpoch, AcquireError> {
         let key = &req.key;
         let no_home = || AcquireError::NoHome { key: key.clone() };
@@ -207,8 +208,8 @@
             if now >= end {
                 return Err(AcquireError::Busy { key: key.clone() });
             }
-            // A slot that is never given back comes free by time alone, so no message wakes
-            // the wait; it looks again at that point.
+            // No message announces that a loan is reclaimed, so the wait also wakes at the next
+            // reclaim time.
             let reclaim = self.with_home(key, |home| home.next_reclaim(now)).flatten();
             let wake = reclaim.filter(|at| *at > now).map_or(end, |at| at.min(end));
             match self.cx.timer.limit(wake.since(now), &mut rx).await {
@@ -219,14 +220,14 @@
         }
     }
 
-    /// Counts a slot lent as in use, unless it was lent under a epoch that this VM has since
-    /// given up.
+    /// Records a lent slot as in use, unless it was lent under an epoch that this VM no longer
+    /// accepts.
     ///
-    /// A home that lent a slot just before another VM became the home is no longer the one that
-    /// counts: the answer is still under way when this VM tells the new home what it uses, and
-    /// the slot would be lent twice. The epoch was recorded in that answer, so the late loan
-    /// differs from it and is given back unused. A loan whose term passed meanwhile (a paused
-    /// process) is given back as well.
+    /// The old home may lend a slot just before another VM becomes the home. While its reply is
+    /// in transit this VM reports its slots to the new home without that one, so using it would
+    /// mean that the slot is lent twice. This VM recorded the new epoch when it reported, so the
+    /// late loan differs from it and is released unused. A loan whose term passed meanwhile, as
+    /// in a paused process, is released as well.
     fn accept_loan(
         &self,
         slot: &Slot,
@@ -267,7 +268,7 @@
         }
     }
 
-    /// Tells the home of `key` that the upstream is leaving.
+    /// Reports to the home of `key` that the upstream is leaving.
     pub fn report_leaving(self: &Rc<Self>, key: &UpstreamKey) {
         let unused = self.new_loan_id();
         self.release(key, &unused, true);
@@ -290,7 +291,7 @@
         let call = (self.cx.port.release)(&home.vm, release);
         monoio::spawn(async move {
             if let Err(error) = call.await {
-                debug!(peer = home.vm.as_str(), error:% = error; "slot not given back; the home reclaims it after its term");
+                debug!(peer = home.vm.as_str(), error:% = error; "slot not released; the home reclaims it after its term");
             }
         });
     }
@@ -307,17 +308,17 @@
 }
 
 impl Slot {
-    /// Gives the upstream.
+    /// Returns the upstream.
     pub fn key(&self) -> &UpstreamKey {
         &self.key
     }
 
-    /// Notes that the upstream said that it is leaving; its home hears of it with the slot.
+    /// Marks the upstream as leaving, which is reported to its home when the slot is released.
     pub fn mark_leaving(&self) {
         self.leaving.set(true);
     }
 
-    /// Prolongs the use of the slot to `term` from now, for an answer still being streamed.
+    /// Extends the loan to `term` from now, for a response that is still being streamed.
     pub fn extend(&self, term: Millis) {
         let slots = &self.slots;
         let until = slots.cx.clock.now() + term + slots.cx.timing.reclaim_margin;
@@ -339,7 +340,7 @@
         let call = (slots.cx.port.extend)(&home.vm, extend);
         monoio::spawn(async move {
             if let Err(error) = call.await {
-                debug!(peer = home.vm.as_str(), error:% = error; "slot not prolonged");
+                debug!(peer = home.vm.as_str(), error:% = error; "loan of a slot not extended");
             }
         });
     }
--- a/crates/gateway/src/slots/adopt.rs
+++ b/crates/gateway/src/slots/adopt.rs
@@ -1,4 +1,4 @@
-//! Becoming the home of upstreams.
+//! Adoption: how a VM becomes the home of upstreams.
 
 use std::collections::{HashMap, HashSet};
 use std::rc::Rc;
@@ -13,8 +13,8 @@
 use super::{Home, Slots};
 
 impl Slots {
-    /// Starts to become the home of those upstreams that the members in force give to this VM
-    /// and that it has not got yet.
+    /// Starts to adopt the upstreams whose home under the current members is this VM, unless it
+    /// lends or is adopting them already.
     pub(super) fn adopt_missing(self: &Rc<Self>) {
         let members = self.members.borrow().clone();
         let missing: Vec<UpstreamKey> = self
@@ -72,11 +72,13 @@
         }
     }
 
-    /// Asks one member until it has let go; gives nothing where the members changed meanwhile.
+    /// Asks one member until it agrees, and returns the state of the upstreams there. Returns
+    /// `None` if the members changed meanwhile.
     ///
-    /// A member that doesn't answer may be the old home, paused or cut off, and may lend slots
-    /// again when it wakes. So no answer is never taken as consent: the slots stay unused until
-    /// the member replies or the ledger no longer lists it, which is final.
+    /// A member that doesn't reply may be the old home, paused or partitioned, and may lend
+    /// slots again when it resumes. A missing reply is therefore never taken as consent: the
+    /// slots stay unused until the member replies or the ledger no longer lists it, which is
+    /// final.
     async fn request_adoption(
         self: &Rc<Self>,
         member: &Member,
@@ -98,10 +100,10 @@
                     return None;
                 }
                 Some(Err(error)) => {
-                    warn!(peer = member.vm.as_str(), error:% = error; "VM has not let go of its upstreams yet");
+                    warn!(peer = member.vm.as_str(), error:% = error; "VM has not relinquished its upstreams yet, retrying");
                 }
                 None => {
-                    warn!(peer = member.vm.as_str(); "VM has not let go of its upstreams yet: no answer");
+                    warn!(peer = member.vm.as_str(); "VM has not relinquished its upstreams yet, retrying: no reply");
                 }
             }
             self.cx
@@ -137,13 +139,13 @@
             let unaccounted = (self.cx.limit)(key).saturating_sub(home.in_use());
             home.hold_back(unaccounted, now + span);
         }
-        info!(service = key.service.as_str(), upstream = key.upstream.as_str(), version = members.version, in_use = home.in_use(); "lends the slots of an upstream");
+        info!(service = key.service.as_str(), upstream = key.upstream.as_str(), version = members.version, in_use = home.in_use(); "became the home of an upstream and lends its slots");
         drop(homes);
         self.lend_free_slots(key);
     }
 
-    /// Says how long slots must be kept free because the home before is gone with its memory:
-    /// requests that it sent may still run, and nobody is left who could tell.
+    /// Returns how long to hold back the slots that no member reports. The previous home may be
+    /// gone together with its count: requests that it sent may still run, and no VM can tell.
     fn hold_duration(&self, states: &[UpstreamState], members: &Members) -> Option<Millis> {
         let inherited = states.iter().map(|state| state.held).max();
         let newest = states
@@ -152,7 +154,7 @@
             .max_by_key(|epoch| epoch.version);
         let is_home_gone = match newest {
             Some(epoch) => !members.contains(&epoch.home),
-            // Nobody remembers a home: either there never was one, or all VMs were replaced.
+            // No member knows of a home: there never was one, or all VMs were replaced.
             None => members.version > 1,
         };
         if is_home_gone {
--- a/crates/gateway/src/slots/home.rs
+++ b/crates/gateway/src/slots/home.rs
@@ -1,4 +1,4 @@
-//! The slots of one upstream as its home VM counts them.
+//! The home's count of the slots of one upstream.
 
 use std::collections::HashMap;
 
@@ -7,20 +7,22 @@
 
 use super::message::{AcquireSlot, ActiveLoan, HomeEpoch, LoanId};
 
-/// Slots that bulk requests leave free for interactive ones.
+/// Number of slots that bulk requests leave free for interactive ones.
 const INTERACTIVE_RESERVE: usize = 1;
 
-/// The slots of one upstream and who uses or waits for them.
+/// The loans of the slots of one upstream, and the requests that wait for a slot.
 #[derive(Debug)]
 pub struct Home {
     /// The epoch under which slots are lent.
     pub epoch: HomeEpoch,
-    /// Whether slots are lent now. A home that another VM has replaced, or may have, counts on
-    /// but lends nothing.
+    /// Whether slots are lent. A home that another VM has replaced, or may have replaced, keeps
+    /// counting and lends nothing.
     pub lending: bool,
+    /// The slots lent, with the time at which each is reclaimed.
     loans: HashMap<LoanId, Millis>,
     waiters: Vec<Waiter>,
     held_until: Millis,
+    /// Number of slots held back until `held_until` for requests of a VM that is gone.
     held: usize,
 }
 
@@ -34,7 +36,7 @@
 }
 
 impl Home {
-    /// Makes the home of an upstream whose slots in use are `loans`, with the points at which
+    /// Creates the home of an upstream whose slots in use are `loans`, with the times at which
     /// they are reclaimed.
     pub fn new(epoch: HomeEpoch, loans: HashMap<LoanId, Millis>) -> Self {
         Self {
@@ -47,29 +49,31 @@
         }
     }
 
-    /// Keeps `count` slots free until `until`, for requests of a VM that is gone.
+    /// Holds back `count` slots until `until`, for requests of a VM that is gone.
     pub fn hold_back(&mut self, count: usize, until: Millis) {
         self.held = count;
         self.held_until = until;
     }
 
-    /// Gives the point until which slots of a VM that is gone are kept free.
+    /// Returns the time until which slots are held back for a VM that is gone.
     pub fn held_until(&self) -> Millis {
         self.held_until
     }
 
-    /// Gives the number of slots lent, the home's own uses included.
+    /// Returns the number of slots lent, including those that the home itself uses.
     pub fn in_use(&self) -> usize {
         self.loans.len()
     }
 
-    /// Gives the number of requests that wait for a slot.
+    /// Returns the number of requests that wait for a slot.
     pub fn waiter_count(&self) -> usize {
         self.waiters.iter().filter(|w| !w.tx.is_closed()).count()
     }
 
-    /// Lends a slot where one is free and nobody of the same class or a more urgent one
-    /// waits. It is reclaimed `margin` after the term of the loan.
+    /// Lends a slot if one is free and no request of the same or a more urgent class waits.
+    ///
+    /// `slots` is the number of slots of the upstream. The loan is reclaimed `margin` after its
+    /// term.
     pub fn try_acquire(
         &mut self,
         now: Millis,
@@ -93,7 +97,7 @@
         Some(self.epoch.clone())
     }
 
-    /// Adds a request to those that wait; the receiver gets the epoch once a slot is lent.
+    /// Adds a request to the waiters; the receiver gets the epoch once a slot is lent to it.
     pub fn enqueue(&mut self, now: Millis, req: &AcquireSlot) -> oneshot::Receiver<HomeEpoch> {
         let (tx, rx) = oneshot::channel();
         self.waiters.push(Waiter {
@@ -106,18 +110,18 @@
         rx
     }
 
-    /// Takes back a slot, or the wish for one.
+    /// Ends a loan, or removes the waiter that asked for it.
     pub fn release(&mut self, loan: &LoanId) {
         self.loans.remove(loan);
         self.waiters.retain(|w| w.loan != *loan);
     }
 
-    /// Prolongs a loan; one that was reclaimed already is counted again.
+    /// Extends a loan until `until`. A loan that was already reclaimed is counted again.
     pub fn extend(&mut self, loan: LoanId, until: Millis) {
         self.loans.insert(loan, until);
     }
 
-    /// Lends free slots to those that wait: interactive before bulk, then the oldest first.
+    /// Lends the free slots to waiters: interactive before bulk, then the oldest first.
     pub fn lend_to_waiters(&mut self, now: Millis, slots: usize, margin: Millis) {
         self.reclaim(now);
         self.waiters.retain(|w| !w.tx.is_closed());
@@ -136,25 +140,25 @@
         }
     }
 
-    /// Turns away all that wait, as the upstream gets no new work.
+    /// Rejects all waiters, because the upstream gets no new work.
     pub fn reject_waiters(&mut self) {
         self.waiters.clear();
     }
 
-    /// Starts to lend again under a new epoch; loans found in use are added to those counted.
+    /// Resumes lending under a new epoch, and adds the `loans` that members reported.
     pub fn resume_lending(&mut self, epoch: HomeEpoch, loans: HashMap<LoanId, Millis>) {
         self.epoch = epoch;
         self.loans.extend(loans);
         self.lending = true;
     }
 
-    /// Gives the next point at which a slot comes free without being given back.
+    /// Returns the next time at which a slot becomes free without being released.
     pub fn next_reclaim(&self, now: Millis) -> Option<Millis> {
         let held = (self.held_until > now).then_some(self.held_until);
         self.loans.values().copied().chain(held).min()
     }
 
-    /// Lists the loans that `filter` accepts, with the time left.
+    /// Returns the active loans that `filter` accepts, with the time left.
     pub fn active_loans(&self, now: Millis, filter: impl Fn(&LoanId) -> bool) -> Vec<ActiveLoan> {
         self.loans
             .iter()
@@ -175,15 +179,17 @@
         let free = slots.saturating_sub(self.loans.len() + held);
         match class {
             Class::Interactive => free > 0,
-            // An upstream with one slot could never serve bulk requests otherwise.
+            // With the reserve, an upstream with one slot could never serve bulk requests.
             Class::Bulk if slots <= INTERACTIVE_RESERVE => free > 0,
             Class::Bulk => free > INTERACTIVE_RESERVE,
         }
     }
 
-    /// Drops loans whose time is over. A borrower that died or whose message was lost never
-    /// gives its slot back; it shows as a slot in use for good. The borrower starts nothing
-    /// after its term and this point lies a margin later, so the slot is truly free.
+    /// Removes the loans whose reclaim time has passed.
+    ///
+    /// A borrower that died, or whose release message was lost, never releases its slot, which
+    /// would otherwise count as in use forever. A borrower starts nothing after the term of its
+    /// loan, and the reclaim time lies a margin later, so the slot is free.
     fn reclaim(&mut self, now: Millis) {
         self.loans.retain(|_, until| *until > now);
     }
--- a/crates/gateway/src/slots/message.rs
+++ b/crates/gateway/src/slots/message.rs
@@ -1,7 +1,7 @@
-//! What the VMs of one failure domain say to each other about the slots of its upstreams.
+//! Messages between the VMs of a failure domain about the slots of its upstreams.
 //!
-//! Field names are one letter on the wire. Spans of time are what remains, never points, as
-//! no two clocks are compared.
+//! Field names are one letter on the wire. Times are sent as the duration that remains, never as
+//! a point in time, because the clocks of two VMs are not compared.
 
 use heatherknot_types::prelude::*;
 use serde::{Deserialize, Serialize};
@@ -12,26 +12,26 @@
     /// The service.
     #[serde(rename = "s")]
     pub service: ServiceName,
-    /// The upstream, unique in the service.
+    /// The name of the upstream, unique within the service.
     #[serde(rename = "u")]
     pub upstream: UpstreamName,
 }
 
-/// One run of an entry VM that has a part of its failure domain's capacity.
+/// One incarnation of an entry VM that holds a share of its failure domain's capacity.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Member {
     /// The VM.
     #[serde(rename = "v")]
     pub vm: VmName,
-    /// The run of the VM.
+    /// The incarnation; each start of the VM's daemon has a new one.
     #[serde(rename = "i")]
     pub incarnation: Incarnation,
 }
 
 /// The entry VMs of a failure domain as one version of its capacity ledger lists them.
 ///
-/// A VM stays listed for as long as it may use slots: it is struck off only when it is gone for
-/// good, or when it uses none and has itself taken over a list without it.
+/// A VM stays listed for as long as it may use slots. It is removed only when it is permanently
+/// gone, or when it uses no slots and has itself applied a list without it.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Members {
     /// The version of the ledger. The first VM ever to join makes version 1.
@@ -42,24 +42,24 @@
     pub list: Vec<Member>,
 }
 
-/// The time in which one VM is the home of an upstream.
+/// A period in which one VM is the home of an upstream.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct HomeEpoch {
     /// The home.
     #[serde(rename = "h")]
     pub home: Member,
-    /// The version of the capacity ledger that made it the home.
+    /// The version of the capacity ledger that made the VM the home.
     #[serde(rename = "n")]
     pub version: u64,
 }
 
-/// Names one use of one slot. The VM that uses the slot draws it.
+/// Identifies one loan of a slot. The borrower assigns it.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct LoanId {
     /// The VM that uses the slot.
     #[serde(rename = "b")]
     pub borrower: Member,
-    /// A number that the borrower uses once.
+    /// A number that the borrower never reuses.
     #[serde(rename = "k")]
     pub number: u64,
 }
@@ -70,7 +70,7 @@
     /// The upstream.
     #[serde(rename = "u")]
     pub key: UpstreamKey,
-    /// The name of the use.
+    /// The loan.
     #[serde(rename = "l")]
     pub loan: LoanId,
     /// The class of the request.
@@ -79,13 +79,13 @@
     /// How long the request has waited already.
     #[serde(rename = "a")]
     pub waited: Millis,
-    /// How long the home may let this message wait for a slot.
+    /// How long the call may wait for a slot at the home.
     #[serde(rename = "w")]
     pub wait: Millis,
-    /// How long the slot is used at most, counted by the borrower from before it asked.
+    /// Maximum duration of the loan. The borrower counts it from before it sent the request.
     #[serde(rename = "t")]
     pub term: Millis,
-    /// The epoch under which the borrower takes slots of the upstream.
+    /// The epoch under which the borrower accepts slots of the upstream.
     #[serde(rename = "p", default, skip_serializing_if = "Option::is_none")]
     pub known: Option<HomeEpoch>,
 }
@@ -96,52 +96,52 @@
     /// The slot is lent under this epoch.
     #[serde(rename = "l")]
     Lent(HomeEpoch),
-    /// No slot came free in the time given.
+    /// No slot became free in the time allowed.
     #[serde(rename = "b")]
     Busy,
     /// The receiver is not the home of the upstream, or not yet.
     #[serde(rename = "n")]
     NotHome,
-    /// The upstream is leaving or left alone and gets no new work.
+    /// The upstream is leaving or draining and gets no new work.
     #[serde(rename = "d")]
     Leaving,
 }
 
-/// Gives a slot back.
+/// Releases a slot.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReleaseSlot {
     /// The upstream.
     #[serde(rename = "u")]
     pub key: UpstreamKey,
-    /// The name of the use.
+    /// The loan.
     #[serde(rename = "l")]
     pub loan: LoanId,
-    /// Whether the upstream said in its answer that it is leaving.
+    /// Whether the upstream announced in its response that it is leaving.
     #[serde(rename = "d", default)]
     pub leaving: bool,
 }
 
-/// Prolongs the use of a slot whose answer is still being streamed.
+/// Extends the loan of a slot while the response is still being streamed.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ExtendSlot {
     /// The upstream.
     #[serde(rename = "u")]
     pub key: UpstreamKey,
-    /// The name of the use.
+    /// The loan.
     #[serde(rename = "l")]
     pub loan: LoanId,
-    /// How much longer the slot is used at most.
+    /// Maximum duration of the loan from now on.
     #[serde(rename = "t")]
     pub term: Millis,
 }
 
-/// Asks a VM to let go of upstreams, as the sender becomes their home.
+/// Asks a VM to relinquish upstreams, because the sender is becoming their home.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AdoptSlots {
     /// The VM that becomes the home.
     #[serde(rename = "h")]
     pub home: Member,
-    /// The VMs that make it the home.
+    /// The members under which it is the home.
     #[serde(rename = "m")]
     pub members: Members,
     /// The upstreams.
@@ -152,38 +152,38 @@
 /// The answer to [`AdoptSlots`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum AdoptReply {
-    /// The receiver uses these slots, and will take no other except from the new home.
+    /// The receiver uses these slots, and accepts further ones only from the new home.
     #[serde(rename = "a")]
     Adopted(Vec<UpstreamState>),
-    /// The receiver knows of newer members.
+    /// The receiver knows a newer list of members.
     #[serde(rename = "n")]
     Newer(Members),
 }
 
-/// What one VM knows of the use of one upstream.
+/// What one VM knows about the slots in use of one upstream.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UpstreamState {
     /// The upstream.
     #[serde(rename = "u")]
     pub key: UpstreamKey,
-    /// The newest epoch under which the VM has seen slots lent.
+    /// The newest epoch under which the VM has lent or borrowed slots.
     #[serde(rename = "p", default, skip_serializing_if = "Option::is_none")]
     pub previous: Option<HomeEpoch>,
-    /// The slots in use that the VM answers for.
+    /// The slots in use that the VM reports.
     #[serde(rename = "l", default, skip_serializing_if = "Vec::is_empty")]
     pub loans: Vec<ActiveLoan>,
-    /// How much longer slots of a VM that is gone must be kept free.
+    /// How much longer slots of a VM that is gone must be held back.
     #[serde(rename = "w", default)]
     pub held: Millis,
 }
 
-/// A slot in use and for how much longer at most.
+/// A slot in use, with the maximum time left.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ActiveLoan {
-    /// The name of the use.
+    /// The loan.
     #[serde(rename = "l")]
     pub loan: LoanId,
-    /// The time left, margin included.
+    /// The time left, including the reclaim margin.
     #[serde(rename = "t")]
     pub left: Millis,
 }
--- a/crates/gateway/src/slots/mod.rs
+++ b/crates/gateway/src/slots/mod.rs
@@ -1,13 +1,14 @@
-//! Slots of upstreams, shared by all entry VMs of a failure domain.
+//! Distributed allocation of upstream slots among the entry VMs of a failure domain.
 //!
-//! Each upstream has one home VM, chosen by rendezvous hashing over the VMs of the capacity
-//! ledger. The home counts the upstream's slots; the other VMs borrow one for the time of one
-//! request. Every VM answers for the slots that it uses itself, so a new home learns what is in
-//! use from the users, not from the home before it.
+//! A slot is the right to have one request in progress at an upstream. Each upstream has one
+//! home VM, chosen by rendezvous hashing over the members that the capacity ledger lists. The
+//! home counts the upstream's slots and lends them; a VM borrows one slot for the duration of a
+//! request. Every VM reports the slots that it uses itself, so a new home rebuilds the count
+//! from the borrowers and doesn't depend on the previous home.
 //!
-//! At most one VM lends at any time: a VM becomes the home once every VM of the ledger has
-//! said that it takes slots of that upstream from nobody else. A VM that can't be asked holds
-//! this up until the ledger no longer lists it.
+//! At most one VM lends the slots of an upstream at any time: a VM becomes the home only after
+//! every listed member has agreed to borrow from no other VM. A member that can't be reached
+//! blocks the change until the ledger no longer lists it.
 
 mod acquire;
 mod adopt;
@@ -32,21 +33,22 @@
 };
 pub use port::{PeerCall, PeerError, SlotPort};
 
-/// Spans that the sharing of slots uses.
+/// Durations that govern the lending of slots and the change of homes.
 #[derive(Clone, Copy, Debug)]
 pub struct SlotTiming {
-    /// How long after the end of its term a slot is taken back from a VM that has not given
-    /// it back: for messages under way and clocks that run at different speeds.
+    /// How long after the end of its term an unreleased loan is reclaimed. Allows for messages
+    /// in transit and for clocks that run at different rates.
     pub reclaim_margin: Millis,
-    /// How long a new home keeps the slots free that a VM which is gone may have used. Backend
-    /// servers that see closed connections free their slots at once; where a VM's loss leaves
-    /// connections silent, this is to be the longest deadline.
+    /// How long a new home holds back the slots that a VM which is gone may still be using.
+    ///
+    /// Backend servers that see the connections close free their slots at once. Where the loss
+    /// of a VM leaves connections half-open, set this to the longest request deadline.
     pub orphan_hold: Millis,
-    /// The time between two tries to reach a VM that must let go.
+    /// Interval between attempts to reach a member that has not yet agreed to a new home.
     pub adopt_retry_interval: Millis,
-    /// Longest time for a call to another VM and back, besides the time that the call waits there.
+    /// Timeout of a call to another VM, in addition to the time that the call may wait there.
     pub call_timeout: Millis,
-    /// How long a home that gave no answer is not asked again.
+    /// How long a home that didn't reply is not called again.
     pub unreachable_backoff: Millis,
 }
 
@@ -62,47 +64,50 @@
     }
 }
 
-/// Gives the number of slots of an upstream in force, or zero where it gets no new work.
+/// Returns the configured number of slots of an upstream, or zero if it gets no new work.
 pub type SlotLimit = Rc<dyn Fn(&UpstreamKey) -> usize>;
 
-/// What [`Slots`] needs from its surroundings.
+/// The dependencies of [`Slots`].
 #[derive(Clone)]
 pub struct SlotContext {
     /// This VM.
     pub own: Member,
     /// Calls to the other VMs.
     pub port: SlotPort,
-    /// The slots in force.
+    /// Looks up the number of slots of an upstream.
     pub limit: SlotLimit,
-    /// Told of upstreams that another VM found to be leaving.
+    /// Called with an upstream that a borrower found to be leaving.
     pub on_leaving: Rc<dyn Fn(&UpstreamKey)>,
-    /// The time.
+    /// The clock.
     pub clock: Clock,
-    /// Waiting.
+    /// The timer for waits and timeouts.
     pub timer: Timer,
-    /// The spans used.
+    /// The durations in use.
     pub timing: SlotTiming,
 }
 
-/// One VM's part in the sharing of its failure domain's slots.
+/// One VM's side of the slot allocation, as a borrower and as a home.
 pub struct Slots {
     cx: SlotContext,
     members: RefCell<Members>,
     homes: RefCell<HashMap<UpstreamKey, Home>>,
+    /// The upstreams that this VM is becoming the home of, with the loans released meanwhile.
     adopting: RefCell<HashMap<UpstreamKey, HashSet<LoanId>>>,
-    /// The epoch that this VM has agreed to, which may never begin.
+    /// The epoch that this VM agreed to borrow under. It may never begin.
     agreed_epochs: RefCell<HashMap<UpstreamKey, HomeEpoch>>,
-    /// The newest epoch under which this VM has seen slots lent.
+    /// The newest epoch under which this VM has lent or borrowed slots.
     last_lending_epoch: RefCell<HashMap<UpstreamKey, HomeEpoch>>,
+    /// The slots that this VM uses, with the time at which the home reclaims each.
     own_loans: RefCell<HashMap<UpstreamKey, HashMap<LoanId, Millis>>>,
+    /// The upstreams of the failure domain that the current plan names.
     upstreams: RefCell<HashSet<UpstreamKey>>,
-    /// Homes that gave no answer of late, and until when they are not asked.
+    /// Homes that recently didn't reply, and the time until which they are not called.
     unreachable: RefCell<HashMap<Member, Millis>>,
     next_loan: Cell<u64>,
 }
 
 impl Slots {
-    /// Makes the part of a VM that knows of no members yet.
+    /// Creates the state of a VM that knows of no members yet.
     pub fn new(cx: SlotContext) -> Rc<Self> {
         Rc::new(Self {
             cx,
@@ -118,7 +123,8 @@
         })
     }
 
-    /// Takes over a newer list of members; an older one changes nothing.
+    /// Replaces the list of members if `members` is newer, and adopts the upstreams it assigns
+    /// to this VM.
     pub fn on_members(self: &Rc<Self>, members: Members) {
         if members.version <= self.members.borrow().version {
             return;
@@ -128,30 +134,30 @@
         self.adopt_missing();
     }
 
-    /// Takes over the upstreams of the VM's own failure domain that the plan in force names.
+    /// Replaces the set of upstreams of this VM's failure domain that the current plan names.
     pub fn on_upstreams(self: &Rc<Self>, keys: HashSet<UpstreamKey>) {
-        // An upstream that comes back is counted anew from what the VMs then use.
+        // The count of an upstream that reappears is rebuilt from what the VMs use then.
         self.homes.borrow_mut().retain(|key, _| keys.contains(key));
         *self.upstreams.borrow_mut() = keys;
         self.adopt_missing();
     }
 
-    /// Gives the version of the members in force, zero where none are known.
+    /// Returns the version of the current members, or zero if none are known.
     pub fn version(&self) -> u64 {
         self.members.borrow().version
     }
 
-    /// Says whether this VM is one of the `count` that win `key` among the members in force.
+    /// Returns whether this VM is among the `count` members that rank highest for `key`.
     pub fn is_among_top(&self, count: usize, key: &str) -> bool {
         self.members.borrow().is_among_top(count, key, &self.cx.own)
     }
 
-    /// Gives the number of members in force.
+    /// Returns the number of current members.
     pub fn member_count(&self) -> usize {
         self.members.borrow().list.len()
     }
 
-    /// Says whether this VM lends the slots of `key`.
+    /// Returns whether this VM lends the slots of `key`.
     pub fn is_home(&self, key: &UpstreamKey) -> bool {
         self.homes
             .borrow()
@@ -159,17 +165,17 @@
             .is_some_and(|home| home.lending)
     }
 
-    /// Gives the home of `key` under the members in force.
+    /// Returns the home of `key` under the current members.
     pub fn home_of(&self, key: &UpstreamKey) -> Option<Member> {
         self.members.borrow().home_of(key).cloned()
     }
 
-    /// Gives the number of slots of `key` that this VM uses.
+    /// Returns the number of slots of `key` that this VM uses.
     pub fn own_use(&self, key: &UpstreamKey) -> usize {
         self.own_loans.borrow().get(key).map_or(0, HashMap::len)
     }
 
-    /// Gives the number of slots of `key` that are lent, where this VM is the home.
+    /// Returns the number of slots of `key` that are lent, if this VM counts them.
     pub fn lent(&self, key: &UpstreamKey) -> Option<usize> {
         self.homes.borrow().get(key).map(Home::in_use)
     }
@@ -185,7 +191,7 @@
         }
     }
 
-    /// Remembers that slots of `key` are lent under `epoch`.
+    /// Records that slots of `key` are lent under `epoch`.
     fn record_lending(&self, key: &UpstreamKey, epoch: &HomeEpoch) {
         let mut last_lending_epoch = self.last_lending_epoch.borrow_mut();
         if last_lending_epoch.get(key) != Some(epoch) {
@@ -202,12 +208,12 @@
         }
     }
 
-    /// Runs `f` on what this VM counts as the home of `key`.
+    /// Calls `f` with the home state of `key`, if this VM counts its slots.
     fn with_home<T>(&self, key: &UpstreamKey, f: impl FnOnce(&mut Home) -> T) -> Option<T> {
         self.homes.borrow_mut().get_mut(key).map(f)
     }
 
-    /// Lends what is free to those that wait for `key`.
+    /// Lends the free slots of `key` to its waiters, or rejects them if it gets no new work.
     fn lend_free_slots(&self, key: &UpstreamKey) {
         let limit = (self.cx.limit)(key);
         let now = self.cx.clock.now();
--- a/crates/gateway/src/slots/port.rs
+++ b/crates/gateway/src/slots/port.rs
@@ -1,4 +1,4 @@
-//! The port for the messages about slots between the VMs of one failure domain.
+//! The port for slot messages between the VMs of a failure domain.
 
 use std::fmt;
 use std::rc::Rc;
@@ -9,7 +9,7 @@
 
 use super::message::{AcquireReply, AcquireSlot, AdoptReply, AdoptSlots, ExtendSlot, ReleaseSlot};
 
-/// A call to another VM failed or got no answer. The other VM may have acted on it.
+/// A call to another VM failed or got no reply. The other VM may have processed it.
 #[derive(Clone, Debug, Snafu)]
 #[snafu(display("{step} at {vm}: {cause}"))]
 pub struct PeerError {
@@ -17,29 +17,30 @@
     pub step: &'static str,
     /// The VM called.
     pub vm: VmName,
-    /// What was found.
+    /// The cause.
     pub cause: String,
 }
 
-/// A function that sends one kind of message to a VM and gives its answer.
+/// A function that sends one kind of message to a VM and returns its reply.
 pub type PeerCall<Req, Reply> =
     Rc<dyn Fn(&VmName, Req) -> LocalBoxFuture<'static, Result<Reply, PeerError>>>;
 
-/// Calls to other VMs of the failure domain. Dropping a call's future gives up on the answer.
+/// Calls to the other VMs of the failure domain. Dropping the future of a call discards the
+/// reply.
 #[derive(Clone)]
 pub struct SlotPort {
-    /// Asks for a slot.
+    /// Acquires a slot.
     pub acquire: PeerCall<AcquireSlot, AcquireReply>,
-    /// Gives a slot back.
+    /// Releases a slot.
     pub release: PeerCall<ReleaseSlot, ()>,
-    /// Prolongs the use of a slot.
+    /// Extends the loan of a slot.
     pub extend: PeerCall<ExtendSlot, ()>,
-    /// Becomes the home of upstreams.
+    /// Adopts upstreams.
     pub adopt: PeerCall<AdoptSlots, AdoptReply>,
 }
 
 impl SlotPort {
-    /// Makes a port for a VM that has no peers: every call fails.
+    /// Creates the port of a VM that has no peers: every call fails.
     pub fn none() -> Self {
         Self {
             acquire: refuse("take a slot"),
--- a/crates/gateway/src/slots/serve.rs
+++ b/crates/gateway/src/slots/serve.rs
@@ -1,4 +1,4 @@
-//! Answers to the other VMs of the failure domain.
+//! Handlers of the slot messages of other VMs.
 
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -12,8 +12,8 @@
     Members, ReleaseSlot, UpstreamKey, UpstreamState,
 };
 
-/// Takes a loan back where the message that lends it is never sent: the connection to the
-/// borrower broke while it waited, so the borrower does not know of the loan.
+/// Releases a loan on drop unless its reply is about to be sent. If the connection to the
+/// borrower breaks while the call waits, the borrower never learns of the loan.
 struct UndeliveredLoan<'a> {
     slots: &'a Rc<Slots>,
     release: Option<ReleaseSlot>,
@@ -28,7 +28,7 @@
 }
 
 impl Slots {
-    /// Answers a VM that asks for a slot.
+    /// Handles the request of another VM for a slot.
     pub async fn serve_acquire(self: &Rc<Self>, req: AcquireSlot) -> AcquireReply {
         let mut undelivered = UndeliveredLoan {
             slots: self,
@@ -38,7 +38,7 @@
                 leaving: false,
             }),
         };
-        if self.has_stale_epoch(&req) {
+        if self.epoch_differs(&req) {
             self.readopt(&req.key);
             return AcquireReply::NotHome;
         }
@@ -55,11 +55,12 @@
         }
     }
 
-    /// Says whether the borrower takes slots under another epoch than this VM's.
+    /// Returns whether this VM lends under another epoch than the one the borrower accepts.
     ///
-    /// It does where a VM began to become the home, got the borrower's word, and was overtaken
-    /// by further changes that this VM never saw. The borrower would refuse every loan.
-    fn has_stale_epoch(&self, req: &AcquireSlot) -> bool {
+    /// This happens when another VM started to adopt the upstream, got the borrower's agreement
+    /// and was superseded by further changes of the members, none of which this VM saw. The
+    /// borrower would reject every loan of this VM.
+    fn epoch_differs(&self, req: &AcquireSlot) -> bool {
         let homes = self.homes.borrow();
         match (&req.known, homes.get(&req.key)) {
             (Some(known), Some(home)) => home.lending && *known != home.epoch,
@@ -72,7 +73,7 @@
         self.adopt_missing();
     }
 
-    /// Takes a slot back.
+    /// Handles the release of a slot.
     pub fn serve_release(&self, release: &ReleaseSlot) {
         if release.leaving {
             (self.cx.on_leaving)(&release.key);
@@ -84,13 +85,13 @@
         self.lend_free_slots(&release.key);
     }
 
-    /// Prolongs the use of a slot.
+    /// Handles the extension of a loan.
     pub fn serve_extend(&self, extend: ExtendSlot) {
         let until = self.cx.clock.now() + extend.term + self.cx.timing.reclaim_margin;
         self.with_home(&extend.key, |home| home.extend(extend.loan, until));
     }
 
-    /// Lets go of upstreams for a VM that becomes their home.
+    /// Handles the adoption of upstreams by another VM.
     pub fn serve_adopt(self: &Rc<Self>, adopt: AdoptSlots) -> AdoptReply {
         if adopt.members.version < self.version() {
             return AdoptReply::Newer(self.members.borrow().clone());
@@ -110,8 +111,8 @@
         AdoptReply::Adopted(states)
     }
 
-    /// Ends this VM's own epoch of `key`, where it has one, and takes slots from `epoch`
-    /// alone from here on.
+    /// Ends this VM's own lending of `key`, if any, and accepts loans only under `epoch` from
+    /// now on.
     fn relinquish(&self, key: UpstreamKey, epoch: &HomeEpoch, members: &Members) -> UpstreamState {
         let now = self.cx.clock.now();
         self.agreed_epochs
@@ -121,7 +122,7 @@
         let mut loans = self.own_active_loans(&key, now);
         let mut held = Millis::default();
         if let Some(home) = self.homes.borrow_mut().remove(&key) {
-            // The VMs listed answer for their own loans; those of others would be forgotten.
+            // Listed VMs report their own loans. Those of other VMs would be lost.
             loans.extend(home.active_loans(now, |loan| !members.contains(&loan.borrower)));
             held = home.held_until().since(now);
         }
@@ -133,6 +134,7 @@
         }
     }
 
+    /// Returns the loans of `key` that this VM uses, with the time left.
     pub(super) fn own_active_loans(&self, key: &UpstreamKey, now: Millis) -> Vec<ActiveLoan> {
         let own_loans = self.own_loans.borrow();
         let of_key = own_loans.get(key).into_iter().flatten();
@@ -143,6 +145,7 @@
         of_key.map(left).collect()
     }
 
+    /// Returns the reported loans with the times at which they are reclaimed here.
     pub(super) fn reclaim_times(
         &self,
         states: &[UpstreamState],
--- a/crates/gateway/src/wait_estimator.rs
+++ b/crates/gateway/src/wait_estimator.rs
@@ -1,21 +1,21 @@
-//! How long requests of a service usually hold their slots, to tell how long a queue takes.
+//! Estimates queueing delays from how long requests of a service hold their slots.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
 
 use heatherknot_types::prelude::*;
 
-/// How much of a new span goes into the smoothed one.
+/// Weight of a new sample in the exponentially weighted moving average.
 const SMOOTHING: f64 = 0.1;
 
-/// The usual spans of every service.
+/// The average time in progress of the requests of every service.
 #[derive(Debug, Default)]
 pub(crate) struct WaitEstimator {
     smoothed_ms: RefCell<HashMap<ServiceName, f64>>,
 }
 
 impl WaitEstimator {
-    /// Notes that a request of `service` was in progress for `span`.
+    /// Records that a request of `service` was in progress for `span`.
     pub(crate) fn record(&self, service: &ServiceName, span: Millis) {
         let span = span.0 as f64;
         let mut smoothed = self.smoothed_ms.borrow_mut();
@@ -27,8 +27,8 @@
         }
     }
 
-    /// Gives the likely wait behind `ahead` requests for one of `slots`, or zero where nothing is
-    /// known.
+    /// Returns the expected wait behind `ahead` requests for one of `slots` slots, or zero if no
+    /// request has been recorded or there are no slots.
     pub(crate) fn estimate_wait(
         &self,
         service: &ServiceName,
