--- a/crates/gateway/examples/at_most_once.rs
+++ b/crates/gateway/examples/at_most_once.rs
@@ -1,8 +1,8 @@
-//! Measures what each way to run a request at most once costs, over real sockets.
+//! Measures the cost of each mode of at-most-once execution, over real sockets.
 //!
-//! One process holds a backend server, two daemons' gateways and a stand-in for the platform's
-//! store that takes 2 ms for each answer. Every way is tried in turn in each of several rounds,
-//! so that all share the machine's moods. `docs/at-most-once.md` says what each way is.
+//! One process runs a backend server, the gateways of two daemons and a fake of the platform's
+//! store with a latency of 2 ms. Each of several rounds measures every mode in turn, so that
+//! fluctuations of the machine affect all of them. `docs/at-most-once.md` describes the modes.
 //!
 //! ```text
 //! cargo run --release -p heatherknot-gateway --example at_most_once
@@ -28,40 +28,40 @@
 use heatherknot_test_support::runtime::block_on;
 use heatherknot_types::prelude::*;
 
-const STORE_DELAY: Duration = Duration::from_millis(2);
+const STORE_LATENCY: Duration = Duration::from_millis(2);
 const ROUNDS: usize = 5;
 const PER_ROUND: usize = 300;
 const CALLERS: usize = 32;
 const PER_CALLER: usize = 30;
 const SLOTS: u16 = 64;
 
-/// A way to send one request.
+/// How a request is sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Way {
-    /// Straight to the backend server.
+enum SendMode {
+    /// Directly to the backend server.
     Direct,
     /// A read through the gateway.
     Get,
-    /// A request that must not run twice and bears no key.
+    /// A request that must not run twice, without a key.
     NoKey,
-    /// With a ticket, at the VM that it names.
+    /// With a ticket, to the VM that it names.
     Ticket,
-    /// With a ticket, at another VM, which hands it over.
+    /// With a ticket, to another VM, which forwards it.
     TicketElsewhere,
     /// With the caller's own key, claimed in the store.
     OwnKey,
-    /// The repeat of a request that has its answer.
+    /// The repeat of a request that was answered.
     Repeat,
 }
 
-const WAYS: [Way; 7] = [
-    Way::Direct,
-    Way::Get,
-    Way::NoKey,
-    Way::Ticket,
-    Way::TicketElsewhere,
-    Way::OwnKey,
-    Way::Repeat,
+const MODES: [SendMode; 7] = [
+    SendMode::Direct,
+    SendMode::Get,
+    SendMode::NoKey,
+    SendMode::Ticket,
+    SendMode::TicketElsewhere,
+    SendMode::OwnKey,
+    SendMode::Repeat,
 ];
 
 struct Bench {
@@ -69,14 +69,14 @@
     b: Rc<Vm>,
     direct: Pool,
     platform: PlatformHandle,
-    next: Cell<u64>,
-    repeated: RefCell<String>,
+    next_id: Cell<u64>,
+    repeated_ticket: RefCell<String>,
 }
 
 impl Bench {
     async fn start() -> Self {
         let platform = Platform::start(PlatformConfig::default());
-        platform.faults(|faults| faults.delay = STORE_DELAY);
+        platform.faults(|faults| faults.delay = STORE_LATENCY);
         let server = backend(usize::from(SLOTS));
         server.change(|behavior| behavior.body_len = 1024);
         let (time, network) = (ManualTime::system(), FakeNetwork::new());
@@ -88,11 +88,11 @@
         for vm in [&a, &b] {
             vm.configure(&plan, &both, &time);
         }
-        let ticked = [Rc::clone(&a.steering), Rc::clone(&b.steering)];
+        let steerings = [Rc::clone(&a.steering), Rc::clone(&b.steering)];
         let clock = time.clock();
         monoio::spawn(async move {
             loop {
-                for steering in &ticked {
+                for steering in &steerings {
                     steering.borrow_mut().tick(clock.now());
                 }
                 monoio::time::sleep(Duration::from_millis(100)).await;
@@ -100,54 +100,59 @@
         });
         monoio::time::sleep(Duration::from_secs(5)).await;
         Self {
-            repeated: RefCell::default(),
+            repeated_ticket: RefCell::default(),
             a: Rc::new(a),
             b: Rc::new(b),
             direct: Pool::new(server.address(), PoolConfig::default(), Clock::system()),
             platform,
-            next: Cell::new(0),
+            next_id: Cell::new(0),
         }
     }
 
-    /// Runs a request once, for repeats to find its answer.
-    async fn begin_repeats(&self) {
+    /// Runs a request once, so that repeats find its stored response.
+    async fn prepare_repeats(&self) {
         let ticket = self.a.gateway.new_ticket(&ServiceName::from(SERVICE));
         let first = self
             .a
             .send(TestRequest::post("repeated").key(&ticket))
             .await;
         assert_eq!(first.outcome, "answered");
-        *self.repeated.borrow_mut() = ticket;
+        *self.repeated_ticket.borrow_mut() = ticket;
     }
 
-    /// Sends one request and says whether it was answered.
-    async fn send(&self, way: Way) -> bool {
-        let n = self.next.get();
-        self.next.set(n + 1);
+    /// Sends one request and returns whether it was answered.
+    async fn send(&self, mode: SendMode) -> bool {
+        let n = self.next_id.get();
+        self.next_id.set(n + 1);
         let id = format!("r{n}");
         let ticket = || self.a.gateway.new_ticket(&ServiceName::from(SERVICE));
-        let (vm, ask) = match way {
-            Way::Direct => return self.send_direct(&id).await,
-            Way::Get => (&self.a, TestRequest::get(&id)),
-            Way::NoKey => (&self.a, TestRequest::post(&id)),
-            Way::Ticket => (&self.a, TestRequest::post(&id).key(&ticket())),
-            Way::TicketElsewhere => (&self.b, TestRequest::post(&id).key(&ticket())),
-            Way::OwnKey => (&self.a, TestRequest::post(&id).key(&id)),
-            Way::Repeat => (&self.a, TestRequest::post(&id).key(&self.repeated.borrow())),
+        let (vm, request) = match mode {
+            SendMode::Direct => return self.send_direct(&id).await,
+            SendMode::Get => (&self.a, TestRequest::get(&id)),
+            SendMode::NoKey => (&self.a, TestRequest::post(&id)),
+            SendMode::Ticket => (&self.a, TestRequest::post(&id).key(&ticket())),
+            SendMode::TicketElsewhere => (&self.b, TestRequest::post(&id).key(&ticket())),
+            SendMode::OwnKey => (&self.a, TestRequest::post(&id).key(&id)),
+            SendMode::Repeat => (
+                &self.a,
+                TestRequest::post(&id).key(&self.repeated_ticket.borrow()),
+            ),
         };
-        vm.send(ask).await.outcome == "answered"
+        vm.send(request).await.outcome == "answered"
     }
 
     async fn send_direct(&self, id: &str) -> bool {
-        let ask = TestRequest::post(id);
+        let request = TestRequest::post(id);
         let options = SendOptions::default();
-        let sent = self.direct.send(ask.head, Body::full(ask.body), options);
+        let sent = self
+            .direct
+            .send(request.head, Body::full(request.body), options);
         let response = sent.await.expect("an answer");
         response.body.collect(1 << 20).await.is_ok()
     }
 }
 
-/// Claims in the stand-in for the store, as the daemon makes them.
+/// Returns a port that makes claims in the fake store as the daemon does.
 fn claim_port(platform: &PlatformHandle, clock: &Clock) -> ClaimPort {
     let store = connect(StoreConfig::new(platform.address()));
     let rng = fastrand::Rng::with_seed(7);
@@ -179,7 +184,7 @@
     }
 }
 
-/// What was measured of one way.
+/// The measurements of one mode.
 #[derive(Default)]
 struct Row {
     p50: Vec<f64>,
@@ -189,21 +194,21 @@
     store_calls: f64,
 }
 
-async fn one_after_another(bench: &Bench, way: Way, row: &mut Row) {
-    bench.begin_repeats().await;
-    let mut took = Vec::with_capacity(PER_ROUND);
+async fn run_sequential(bench: &Bench, mode: SendMode, row: &mut Row) {
+    bench.prepare_repeats().await;
+    let mut latencies = Vec::with_capacity(PER_ROUND);
     for _ in 0..PER_ROUND {
         let started = Instant::now();
-        row.unanswered += usize::from(!bench.send(way).await);
-        took.push(started.elapsed().as_secs_f64() * 1_000.0);
+        row.unanswered += usize::from(!bench.send(mode).await);
+        latencies.push(started.elapsed().as_secs_f64() * 1_000.0);
     }
-    took.sort_by(f64::total_cmp);
-    row.p50.push(took[PER_ROUND / 2]);
-    row.p99.push(took[PER_ROUND * 99 / 100]);
+    latencies.sort_by(f64::total_cmp);
+    row.p50.push(latencies[PER_ROUND / 2]);
+    row.p99.push(latencies[PER_ROUND * 99 / 100]);
 }
 
-async fn many_at_once(bench: &Rc<Bench>, way: Way, row: &mut Row) {
-    bench.begin_repeats().await;
+async fn run_concurrent(bench: &Rc<Bench>, mode: SendMode, row: &mut Row) {
+    bench.prepare_repeats().await;
     let calls = bench.platform.calls().total();
     let started = Instant::now();
     let mut callers = Vec::new();
@@ -212,7 +217,7 @@
         callers.push(monoio::spawn(async move {
             let mut unanswered = 0;
             for _ in 0..PER_CALLER {
-                unanswered += usize::from(!bench.send(way).await);
+                unanswered += usize::from(!bench.send(mode).await);
             }
             unanswered
         }));
@@ -225,7 +230,7 @@
     row.store_calls = (bench.platform.calls().total() - calls) as f64 / sent;
 }
 
-fn spread(values: &mut [f64]) -> (f64, f64, f64) {
+fn median_and_range(values: &mut [f64]) -> (f64, f64, f64) {
     values.sort_by(f64::total_cmp);
     let last = values.len() - 1;
     (values[last / 2], values[0], values[last])
@@ -234,27 +239,27 @@
 fn main() {
     block_on(async {
         let bench = Rc::new(Bench::start().await);
-        let mut rows: Vec<Row> = WAYS.iter().map(|_| Row::default()).collect();
+        let mut rows: Vec<Row> = MODES.iter().map(|_| Row::default()).collect();
         for _ in 0..ROUNDS {
-            for (way, row) in WAYS.iter().zip(&mut rows) {
-                one_after_another(&bench, *way, row).await;
+            for (mode, row) in MODES.iter().zip(&mut rows) {
+                run_sequential(&bench, *mode, row).await;
             }
         }
-        for (way, row) in WAYS.iter().zip(&mut rows) {
-            many_at_once(&bench, *way, row).await;
+        for (mode, row) in MODES.iter().zip(&mut rows) {
+            run_concurrent(&bench, *mode, row).await;
         }
         println!(
             "way              p50 ms (of rounds)     p99 ms (of rounds)      of direct  \
              {CALLERS} at once: per second  store calls a request  not answered"
         );
-        let direct = spread(&mut rows[0].p50).0;
-        for (way, row) in WAYS.iter().zip(&mut rows) {
-            let (p50, low50, high50) = spread(&mut row.p50);
-            let (p99, low99, high99) = spread(&mut row.p99);
+        let direct = median_and_range(&mut rows[0].p50).0;
+        for (mode, row) in MODES.iter().zip(&mut rows) {
+            let (p50, low50, high50) = median_and_range(&mut row.p50);
+            let (p99, low99, high99) = median_and_range(&mut row.p99);
             println!(
                 "{:<16} {p50:>5.3} ({low50:.3} to {high50:.3})  {p99:>6.3} ({low99:.3} to \
                  {high99:.3})  {:>9.2}  {:>21.0}  {:>21.2}  {:>12}",
-                format!("{way:?}"),
+                format!("{mode:?}"),
                 p50 / direct,
                 row.per_second,
                 row.store_calls,
--- a/crates/gateway/examples/upstream_choice.rs
+++ b/crates/gateway/examples/upstream_choice.rs
@@ -1,8 +1,8 @@
-//! Compares four ways to share the slots of a few upstreams among the entry VMs of one failure
-//! domain, on the same seeded arrivals.
+//! Compares four strategies for sharing the slots of a few upstreams among the entry VMs of one
+//! failure domain, with the same seeded arrivals.
 //!
-//! It is a queue worked out event by event, with no sockets and no clock: the same seed gives
-//! the same table. `docs/upstream-choice.md` says what each way is and what was chosen.
+//! It is a discrete-event simulation without sockets or a real clock, so the same seed produces
+//! the same table. `docs/upstream-choice.md` describes the strategies and the choice.
 //!
 //! ```text
 //! cargo run --release -p heatherknot-gateway --example upstream_choice
@@ -11,49 +11,50 @@
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, VecDeque};
 
-/// Microseconds since the start.
+/// Microseconds, as a duration or since the start of the simulation.
 type Micros = u64;
 
 const MS: Micros = 1_000;
 const UPSTREAMS: usize = 3;
 const SLOTS: usize = 3;
 const REQUESTS: usize = 200_000;
-/// One way between two VMs of a failure domain.
+/// One-way delay between two VMs of a failure domain.
 const PEER_DELAY: Micros = 250;
-/// One probe of an upstream's load.
-const PROBE: Micros = 6 * MS;
-/// Between two reports of an upstream's load.
-const REPORT_EVERY: Micros = 200 * MS;
+/// Duration of one probe of an upstream's load.
+const PROBE_TIME: Micros = 6 * MS;
+/// Interval between reports of an upstream's load.
+const REPORT_INTERVAL: Micros = 200 * MS;
 const DEADLINE: Micros = 1_000 * MS;
-const QUEUE: usize = 50;
-/// How soon a request that found no room looks again.
-const LOOK_AGAIN: Micros = 10 * MS;
-/// Mean time of nine requests in ten, and of the tenth.
-const USUAL: f64 = 30_000.0;
-const SLOW: f64 = 150_000.0;
-/// Thousandths of the requests that come to the first VM; the others share the rest.
+const MAX_QUEUE_LEN: usize = 50;
+/// Interval after which a request that found no free slot tries again.
+const RETRY_INTERVAL: Micros = 10 * MS;
+/// Mean service time of nine requests in ten, in microseconds.
+const SHORT_MEAN: f64 = 30_000.0;
+/// Mean service time of the tenth, in microseconds.
+const LONG_MEAN: f64 = 150_000.0;
+/// Thousandths of the requests that arrive at the first VM. The others arrive evenly at the rest.
 const FIRST_VM_PERMILLE: u32 = 600;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Way {
+enum Strategy {
     /// Each upstream has a home VM that lends its slots.
     Home,
-    /// Each VM has a fixed part of the slots.
+    /// Each VM has a fixed share of the slots.
     Split,
-    /// Each request probes two upstreams and takes the less loaded.
+    /// Each request probes two upstreams and goes to the less loaded one.
     TwoChoices,
-    /// Reported load, corrected by what the VM has started and finished since.
+    /// Reported load, corrected by the requests that the VM has started and finished since.
     Reported,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
     Arrive,
-    /// A request is to be placed, for the first time or again.
+    /// A request is assigned to an upstream, on the first or a later attempt.
     Place {
         request: usize,
     },
-    /// A probe's answer leads to an upstream.
+    /// The replies to a request's probes arrive.
     Probed {
         request: usize,
     },
@@ -61,7 +62,7 @@
         request: usize,
         upstream: usize,
     },
-    /// The home hears that a slot is free.
+    /// The home learns that a slot is free.
     Free {
         upstream: usize,
     },
@@ -77,7 +78,7 @@
 }
 
 #[derive(Clone, Debug, Default)]
-struct Figures {
+struct Stats {
     waits: Vec<Micros>,
     refused: usize,
     refused_while_free: usize,
@@ -85,63 +86,63 @@
     messages: usize,
 }
 
-struct Run {
-    way: Way,
+struct Simulation {
+    strategy: Strategy,
     vms: usize,
     rng: fastrand::Rng,
-    interval: f64,
+    mean_gap: f64,
     now: Micros,
     events: BinaryHeap<Reverse<(Micros, u64, Event)>>,
-    order: u64,
+    sequence: u64,
     requests: Vec<Request>,
     /// Requests running at each upstream.
     running: [usize; UPSTREAMS],
-    /// Slots lent by each home, which hears of an end later than it happens.
+    /// Slots of each upstream that its home counts as lent. It learns of an end with a delay.
     lent: [usize; UPSTREAMS],
-    /// Each VM's own requests at each upstream.
-    own: Vec<[usize; UPSTREAMS]>,
-    /// Each VM's belief of the load of each upstream.
-    believed: Vec<[i64; UPSTREAMS]>,
-    /// Requests that wait: one queue for all VMs at the homes, or one for each VM.
+    /// Requests of each VM running at each upstream.
+    own_running: Vec<[usize; UPSTREAMS]>,
+    /// Each VM's estimate of the load of each upstream.
+    believed_load: Vec<[i64; UPSTREAMS]>,
+    /// Waiting requests. With homes all VMs share the first queue; otherwise each VM has its own.
     queues: Vec<VecDeque<usize>>,
-    figures: Figures,
+    stats: Stats,
 }
 
-impl Run {
-    fn new(way: Way, vms: usize, load: f64, seed: u64) -> Self {
-        let mean = 0.9 * USUAL + 0.1 * SLOW;
+impl Simulation {
+    fn new(strategy: Strategy, vms: usize, load: f64, seed: u64) -> Self {
+        let mean = 0.9 * SHORT_MEAN + 0.1 * LONG_MEAN;
         let capacity = (UPSTREAMS * SLOTS) as f64 / mean;
         Self {
-            way,
+            strategy,
             vms,
             rng: fastrand::Rng::with_seed(seed),
-            interval: 1.0 / (capacity * load),
+            mean_gap: 1.0 / (capacity * load),
             now: 0,
             events: BinaryHeap::new(),
-            order: 0,
+            sequence: 0,
             requests: Vec::new(),
             running: [0; UPSTREAMS],
             lent: [0; UPSTREAMS],
-            own: vec![[0; UPSTREAMS]; vms],
-            believed: vec![[0; UPSTREAMS]; vms],
+            own_running: vec![[0; UPSTREAMS]; vms],
+            believed_load: vec![[0; UPSTREAMS]; vms],
             queues: vec![VecDeque::new(); vms],
-            figures: Figures::default(),
+            stats: Stats::default(),
         }
     }
 
-    fn at(&mut self, delay: Micros, event: Event) {
-        self.order += 1;
+    fn schedule(&mut self, delay: Micros, event: Event) {
+        self.sequence += 1;
         self.events
-            .push(Reverse((self.now + delay, self.order, event)));
+            .push(Reverse((self.now + delay, self.sequence, event)));
     }
 
     fn exponential(&mut self, mean: f64) -> Micros {
         (-(1.0 - self.rng.f64()).ln() * mean) as Micros
     }
 
-    fn run(mut self) -> Figures {
-        self.at(0, Event::Arrive);
-        self.at(REPORT_EVERY, Event::Report);
+    fn run(mut self) -> Stats {
+        self.schedule(0, Event::Arrive);
+        self.schedule(REPORT_INTERVAL, Event::Report);
         while let Some(Reverse((now, _, event))) = self.events.pop() {
             self.now = now;
             match event {
@@ -156,7 +157,7 @@
                 Event::Report => self.report(),
             }
         }
-        self.figures
+        self.stats
     }
 
     fn arrive(&mut self) {
@@ -165,7 +166,11 @@
             true => 0,
             false => self.rng.usize(1..self.vms),
         };
-        let mean = if self.rng.u8(0..10) == 0 { SLOW } else { USUAL };
+        let mean = if self.rng.u8(0..10) == 0 {
+            LONG_MEAN
+        } else {
+            SHORT_MEAN
+        };
         let work = self.exponential(mean).max(MS);
         self.requests.push(Request {
             vm,
@@ -176,8 +181,8 @@
         let request = self.requests.len() - 1;
         self.place(request);
         if self.requests.len() < REQUESTS {
-            let gap = self.exponential(self.interval);
-            self.at(gap, Event::Arrive);
+            let gap = self.exponential(self.mean_gap);
+            self.schedule(gap, Event::Arrive);
         }
     }
 
@@ -185,20 +190,20 @@
         if self.now - self.requests[request].arrived >= DEADLINE {
             return self.refuse();
         }
-        match self.way {
-            Way::Home => self.place_by_home(request),
-            Way::Split => self.place_by_split(request),
-            Way::TwoChoices => {
-                self.figures.messages += 2;
-                self.at(PROBE, Event::Probed { request });
+        match self.strategy {
+            Strategy::Home => self.place_with_home(request),
+            Strategy::Split => self.place_with_split(request),
+            Strategy::TwoChoices => {
+                self.stats.messages += 2;
+                self.schedule(PROBE_TIME, Event::Probed { request });
             }
-            Way::Reported => self.place_by_report(request),
+            Strategy::Reported => self.place_with_reports(request),
         }
     }
 
-    /// The upstreams whose home is the request's VM go first; those of others cost a message
-    /// there and back.
-    fn place_by_home(&mut self, request: usize) {
+    /// Prefers the upstreams whose home is the request's VM. A slot of another home costs a
+    /// round trip.
+    fn place_with_home(&mut self, request: usize) {
         let vm = self.requests[request].vm;
         let free = |u: &usize| self.lent[*u] < SLOTS;
         let here = (0..UPSTREAMS).filter(|u| u % self.vms == vm).find(free);
@@ -206,31 +211,33 @@
             self.lent[upstream] += 1;
             return self.start(request, upstream, 0);
         }
-        self.figures.messages += 2;
+        self.stats.messages += 2;
         let there = (0..UPSTREAMS).filter(|u| u % self.vms != vm).find(free);
         if let Some(upstream) = there {
             self.lent[upstream] += 1;
             return self.start(request, upstream, 2 * PEER_DELAY);
         }
-        self.wait(request, 0);
+        self.enqueue(request, 0);
     }
 
-    fn place_by_split(&mut self, request: usize) {
+    fn place_with_split(&mut self, request: usize) {
         let vm = self.requests[request].vm;
-        let free = (0..UPSTREAMS).find(|u| self.own[vm][*u] < self.part(vm, *u));
+        let free = (0..UPSTREAMS).find(|u| self.own_running[vm][*u] < self.share_of(vm, *u));
         match free {
             Some(upstream) => self.start(request, upstream, 0),
-            None => self.wait(request, vm),
+            None => self.enqueue(request, vm),
         }
     }
 
-    /// Gives the slots of an upstream that one VM has; the odd ones go round.
-    fn part(&self, vm: usize, upstream: usize) -> usize {
-        let odd = SLOTS % self.vms;
-        SLOTS / self.vms + usize::from((vm + upstream) % self.vms < odd)
+    /// Returns the share of one VM in the slots of an upstream. The remainder rotates among the
+    /// VMs.
+    fn share_of(&self, vm: usize, upstream: usize) -> usize {
+        let remainder = SLOTS % self.vms;
+        SLOTS / self.vms + usize::from((vm + upstream) % self.vms < remainder)
     }
 
-    /// Takes the less loaded of two upstreams, as they were half a probe ago at best.
+    /// Chooses the less loaded of two random upstreams. Their load is at least half a probe old when
+    /// the request arrives.
     fn place_probed(&mut self, request: usize) {
         let one = self.rng.usize(0..UPSTREAMS);
         let other = (one + self.rng.usize(1..UPSTREAMS)) % UPSTREAMS;
@@ -239,72 +246,71 @@
             false => other,
         };
         if self.running[upstream] < SLOTS {
-            return self.start(request, upstream, PROBE / 2);
+            return self.start(request, upstream, PROBE_TIME / 2);
         }
-        self.at(LOOK_AGAIN, Event::Place { request });
+        self.schedule(RETRY_INTERVAL, Event::Place { request });
     }
 
-    fn place_by_report(&mut self, request: usize) {
+    fn place_with_reports(&mut self, request: usize) {
         let vm = self.requests[request].vm;
-        let load = |u: &usize| self.believed[vm][*u].max(self.own[vm][*u] as i64);
+        let load = |u: &usize| self.believed_load[vm][*u].max(self.own_running[vm][*u] as i64);
         let least = (0..UPSTREAMS).min_by_key(load).unwrap_or(0);
         match load(&least) < SLOTS as i64 {
             true => self.start(request, least, 0),
-            false => self.wait(request, vm),
+            false => self.enqueue(request, vm),
         }
     }
 
-    fn wait(&mut self, request: usize, queue: usize) {
-        if self.queues[queue].len() >= QUEUE {
+    fn enqueue(&mut self, request: usize, queue: usize) {
+        if self.queues[queue].len() >= MAX_QUEUE_LEN {
             return self.refuse();
         }
         self.queues[queue].push_back(request);
     }
 
     fn refuse(&mut self) {
-        self.figures.refused += 1;
+        self.stats.refused += 1;
         if self.running.iter().any(|running| *running < SLOTS) {
-            self.figures.refused_while_free += 1;
+            self.stats.refused_while_free += 1;
         }
     }
 
-    /// Sends a request. An upstream whose slots are all taken sheds it, and it goes elsewhere
-    /// once.
+    /// Sends a request. An upstream without a free slot sheds it, and it is assigned once more.
     fn start(&mut self, request: usize, upstream: usize, delay: Micros) {
         let Request {
             vm, arrived, work, ..
         } = self.requests[request];
         if self.running[upstream] >= SLOTS {
-            self.figures.shed += 1;
-            self.believed[vm][upstream] = SLOTS as i64;
+            self.stats.shed += 1;
+            self.believed_load[vm][upstream] = SLOTS as i64;
             self.requests[request].sheds += 1;
             match self.requests[request].sheds {
-                1 => self.at(MS, Event::Place { request }),
+                1 => self.schedule(MS, Event::Place { request }),
                 _ => self.refuse(),
             }
             return;
         }
         self.running[upstream] += 1;
-        self.own[vm][upstream] += 1;
-        self.believed[vm][upstream] += 1;
-        self.figures.waits.push(self.now + delay - arrived);
-        self.at(delay + work, Event::Finish { request, upstream });
+        self.own_running[vm][upstream] += 1;
+        self.believed_load[vm][upstream] += 1;
+        self.stats.waits.push(self.now + delay - arrived);
+        self.schedule(delay + work, Event::Finish { request, upstream });
     }
 
     fn finish(&mut self, request: usize, upstream: usize) {
         let vm = self.requests[request].vm;
         self.running[upstream] -= 1;
-        self.own[vm][upstream] -= 1;
-        self.believed[vm][upstream] -= 1;
-        match self.way {
-            Way::Home => {
+        self.own_running[vm][upstream] -= 1;
+        self.believed_load[vm][upstream] -= 1;
+        match self.strategy {
+            Strategy::Home => {
                 let is_here = upstream % self.vms == vm;
-                self.figures.messages += usize::from(!is_here);
+                self.stats.messages += usize::from(!is_here);
                 let delay = if is_here { 0 } else { PEER_DELAY };
-                self.at(delay, Event::Free { upstream });
+                self.schedule(delay, Event::Free { upstream });
             }
-            Way::Split | Way::Reported => self.place_waiting(vm),
-            Way::TwoChoices => {}
+            Strategy::Split | Strategy::Reported => self.place_waiting(vm),
+            Strategy::TwoChoices => {}
         }
     }
 
@@ -331,9 +337,9 @@
 
     fn report(&mut self) {
         for vm in 0..self.vms {
-            self.figures.messages += UPSTREAMS;
-            self.believed[vm] = self.running.map(|running| running as i64);
-            if self.way == Way::Reported {
+            self.stats.messages += UPSTREAMS;
+            self.believed_load[vm] = self.running.map(|running| running as i64);
+            if self.strategy == Strategy::Reported {
                 for _ in 0..self.queues[vm].len() {
                     self.place_waiting(vm);
                 }
@@ -341,7 +347,7 @@
         }
         let is_over = self.requests.len() >= REQUESTS && self.running == [0; UPSTREAMS];
         if !is_over {
-            self.at(REPORT_EVERY, Event::Report);
+            self.schedule(REPORT_INTERVAL, Event::Report);
         }
     }
 }
@@ -358,41 +364,46 @@
     );
     for vms in [2, 4] {
         for load in [0.6, 0.8, 0.95] {
-            for way in [Way::Home, Way::Split, Way::TwoChoices, Way::Reported] {
-                row(way, vms, load, &SEEDS);
+            for strategy in [
+                Strategy::Home,
+                Strategy::Split,
+                Strategy::TwoChoices,
+                Strategy::Reported,
+            ] {
+                print_row(strategy, vms, load, &SEEDS);
             }
         }
     }
 }
 
-fn row(way: Way, vms: usize, load: f64, seeds: &[u64]) {
+fn print_row(strategy: Strategy, vms: usize, load: f64, seeds: &[u64]) {
     let mut p50 = Vec::new();
     let mut p99 = Vec::new();
-    let mut sum = Figures::default();
+    let mut sum = Stats::default();
     for seed in seeds {
-        let mut figures = Run::new(way, vms, load, *seed).run();
-        figures.waits.sort_unstable();
-        p50.push(percentile(&figures.waits, 500));
-        p99.push(percentile(&figures.waits, 990));
-        sum.refused += figures.refused;
-        sum.refused_while_free += figures.refused_while_free;
-        sum.shed += figures.shed;
-        sum.messages += figures.messages;
+        let mut stats = Simulation::new(strategy, vms, load, *seed).run();
+        stats.waits.sort_unstable();
+        p50.push(percentile(&stats.waits, 500));
+        p99.push(percentile(&stats.waits, 990));
+        sum.refused += stats.refused;
+        sum.refused_while_free += stats.refused_while_free;
+        sum.shed += stats.shed;
+        sum.messages += stats.messages;
     }
     p50.sort_by(f64::total_cmp);
     p99.sort_by(f64::total_cmp);
     let all = (REQUESTS * seeds.len()) as f64;
-    let share = |count: usize| 100.0 * count as f64 / all;
+    let percent = |count: usize| 100.0 * count as f64 / all;
     println!(
         "{:<11} {vms:>3} {load:>5}  {:>11.1}  {:>6.1} ({:.1} to {:.1}) {:>12.3}%  {:>17.3}%  {:>5.2}%  {:>8.2}",
-        format!("{way:?}"),
+        format!("{strategy:?}"),
         p50[p50.len() / 2],
         p99[p99.len() / 2],
         p99[0],
         p99[p99.len() - 1],
-        share(sum.refused),
-        share(sum.refused_while_free),
-        share(sum.shed),
+        percent(sum.refused),
+        percent(sum.refused_while_free),
+        percent(sum.shed),
         sum.messages as f64 / all,
     );
 }
--- a/crates/gateway/src/local.rs
+++ b/crates/gateway/src/local.rs
@@ -59,8 +59,8 @@
         }
         let left = call.time_left(now);
         let ticket = admission.ticket();
-        let enough = self.cx.steering.borrow_mut().begin_send(ticket, left, now);
-        if !enough {
+        let has_time = self.cx.steering.borrow_mut().begin_send(ticket, left, now);
+        if !has_time {
             return Err(not_attempted(deadline_passed()));
         }
         let Some(body) = exchange.payload.take() else {
@@ -116,22 +116,22 @@
         started: Millis,
         candidates: &[UpstreamPlan],
     ) -> Result<(UpstreamPlan, Slot), Refusal> {
-        let first_ask = self.cx.clock.now();
+        let started_at = self.cx.clock.now();
         let mut wait = Millis::default();
         loop {
             let now = self.cx.clock.now();
             if now >= call.deadline {
                 return Err(deadline_passed());
             }
-            let want = SlotRequest {
+            let slot_req = SlotRequest {
                 class: call.class,
                 waited: now.since(started),
                 wait,
                 term: call.time_left(now),
             };
             let error = match wait {
-                Millis(0) => self.acquire_in_order(call, candidates, want).await,
-                _ => self.acquire_any(call, candidates, want).await,
+                Millis(0) => self.acquire_in_order(call, candidates, slot_req).await,
+                _ => self.acquire_any(call, candidates, slot_req).await,
             };
             let error = match error {
                 Ok(acquired) => return Ok(acquired),
@@ -141,7 +141,7 @@
             match error {
                 Some(AcquireError::Busy { .. }) => {}
                 Some(AcquireError::NoHome { .. } | AcquireError::Unreachable { .. })
-                    if now.since(first_ask) < HOME_RETRY_LIMIT =>
+                    if now.since(started_at) < HOME_RETRY_LIMIT =>
                 {
                     self.cx.timer.wait(HOME_RETRY_INTERVAL).await;
                 }
@@ -156,11 +156,11 @@
         &self,
         call: &Call,
         candidates: &[UpstreamPlan],
-        want: SlotRequest,
+        slot_req: SlotRequest,
     ) -> Result<(UpstreamPlan, Slot), Option<AcquireError>> {
         let mut error = None;
         for upstream in candidates {
-            match self.acquire_one(call, upstream, want).await {
+            match self.acquire_one(call, upstream, slot_req).await {
                 Ok(acquired) => return Ok(acquired),
                 Err(e) => error = Some(most_retryable(error, e)),
             }
@@ -172,14 +172,14 @@
         &self,
         call: &Call,
         candidates: &[UpstreamPlan],
-        want: SlotRequest,
+        slot_req: SlotRequest,
     ) -> Result<(UpstreamPlan, Slot), Option<AcquireError>> {
         if candidates.is_empty() {
             return Err(None);
         }
         let requests = candidates
             .iter()
-            .map(|upstream| Box::pin(self.acquire_one(call, upstream, want)));
+            .map(|upstream| Box::pin(self.acquire_one(call, upstream, slot_req)));
         match pin!(select_ok(requests)).await {
             Ok((acquired, _others)) => Ok(acquired),
             Err(error) => Err(Some(error)),
@@ -190,13 +190,13 @@
         &self,
         call: &Call,
         upstream: &UpstreamPlan,
-        want: SlotRequest,
+        slot_req: SlotRequest,
     ) -> Result<(UpstreamPlan, Slot), AcquireError> {
         let key = UpstreamKey::new(call.service.clone(), upstream.name.clone());
         if self.slot_limit(&key) == 0 {
             return Err(AcquireError::Leaving { key });
         }
-        let slot = match self.slots.acquire(&key, want).await {
+        let slot = match self.slots.acquire(&key, slot_req).await {
             Ok(slot) => slot,
             Err(error) => {
                 if matches!(error, AcquireError::Leaving { .. }) {
--- a/crates/gateway/src/once/run.rs
+++ b/crates/gateway/src/once/run.rs
@@ -22,7 +22,7 @@
 /// Retry interval for a caller while claims can't be made.
 const CLAIM_RETRY_AFTER: Millis = Millis(2_000);
 /// Retry interval for a caller while the record table is full.
-const MEMORY_RETRY_AFTER: Millis = Millis(5_000);
+const RECORDS_FULL_RETRY_AFTER: Millis = Millis(5_000);
 
 impl Gateway {
     /// Runs a request that carries a key, or repeats the response that it had.
@@ -76,7 +76,7 @@
             return Err(Refusal::unknown(Reason::TicketExpired, detail));
         }
         match self.records.begin(&record, ticket.expires) {
-            BeginOutcome::Run(run) => self.run_here(call, exchange, run, flight).await,
+            BeginOutcome::Run(run) => self.run_detached(call, exchange, run, flight).await,
             other => self.answer_repeat(&call, other).await,
         }
     }
@@ -94,14 +94,14 @@
                 return Err(owner_gone("no record of the request is left here"));
             }
         }
-        let until = (self.cx.clock.now() + self.cx.settings.key_retention).max(call.deadline);
-        let run = match self.records.begin(&record, until) {
+        let expires = (self.cx.clock.now() + self.cx.settings.key_retention).max(call.deadline);
+        let run = match self.records.begin(&record, expires) {
             BeginOutcome::Run(run) => run,
             other => return self.answer_repeat(&call, other).await,
         };
         if call.owner_incarnation().is_some() {
             // The forwarding daemon has read the claim, which this daemon holds.
-            return self.run_here(call, exchange, run, flight).await;
+            return self.run_detached(call, exchange, run, flight).await;
         }
         let claim = (self.cx.claims.claim)(ClaimRequest {
             account: call.settings().account.clone(),
@@ -118,7 +118,7 @@
                 // Nothing is sent past the deadline, so this also stops a daemon that was paused
                 // until its claim expired.
                 call.deadline = call.deadline.min(start_by);
-                self.run_here(call, exchange, run, flight).await
+                self.run_detached(call, exchange, run, flight).await
             }
             Some(Ok(ClaimOutcome::Held(owner))) if owner == self.cx.own => {
                 self.rerun_with_claim(call, exchange, run, flight).await
@@ -145,7 +145,7 @@
         flight: InFlightGuard,
     ) -> Result<Response, Refusal> {
         if run.known_not_run {
-            return self.run_here(call, exchange, run, flight).await;
+            return self.run_detached(call, exchange, run, flight).await;
         }
         let refusal = owner_gone("the record of the request was dropped");
         run.complete(Completion::Unknown(refusal.clone()));
@@ -178,7 +178,7 @@
 
     /// Runs a request in a separate task, so that it completes and is recorded even if the
     /// caller disconnects. A repeat then gets the response.
-    async fn run_here(
+    async fn run_detached(
         self: &Rc<Self>,
         call: Call,
         mut exchange: Exchange,
@@ -212,7 +212,7 @@
             BeginOutcome::Full | BeginOutcome::Run(_) => {
                 let detail = "no further request that runs at most once can be remembered";
                 let refusal = Refusal::not_run(Reason::MemoryFull, detail);
-                return Err(refusal.retry_after(MEMORY_RETRY_AFTER));
+                return Err(refusal.retry_after(RECORDS_FULL_RETRY_AFTER));
             }
         };
         let (name, answer) = match completion {
--- a/crates/gateway/src/slots/acquire.rs
+++ b/crates/gateway/src/slots/acquire.rs
@@ -78,7 +78,7 @@
     pub async fn acquire(
         self: &Rc<Self>,
         key: &UpstreamKey,
-        want: SlotRequest,
+        request: SlotRequest,
     ) -> Result<Slot, AcquireError> {
         let no_home = || AcquireError::NoHome { key: key.clone() };
         // A new home asks only the listed VMs what they use. It would not learn of slots that
@@ -91,10 +91,10 @@
         let req = AcquireSlot {
             key: key.clone(),
             loan: self.new_loan_id(),
-            class: want.class,
-            waited: want.waited,
-            wait: want.wait,
-            term: want.term,
+            class: request.class,
+            waited: request.waited,
+            wait: request.wait,
+            term: request.term,
             known: self.agreed_epochs.borrow().get(key).cloned(),
         };
         let slot = Slot {
@@ -117,7 +117,7 @@
             slot.may_be_lent.set(!not_lent);
             lent
         }?;
-        self.accept_loan(&slot, epoch, asked_at + want.term)?;
+        self.accept_loan(&slot, epoch, asked_at + request.term)?;
         Ok(slot)
     }
 
@@ -180,10 +180,10 @@
         }
         let now = self.cx.clock.now();
         let margin = self.cx.timing.reclaim_margin;
-        let taken = self
+        let lent = self
             .with_home(key, |home| home.try_acquire(now, limit, req, margin))
             .ok_or_else(no_home)?;
-        if let Some(epoch) = taken {
+        if let Some(epoch) = lent {
             return Ok(epoch);
         }
         if req.wait == Millis::default() {
@@ -199,19 +199,21 @@
         &self,
         req: &AcquireSlot,
         mut rx: local_sync::oneshot::Receiver<HomeEpoch>,
-        end: Millis,
+        deadline: Millis,
     ) -> Result<HomeEpoch, AcquireError> {
         let key = &req.key;
         loop {
             self.lend_free_slots(key);
             let now = self.cx.clock.now();
-            if now >= end {
+            if now >= deadline {
                 return Err(AcquireError::Busy { key: key.clone() });
             }
             // No message announces that a loan is reclaimed, so the wait also wakes at the next
             // reclaim time.
             let reclaim = self.with_home(key, |home| home.next_reclaim(now)).flatten();
-            let wake = reclaim.filter(|at| *at > now).map_or(end, |at| at.min(end));
+            let wake = reclaim
+                .filter(|at| *at > now)
+                .map_or(deadline, |at| at.min(deadline));
             match self.cx.timer.limit(wake.since(now), &mut rx).await {
                 Some(Ok(epoch)) => return Ok(epoch),
                 Some(Err(_)) => return Err(AcquireError::NoHome { key: key.clone() }),
--- a/crates/gateway/src/slots/message.rs
+++ b/crates/gateway/src/slots/message.rs
@@ -90,7 +90,7 @@
     pub known: Option<HomeEpoch>,
 }
 
-/// The answer to [`AcquireSlot`].
+/// The reply to [`AcquireSlot`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum AcquireReply {
     /// The slot is lent under this epoch.
@@ -149,7 +149,7 @@
     pub keys: Vec<UpstreamKey>,
 }
 
-/// The answer to [`AdoptSlots`].
+/// The reply to [`AdoptSlots`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum AdoptReply {
     /// The receiver uses these slots, and accepts further ones only from the new home.
--- a/crates/gateway/src/slots/mod.rs
+++ b/crates/gateway/src/slots/mod.rs
@@ -180,10 +180,10 @@
         self.homes.borrow().get(key).map(Home::in_use)
     }
 
-    /// Ends the agreed_epochs that the members in force no longer give to this VM.
+    /// Stops lending the slots of upstreams whose home under the current members is another VM.
     ///
-    /// A VM that is not listed is not asked to let go. It would lend beside the next home as
-    /// soon as it is listed again, and both would lend the same slots.
+    /// A VM that is not listed is not asked to relinquish its upstreams. Without this it would
+    /// lend alongside the next home once it is listed again, and both would lend the same slots.
     fn stop_lending(&self) {
         let members = self.members.borrow();
         for (key, home) in self.homes.borrow_mut().iter_mut() {
--- a/crates/gateway/src/slots/serve.rs
+++ b/crates/gateway/src/slots/serve.rs
@@ -101,11 +101,11 @@
             version: adopt.members.version,
         };
         self.on_members(adopt.members.clone());
-        let owned = adopt
+        let assigned = adopt
             .keys
             .into_iter()
             .filter(|key| adopt.members.home_of(key) == Some(&adopt.home));
-        let states = owned
+        let states = assigned
             .map(|key| self.relinquish(key, &epoch, &adopt.members))
             .collect();
         AdoptReply::Adopted(states)
--- a/crates/gateway/tests/once.rs
+++ b/crates/gateway/tests/once.rs
@@ -1,4 +1,4 @@
-//! Requests that must not run twice, across VMs and failures.
+//! At-most-once execution of requests across VMs and failures.
 
 mod common;
 
@@ -24,17 +24,17 @@
     server.runs().values().sum()
 }
 
-/// Sends the same request with each kind of key to the two VMs at once, and gives the answers.
-async fn ask_both(a: &Rc<Vm>, b: &Rc<Vm>, key: &str) -> [common::TestResponse; 2] {
+/// Sends the same request to the two VMs concurrently, and returns both responses.
+async fn send_to_both(a: &Rc<Vm>, b: &Rc<Vm>, key: &str) -> [common::TestResponse; 2] {
     let at_a = a.spawn_send(TestRequest::post("at-a").key(key));
     let at_b = b.spawn_send(TestRequest::post("at-b").key(key));
     [at_a.await, at_b.await]
 }
 
 #[test]
-fn repeat_gets_the_first_answer_again() {
-    // A caller's connection breaks just before the answer comes, and it sends its order again
-    // with the same key. The order must not be placed twice, and the caller gets the answer.
+fn repeat_gets_the_first_response() {
+    // A caller loses its connection just before the response and repeats its request with the
+    // same key. The request must not run twice, and the caller gets the first response.
     block_on(async {
         let server = backend(3);
         let (vm, _time, _network) = one_vm(plan(&[&server], 3)).await;
@@ -53,15 +53,15 @@
 }
 
 #[test]
-fn same_key_at_two_vms_at_once_runs_once() {
-    // An impatient caller sends the same request to two VMs in the same instant.
+fn same_key_at_two_vms_concurrently_runs_once() {
+    // A caller sends the same request to two VMs concurrently; only one of them may run it.
     block_on(async {
         let server = backend(3);
         let (a, b, _time, _network) = two_vms(plan(&[&server], 3)).await;
 
         for key in [ticket_of(&a), ticket_of(&b), "own-key".to_owned()] {
             let before = total_runs(&server);
-            let [at_a, at_b] = ask_both(&a, &b, &key).await;
+            let [at_a, at_b] = send_to_both(&a, &b, &key).await;
 
             assert_eq!(total_runs(&server), before + 1, "{key}");
             for answer in [&at_a, &at_b] {
@@ -73,9 +73,9 @@
 }
 
 #[test]
-fn caller_that_left_finds_its_answer() {
-    // A caller disconnects while its order runs, and asks again later. The run goes on without
-    // it: cancelled halfway, the order's outcome would be unknown for good.
+fn disconnected_caller_finds_its_response() {
+    // A caller disconnects while its request runs, and repeats it later. The run must continue:
+    // if it were cancelled, the outcome would stay unknown.
     block_on(async {
         let server = backend(3);
         server.change(|s| s.held = true);
@@ -103,9 +103,9 @@
 }
 
 #[test]
-fn lost_answer_of_the_backend_stays_unknown() {
-    // The backend server runs the order and its answer is lost. However often the caller asks
-    // again, the order must not run a second time, though nobody can say that it ran.
+fn lost_response_of_the_backend_stays_unknown() {
+    // The backend server runs the request and its response is lost. No repeat may run it a second
+    // time, although it is not known whether it ran.
     block_on(async {
         let server = backend(3);
         server.change(|s| s.fault = Fault::ClosesAfterRun);
@@ -129,8 +129,8 @@
 
 #[test]
 fn request_that_did_not_run_may_be_repeated() {
-    // The backend server refuses an order before it runs it. The caller comes back with the
-    // same key when told to, and now it runs.
+    // The backend server refuses the request before it runs it. A repeat with the same key must
+    // then be able to run.
     block_on(async {
         let server = backend(3);
         let (vm, time, _network) = one_vm(plan(&[&server], 3)).await;
@@ -151,9 +151,9 @@
 }
 
 #[test]
-fn death_of_the_vm_that_ran_it_is_unknown_elsewhere() {
-    // A VM runs an order and dies before it answers. The caller asks another VM with the same
-    // key. Whether the order ran is nowhere recorded; a second run must not be the answer.
+fn request_of_a_dead_vm_is_unknown_elsewhere() {
+    // A VM runs a request and dies before it responds, so no record states whether it ran. A
+    // repeat at another VM must not run it a second time.
     block_on(async {
         let server = backend(3);
         server.change(|s| s.fault = Fault::NeverAnswers);
@@ -176,9 +176,9 @@
 }
 
 #[test]
-fn restarted_vm_does_not_run_what_its_earlier_run_began() {
-    // A VM is replaced by another of the same name, which remembers nothing. A repeat that
-    // comes to it directly, or by another VM, looks new to it.
+fn restarted_vm_does_not_rerun_requests_of_its_predecessor() {
+    // A VM is replaced by a new incarnation of the same name without records. A repeat must not
+    // run there as a new request, whether it arrives directly or from another VM.
     block_on(async {
         let server = backend(3);
         let (a, b, time, network) = two_vms(plan(&[&server], 3)).await;
@@ -206,8 +206,8 @@
 
 #[test]
 fn partition_from_the_owner_heals() {
-    // The VM that ran an order is cut off from the one that the caller asks. The repeat is
-    // answered "unknown" and, once the partition has healed, with the first answer.
+    // The VM that ran a request is partitioned from the one that gets the repeat. The outcome of
+    // the repeat is "unknown" until the partition heals, and then the first response.
     block_on(async {
         let server = backend(3);
         let (a, b, _time, network) = two_vms(plan(&[&server], 3)).await;
@@ -230,8 +230,8 @@
 
 #[test]
 fn store_that_is_down_refuses_keys_but_not_tickets() {
-    // The store of claims is down. A caller's own key can't be claimed, so nothing is sent. A
-    // caller that says it has asked before is not told "not run": its earlier try may have run
+    // While the store is down a caller's own key can't be claimed, so nothing is sent. A request
+    // that states it is a repeat must not get "not run", because an earlier attempt may have run
     // at another VM.
     block_on(async {
         let server = backend(3);
@@ -257,10 +257,10 @@
 }
 
 #[test]
-fn claim_whose_answer_is_lost_is_still_the_callers() {
-    // The claim takes effect, but its answer is lost, and the caller is told "not run". When
-    // it asks again the store says that the key is claimed: by this very daemon, which knows
-    // that the request has not run. Another VM hands the repeat to it.
+fn claim_whose_reply_is_lost_is_still_usable() {
+    // A claim takes effect but its reply is lost, and the outcome is "not run". On the repeat the
+    // store reports that this daemon holds the claim. Its record shows that the request has not
+    // run, so it must run now, also if another VM forwards the repeat.
     block_on(async {
         let server = backend(3);
         let (a, b, _time, network) = two_vms(plan(&[&server], 3)).await;
@@ -280,8 +280,8 @@
 
 #[test]
 fn daemon_paused_past_its_claim_sends_nothing() {
-    // A daemon claims a key and is paused for so long that the claim ends and another daemon
-    // may have claimed the key anew and run the request. When it wakes it must not send it.
+    // A daemon is paused after its claim until the claim expires. Another daemon may since have
+    // claimed the key and run the request, so the first one must not send it when it resumes.
     block_on(async {
         let server = backend(1);
         server.change(|s| s.held = true);
@@ -306,7 +306,8 @@
 }
 
 #[test]
-fn forged_and_foreign_tickets_are_not_run() {
+fn forged_and_foreign_tickets_are_refused() {
+    // A ticket with a wrong tag or for another service must not let a request run.
     block_on(async {
         let server = backend(3);
         let (vm, _time, _network) = one_vm(plan(&[&server], 3)).await;
@@ -325,9 +326,9 @@
 }
 
 #[test]
-fn ticket_that_has_ended_is_unknown() {
-    // A caller repeats an order long after its ticket ended. The record went with the ticket,
-    // so the order would look new.
+fn expired_ticket_is_unknown() {
+    // A caller repeats a request long after its ticket expired. The record expired with the
+    // ticket, so the request must not run as a new one.
     block_on(async {
         let server = backend(3);
         let (vm, time, _network) = one_vm(plan(&[&server], 3)).await;
@@ -344,9 +345,9 @@
 }
 
 #[test]
-fn key_whose_record_is_dropped_is_unknown() {
-    // A caller repeats an order with its own key after the daemon has forgotten it. The claim
-    // in the store is this daemon's own, which alone would look like leave to run.
+fn key_whose_record_expired_is_unknown() {
+    // A caller repeats a request with its own key after the record expired. This daemon still
+    // holds the claim in the store, which alone must not permit a run.
     block_on(async {
         let server = backend(3);
         let (a, b, time, _network) = two_vms(plan(&[&server], 3)).await;
@@ -364,9 +365,9 @@
 }
 
 #[test]
-fn full_memory_refuses_and_drops_nothing() {
-    // More orders come than can be remembered. Were an old record dropped for a new one, a
-    // repeat of the old order would run.
+fn full_record_table_refuses_and_evicts_no_record() {
+    // More requests arrive than records are allowed. If an old record were evicted for a new
+    // one, a repeat of the old request would run again.
     block_on(async {
         let server = backend(3);
         let settings = GatewaySettings {
@@ -386,7 +387,7 @@
 
         assert_eq!(third.outcome, "not-run");
         assert_eq!(third.reason, "memory-full");
-        // Of the answers there is room for one: the older gave way, its record did not.
+        // Only one response fits: the older one was evicted, its record was not.
         assert_eq!(repeat_of_first.reason, "answer-not-kept");
         assert_eq!(repeat_of_second.outcome, "answered");
         assert_eq!(total_runs(&server), 2);
@@ -394,7 +395,8 @@
 }
 
 #[test]
-fn large_answer_is_passed_on_and_not_kept() {
+fn large_response_is_forwarded_and_not_stored() {
+    // A response above the limit must reach the caller in full; a repeat must not run again.
     block_on(async {
         let server = backend(3);
         server.change(|s| s.body_len = 1 << 20);
@@ -411,9 +413,9 @@
 }
 
 #[test]
-fn spelling_of_a_path_does_not_escape_at_most_once() {
-    // An order is sent to a spelling of its path that the backend server takes for the same.
-    // Were the spelling not seen through, it would be retried as if it were a read.
+fn alternative_spelling_of_a_path_runs_at_most_once() {
+    // A request uses another spelling of a path that the backend server treats as the same. If
+    // the spelling were not normalized, the request would be retried as if it were idempotent.
     block_on(async {
         let server = backend(3);
         server.change(|s| s.fault = Fault::ClosesAfterRun);
--- a/crates/gateway/tests/slots.rs
+++ b/crates/gateway/tests/slots.rs
@@ -1,4 +1,4 @@
-//! Slots of upstreams, shared by the VMs of a failure domain.
+//! Allocation of upstream slots among the VMs of a failure domain.
 
 mod common;
 
@@ -22,7 +22,7 @@
     )
 }
 
-fn want(class: Class, wait: u64, term: u64) -> SlotRequest {
+fn slot_request(class: Class, wait: u64, term: u64) -> SlotRequest {
     SlotRequest {
         class,
         waited: Millis(0),
@@ -31,16 +31,16 @@
     }
 }
 
-fn now_free() -> SlotRequest {
-    want(Class::Interactive, 0, 10_000)
+fn if_free_now() -> SlotRequest {
+    slot_request(Class::Interactive, 0, 10_000)
 }
 
-async fn take(vm: &Vm, want: SlotRequest) -> Result<Slot, AcquireError> {
-    vm.gateway.slots().acquire(&key("u0"), want).await
+async fn acquire(vm: &Vm, req: SlotRequest) -> Result<Slot, AcquireError> {
+    vm.gateway.slots().acquire(&key("u0"), req).await
 }
 
-/// Gives the two VMs with the home of `u0` first.
-fn home_first(a: Rc<Vm>, b: Rc<Vm>) -> (Rc<Vm>, Rc<Vm>) {
+/// Returns the two VMs, the home of `u0` first.
+fn home_and_other(a: Rc<Vm>, b: Rc<Vm>) -> (Rc<Vm>, Rc<Vm>) {
     match a.gateway.slots().is_home(&key("u0")) {
         true => (a, b),
         false => (b, a),
@@ -48,22 +48,23 @@
 }
 
 #[test]
-fn slots_hold_over_two_vms_together() {
+fn two_vms_together_keep_the_slot_limit() {
+    // Requests through two VMs must not exceed the slots of an upstream in total.
     block_on(async {
         let server = backend(3);
         server.change(|b| b.held = true);
         let (a, b, _time, _network) = two_vms(plan(&[&server], 3)).await;
-        let mut asks = Vec::new();
+        let mut requests = Vec::new();
 
         for i in 0..10 {
-            asks.push(a.spawn_send(TestRequest::get(&format!("a{i}"))));
-            asks.push(b.spawn_send(TestRequest::get(&format!("b{i}"))));
+            requests.push(a.spawn_send(TestRequest::get(&format!("a{i}"))));
+            requests.push(b.spawn_send(TestRequest::get(&format!("b{i}"))));
         }
         wait_until("three run", || server.running() == 3).await;
         server.change(|b| b.held = false);
         let mut answered = 0;
-        for ask in asks {
-            answered += usize::from(ask.await.outcome == "answered");
+        for request in requests {
+            answered += usize::from(request.await.outcome == "answered");
         }
 
         assert_eq!(answered, 20);
@@ -73,25 +74,24 @@
 }
 
 #[test]
-fn borrowed_slot_comes_back_when_its_vm_dies() {
-    // A VM borrows the only slot of an upstream and dies with it. Callers of the other VM find
-    // the upstream busy for good, although nothing runs there. The home takes the slot back
-    // once the request's term and a margin have passed, and not before: the request may run
-    // until its term ends.
+fn loan_of_a_dead_vm_is_reclaimed() {
+    // A VM borrows the only slot of an upstream and dies. Without reclaiming, the upstream stays
+    // busy forever. The home reclaims the slot after the term and the margin, and not before,
+    // because the request may run until its term ends.
     block_on(async {
         let server = backend(1);
         let (a, b, time, network) = two_vms(plan(&[&server], 1)).await;
-        let (home, other) = home_first(a, b);
+        let (home, other) = home_and_other(a, b);
         network.lose_release_messages.set(true);
 
-        let lent = take(&other, want(Class::Interactive, 0, 5_000));
+        let lent = acquire(&other, slot_request(Class::Interactive, 0, 5_000));
         drop(lent.await.expect("a slot"));
         run_tasks().await;
-        let at_once = take(&home, now_free()).await;
+        let at_once = acquire(&home, if_free_now()).await;
         time.advance(Millis(5_500));
-        let before_margin = take(&home, now_free()).await;
+        let before_margin = acquire(&home, if_free_now()).await;
         time.advance(Millis(600));
-        let after_margin = take(&home, now_free()).await;
+        let after_margin = acquire(&home, if_free_now()).await;
 
         assert!(matches!(at_once, Err(AcquireError::Busy { .. })));
         assert!(matches!(before_margin, Err(AcquireError::Busy { .. })));
@@ -100,20 +100,20 @@
 }
 
 #[test]
-fn waiter_gets_slot_that_is_reclaimed() {
-    // The borrower of the last slot dies while a request waits for it at the home. No message
-    // ever frees the slot, so only time can wake the request.
+fn waiter_gets_reclaimed_slot() {
+    // The borrower of the last slot dies while a request waits for it at the home. No release
+    // message arrives, so the waiter must wake at the reclaim time.
     block_on(async {
         let server = backend(1);
         let (a, b, time, network) = two_vms(plan(&[&server], 1)).await;
-        let (home, other) = home_first(a, b);
+        let (home, other) = home_and_other(a, b);
         network.lose_release_messages.set(true);
-        let lent = take(&other, want(Class::Interactive, 0, 2_000));
+        let lent = acquire(&other, slot_request(Class::Interactive, 0, 2_000));
         drop(lent.await.expect("a slot"));
         let vm = Rc::clone(&home);
 
         let waiting = monoio::spawn(async move {
-            take(&vm, want(Class::Interactive, 9_000, 9_000))
+            acquire(&vm, slot_request(Class::Interactive, 9_000, 9_000))
                 .await
                 .is_ok()
         });
@@ -125,60 +125,60 @@
 }
 
 #[test]
-fn lent_slot_whose_answer_is_lost_comes_back() {
-    // A VM asks for a slot, the home lends it, and the answer is lost. The caller leaves; its
-    // VM never knew of the slot. It gives back the name that it asked under.
+fn loan_whose_reply_is_lost_is_released() {
+    // The home lends a slot, its reply is lost, and the caller disconnects. The borrower doesn't
+    // know of the loan, but must release the loan ID that it requested.
     block_on(async {
         let server = backend(1);
         let (a, b, _time, network) = two_vms(plan(&[&server], 1)).await;
-        let (home, other) = home_first(a, b);
+        let (home, other) = home_and_other(a, b);
         network.lose_acquire_replies.set(true);
         let vm = Rc::clone(&other);
 
-        let asking = monoio::spawn(async move {
-            let take = std::pin::pin!(take(&vm, now_free()));
+        let pending = monoio::spawn(async move {
+            let acquire = std::pin::pin!(acquire(&vm, if_free_now()));
             let leaving = std::pin::pin!(run_tasks());
-            futures_util::future::select(take, leaving).await;
+            futures_util::future::select(acquire, leaving).await;
         });
         wait_until("the slot is lent", || {
             home.gateway.slots().lent(&key("u0")) == Some(1)
         })
         .await;
-        asking.await;
+        pending.await;
         wait_until("the slot is back", || {
             home.gateway.slots().lent(&key("u0")) == Some(0)
         })
         .await;
 
-        assert!(take(&home, now_free()).await.is_ok());
+        assert!(acquire(&home, if_free_now()).await.is_ok());
     });
 }
 
 #[test]
-fn new_home_waits_for_a_vm_that_cannot_be_asked() {
-    // The home of an upstream is cut off from its peers with requests in flight, and a change
-    // of the ledger makes another VM the home. To the new home the slots look free. It must not
-    // lend them: the old home still does. Only when the ledger no longer lists the old home, and
-    // its requests have had time to end, the slots are lent again.
+fn new_home_waits_for_unreachable_vm() {
+    // The home is partitioned from its peers with requests in flight, and a ledger change makes
+    // another VM the home. The new home must not lend the slots, because the old one still does.
+    // They are lent again only after the ledger no longer lists the old home and its requests
+    // have had time to end.
     block_on(async {
         let server = backend(2);
         let (a, b, time, network) = two_vms(plan(&[&server], 2)).await;
-        let (old, other) = home_first(a, b);
-        let _in_flight = take(&old, now_free()).await.expect("a slot");
+        let (old, other) = home_and_other(a, b);
+        let _in_flight = acquire(&old, if_free_now()).await.expect("a slot");
         network.cut(&old.member.vm);
 
         let listed = [&old.member, &other.member];
-        let new = joining_home(&listed, &time, &network);
+        let new = start_joining_home(&listed, &time, &network);
         let three = members(2, &[&old.member, &other.member, &new.member]);
         new.configure(&Arc::new(plan(&[&server], 2)), &three, &time);
         warm_up(&[&new], &time).await;
-        let while_cut = take(&new, now_free()).await;
+        let while_cut = acquire(&new, if_free_now()).await;
         new.gateway
             .on_members(members(3, &[&other.member, &new.member]));
         run_tasks().await;
-        let just_gone = take(&new, now_free()).await;
+        let just_gone = acquire(&new, if_free_now()).await;
         time.advance(Millis(2_000));
-        let later = take(&new, now_free()).await;
+        let later = acquire(&new, if_free_now()).await;
 
         assert!(matches!(while_cut, Err(AcquireError::NoHome { .. })));
         assert!(
@@ -190,28 +190,28 @@
 }
 
 #[test]
-fn slots_of_a_vm_that_is_gone_move_to_the_new_home() {
-    // A VM that borrowed a slot is gone, and its request still runs at the backend server. In
-    // the same change another VM becomes the home. Nobody listed uses the slot, so only the old
-    // home can tell the new one of it.
+fn loans_of_a_removed_vm_move_to_the_new_home() {
+    // A borrower is removed from the ledger while its request still runs at the backend server,
+    // and the same change makes another VM the home. No listed VM uses the slot, so the old home
+    // must report it to the new one.
     block_on(async {
         let server = backend(1);
         let (a, b, time, network) = two_vms(plan(&[&server], 1)).await;
-        let (old, other) = home_first(a, b);
+        let (old, other) = home_and_other(a, b);
         network.lose_release_messages.set(true);
-        let lent = take(&other, want(Class::Interactive, 0, 5_000)).await;
+        let lent = acquire(&other, slot_request(Class::Interactive, 0, 5_000)).await;
         drop(lent.expect("a slot"));
 
-        let new = joining_home(&[&old.member], &time, &network);
+        let new = start_joining_home(&[&old.member], &time, &network);
         let two = members(2, &[&old.member, &new.member]);
         new.configure(&Arc::new(plan(&[&server], 1)), &two, &time);
         wait_until("the home has moved", || {
             new.gateway.slots().is_home(&key("u0"))
         })
         .await;
-        let at_once = take(&new, now_free()).await;
+        let at_once = acquire(&new, if_free_now()).await;
         time.advance(Millis(7_500));
-        let after_term = take(&new, now_free()).await;
+        let after_term = acquire(&new, if_free_now()).await;
 
         assert!(matches!(at_once, Err(AcquireError::Busy { .. })));
         assert!(after_term.is_ok());
@@ -219,20 +219,20 @@
 }
 
 #[test]
-fn new_home_counts_what_the_others_use() {
-    // A third VM joins and becomes the home of an upstream that the first two use. If it began
-    // to count at zero, two requests more than the slots would run.
+fn new_home_counts_loans_of_other_vms() {
+    // A VM joins and becomes the home of an upstream whose slots are in use. If it started to
+    // count at zero, more requests than slots would run.
     block_on(async {
         let time = ManualTime::new();
         let network = FakeNetwork::new();
         let a = Vm::start("vm-a", 1, &time, &network);
-        let joins = joining_home(&[&a.member], &time, &network);
+        let joins = start_joining_home(&[&a.member], &time, &network);
         let server = backend(2);
         let plan = Arc::new(plan(&[&server], 2));
         a.configure(&plan, &members(1, &[&a.member]), &time);
         warm_up(&[&a], &time).await;
-        let first = take(&a, now_free()).await.expect("a slot");
-        let _second = take(&a, now_free()).await.expect("a slot");
+        let first = acquire(&a, if_free_now()).await.expect("a slot");
+        let _second = acquire(&a, if_free_now()).await.expect("a slot");
 
         let both = members(2, &[&a.member, &joins.member]);
         joins.configure(&plan, &both, &time);
@@ -240,10 +240,10 @@
             joins.gateway.slots().is_home(&key("u0"))
         })
         .await;
-        let full = take(&joins, now_free()).await;
+        let full = acquire(&joins, if_free_now()).await;
         drop(first);
         run_tasks().await;
-        let free = take(&joins, now_free()).await;
+        let free = acquire(&joins, if_free_now()).await;
 
         assert!(!a.gateway.slots().is_home(&key("u0")));
         assert!(matches!(full, Err(AcquireError::Busy { .. })));
@@ -251,8 +251,8 @@
     });
 }
 
-/// Starts a VM that wins `u0` from those listed.
-fn joining_home(listed: &[&Member], time: &ManualTime, network: &Rc<FakeNetwork>) -> Vm {
+/// Starts a VM that becomes the home of `u0` when it joins the listed ones.
+fn start_joining_home(listed: &[&Member], time: &ManualTime, network: &Rc<FakeNetwork>) -> Vm {
     const INCARNATION: u64 = 3;
     let wins = |joining: &Member| {
         let mut all = members(2, listed);
@@ -268,30 +268,29 @@
 
 #[test]
 fn late_loan_of_the_old_home_is_not_used() {
-    // A VM waits at the old home for a slot. Before the answer arrives it tells the new home
-    // that it uses nothing. If it then used the late slot, the new home would lend that slot a
-    // second time.
+    // The reply of the old home is in transit when the borrower reports to the new home that it
+    // uses no slot. If the borrower then used the late loan, the slot would be lent twice.
     block_on(async {
         let server = backend(1);
         let (a, b, time, network) = two_vms(plan(&[&server], 1)).await;
-        let (old, other) = home_first(a, b);
-        let under_way = Flag::new();
-        *network.hold_acquire_replies.borrow_mut() = Some(under_way.clone());
+        let (old, other) = home_and_other(a, b);
+        let in_transit = Flag::new();
+        *network.hold_acquire_replies.borrow_mut() = Some(in_transit.clone());
         let vm = Rc::clone(&other);
-        let asking = monoio::spawn(async move { take(&vm, now_free()).await });
+        let pending = monoio::spawn(async move { acquire(&vm, if_free_now()).await });
         let lent = || old.gateway.slots().lent(&key("u0")) == Some(1);
         wait_until("the slot is lent", lent).await;
 
-        let new = joining_home(&[&old.member, &other.member], &time, &network);
+        let new = start_joining_home(&[&old.member, &other.member], &time, &network);
         let all = members(2, &[&old.member, &other.member, &new.member]);
         new.configure(&Arc::new(plan(&[&server], 1)), &all, &time);
         wait_until("the home has moved", || {
             new.gateway.slots().is_home(&key("u0"))
         })
         .await;
-        let fresh = take(&new, now_free()).await;
-        under_way.fire();
-        let late = asking.await;
+        let fresh = acquire(&new, if_free_now()).await;
+        in_transit.fire();
+        let late = pending.await;
 
         assert!(fresh.is_ok(), "{fresh:?}");
         assert!(late.is_err(), "{late:?}");
@@ -300,16 +299,17 @@
 
 #[test]
 fn bulk_leaves_the_last_slot_to_interactive() {
+    // Bulk requests must not occupy the last slot, so that an interactive request finds one.
     block_on(async {
         let server = backend(3);
         let (a, b, _time, _network) = two_vms(plan(&[&server], 3)).await;
-        let (home, other) = home_first(a, b);
-        let bulk = want(Class::Bulk, 0, 10_000);
+        let (home, other) = home_and_other(a, b);
+        let bulk = slot_request(Class::Bulk, 0, 10_000);
 
-        let _first = take(&home, bulk).await.expect("a slot");
-        let _second = take(&other, bulk).await.expect("a slot");
-        let third = take(&other, bulk).await;
-        let interactive = take(&other, now_free()).await;
+        let _first = acquire(&home, bulk).await.expect("a slot");
+        let _second = acquire(&other, bulk).await.expect("a slot");
+        let third = acquire(&other, bulk).await;
+        let interactive = acquire(&other, if_free_now()).await;
 
         assert!(matches!(third, Err(AcquireError::Busy { .. })));
         assert!(interactive.is_ok());
@@ -317,19 +317,20 @@
 }
 
 #[test]
-fn interactive_goes_before_bulk_that_waited_longer() {
+fn interactive_precedes_bulk_that_waited_longer() {
+    // A waiting bulk request must not delay an interactive one that arrives later.
     block_on(async {
         let server = backend(1);
         let (a, b, _time, _network) = two_vms(plan(&[&server], 1)).await;
-        let (home, other) = home_first(a, b);
-        let taken = take(&home, now_free()).await.expect("a slot");
+        let (home, other) = home_and_other(a, b);
+        let taken = acquire(&home, if_free_now()).await.expect("a slot");
         let order = Rc::new(std::cell::RefCell::new(Vec::new()));
         let mut waiting = Vec::new();
         for (vm, class) in [(&home, Class::Bulk), (&other, Class::Interactive)] {
             let vm = Rc::clone(vm);
             let order = Rc::clone(&order);
             waiting.push(monoio::spawn(async move {
-                let slot = take(&vm, want(class, 9_000, 9_000)).await;
+                let slot = acquire(&vm, slot_request(class, 9_000, 9_000)).await;
                 order.borrow_mut().push(class);
                 drop(slot.expect("a slot"));
             }));
@@ -346,40 +347,41 @@
 }
 
 #[test]
-fn upstream_that_begins_to_leave_turns_waiters_away() {
-    // Requests wait for a slot of a backend server that then says it is leaving. Without a
-    // word to them they would wait on, and one of them would get the slot that comes free.
+fn leaving_upstream_rejects_waiters() {
+    // Requests wait for a slot of a backend server that then starts to leave. Unless they are
+    // rejected they keep waiting, and one of them gets the slot that becomes free.
     block_on(async {
         let server = backend(1);
         let (a, b, _time, _network) = two_vms(plan(&[&server], 1)).await;
-        let (home, other) = home_first(a, b);
-        let taken = take(&home, now_free()).await.expect("a slot");
+        let (home, other) = home_and_other(a, b);
+        let taken = acquire(&home, if_free_now()).await.expect("a slot");
         let vm = Rc::clone(&other);
-        let waiting =
-            monoio::spawn(async move { take(&vm, want(Class::Interactive, 9_000, 9_000)).await });
+        let waiting = monoio::spawn(async move {
+            acquire(&vm, slot_request(Class::Interactive, 9_000, 9_000)).await
+        });
         run_tasks().await;
 
         taken.mark_leaving();
         drop(taken);
-        let turned_away = waiting.await;
-        let asked_anew = take(&other, now_free()).await;
+        let rejected = waiting.await;
+        let second_attempt = acquire(&other, if_free_now()).await;
 
-        assert!(turned_away.is_err());
-        assert!(matches!(asked_anew, Err(AcquireError::Leaving { .. })));
+        assert!(rejected.is_err());
+        assert!(matches!(second_attempt, Err(AcquireError::Leaving { .. })));
     });
 }
 
 #[test]
-fn home_that_missed_a_change_lends_again() {
-    // A ledger change made a third VM the home for a moment; one VM agreed to it, the old home
-    // was cut off and never heard. The third VM is then gone, the ledger names the old home
-    // again, and every loan of it is refused by the VM that had agreed: it borrows nothing for
-    // good. The old home sees the difference and becomes the home anew.
+fn home_that_missed_a_change_adopts_again() {
+    // One VM agrees to a third VM as the home, while the old home is partitioned and misses the
+    // change. The third VM is then removed, and the old home is the home again. The first VM
+    // would reject its loans forever, so the old home must notice the difference and adopt the
+    // upstream again.
     block_on(async {
         let server = backend(2);
         let (a, b, time, network) = two_vms(plan(&[&server], 2)).await;
-        let (old, other) = home_first(a, b);
-        let third = joining_home(&[&old.member, &other.member], &time, &network);
+        let (old, other) = home_and_other(a, b);
+        let third = start_joining_home(&[&old.member, &other.member], &time, &network);
         network.cut(&old.member.vm);
         let all = members(2, &[&old.member, &other.member, &third.member]);
         third.configure(&Arc::new(plan(&[&server], 2)), &all, &time);
@@ -390,9 +392,9 @@
         other.gateway.on_members(back.clone());
         old.gateway.on_members(back);
 
-        let first = take(&other, now_free()).await;
+        let first = acquire(&other, if_free_now()).await;
         warm_up(&[&old, &other], &time).await;
-        let second = take(&other, now_free()).await;
+        let second = acquire(&other, if_free_now()).await;
 
         assert!(first.is_err());
         assert!(second.is_ok(), "{second:?}");
@@ -400,28 +402,28 @@
 }
 
 #[test]
-fn silent_home_holds_up_one_request_and_not_the_next() {
-    // Messages to the home of an upstream are swallowed. The first request waits for the limit
-    // of a call; each of the next would too, and every answer would be late by as much, though
-    // another upstream of the place has free slots.
+fn unresponsive_home_delays_only_one_request() {
+    // Messages to the home are dropped. The first request waits for the timeout of a call. If
+    // each of the next did so too, every response would be delayed by it although another
+    // upstream of the place has free slots.
     block_on(async {
         let server = backend(2);
         let (a, b, time, network) = two_vms(plan(&[&server], 2)).await;
-        let (home, other) = home_first(a, b);
+        let (home, other) = home_and_other(a, b);
         network
             .unresponsive
             .borrow_mut()
             .insert(home.member.vm.clone());
 
         let vm = Rc::clone(&other);
-        let first = monoio::spawn(async move { take(&vm, now_free()).await });
+        let first = monoio::spawn(async move { acquire(&vm, if_free_now()).await });
         run_tasks().await;
         time.advance(Millis(200));
         let first = first.await;
-        let second = take(&other, now_free()).await;
+        let second = acquire(&other, if_free_now()).await;
         network.unresponsive.borrow_mut().clear();
         time.advance(Millis(1_000));
-        let later = take(&other, now_free()).await;
+        let later = acquire(&other, if_free_now()).await;
 
         assert!(matches!(first, Err(AcquireError::Unreachable { .. })));
         assert!(matches!(second, Err(AcquireError::Unreachable { .. })));
@@ -430,9 +432,9 @@
 }
 
 #[test]
-fn connections_hold_over_two_vms_together() {
-    // An upstream takes few connections. If each VM opened as many as the upstream takes, the
-    // upstream would refuse connections of both.
+fn two_vms_together_keep_the_connection_limit() {
+    // If each VM opened as many connections as the upstream accepts, the upstream would refuse
+    // some of both.
     block_on(async {
         let server = backend(4);
         server.change(|b| b.held = true);
@@ -441,17 +443,17 @@
             service.upstreams[0].connections = 4;
         }
         let (a, b, _time, _network) = two_vms(settings).await;
-        let mut asks = Vec::new();
+        let mut requests = Vec::new();
 
         for i in 0..6 {
-            asks.push(a.spawn_send(TestRequest::get(&format!("a{i}"))));
-            asks.push(b.spawn_send(TestRequest::get(&format!("b{i}"))));
+            requests.push(a.spawn_send(TestRequest::get(&format!("a{i}"))));
+            requests.push(b.spawn_send(TestRequest::get(&format!("b{i}"))));
         }
         wait_until("four run", || server.running() >= 4).await;
         let most = server.connections();
         server.change(|b| b.held = false);
-        for ask in asks {
-            let answer = ask.await;
+        for request in requests {
+            let answer = request.await;
             assert_ne!(answer.outcome, "unknown");
             assert!(
                 answer.outcome == "answered" || answer.reason == "no-room",
--- a/crates/gateway/tests/slots_property.rs
+++ b/crates/gateway/tests/slots_property.rs
@@ -1,5 +1,5 @@
-//! Random interleavings of loans, changes of the ledger and cuts never use more slots than an
-//! upstream has.
+//! Property test: random interleavings of loans, ledger changes and partitions never use more
+//! slots than an upstream has.
 
 mod common;
 
@@ -21,33 +21,33 @@
 const VMS: usize = 3;
 const ITERATIONS: usize = 1000;
 const STEPS: std::ops::Range<usize> = 20..150;
-/// Bytes from which the steps of one run are made.
-const MAX_LEN: usize = 4096;
-/// Longer than any time that a run lets pass, so that no slot is reclaimed while it is used.
+/// Maximum size of the random input from which the steps of one run are generated, in bytes.
+const MAX_INPUT_BYTES: usize = 4096;
+/// Longer than the simulated time of any run, so that no slot is reclaimed while in use.
 const TERM: Millis = Millis(1_000_000_000);
 
 #[derive(Clone, Copy, Debug, TypeGenerator)]
 enum Step {
-    /// A VM takes a slot that is free.
-    Take { vm: u8 },
+    /// A VM acquires a slot if one is free.
+    Acquire { vm: u8 },
     /// A VM waits for a slot.
     Wait { vm: u8 },
-    /// A VM takes a slot while the messages before are still under way.
-    TakeAtOnce { vm: u8 },
+    /// A VM acquires a slot while earlier messages are still in transit.
+    AcquireImmediately { vm: u8 },
     /// A request ends.
-    Give { slot: u8 },
-    /// A VM is cut off from its peers, or can be reached again.
+    Release { slot: u8 },
+    /// A VM is partitioned from its peers, or the partition heals.
     Cut { vm: u8, cut: bool },
-    /// A VM dies, its requests with it, and another of its name takes its place. The ledger
-    /// lists the new one.
+    /// A VM dies with its requests, and a new incarnation replaces it in the ledger.
     Replace { vm: u8 },
-    /// A VM that uses no slots leaves the ledger and knows it, or comes back.
+    /// A VM that uses no slots leaves the ledger and applies the new list, or all VMs are listed
+    /// again.
     Resize { without: u8 },
     /// A VM reads the ledger.
-    Read { vm: u8 },
-    /// Answers of homes are under way from now on, or arrive.
+    ReadLedger { vm: u8 },
+    /// Replies of homes are held back from now on, or delivered.
     Delay { on: bool },
-    /// Messages arrive and time passes.
+    /// Messages are delivered and time passes.
     Settle,
 }
 
@@ -57,7 +57,7 @@
     vms: Vec<(Member, Rc<Slots>)>,
     ledger: Members,
     used: Vec<(Member, Slot)>,
-    waiting: Vec<(Member, monoio::task::JoinHandle<Option<Slot>>)>,
+    pending: Vec<(Member, monoio::task::JoinHandle<Option<Slot>>)>,
     next_incarnation: u64,
 }
 
@@ -65,12 +65,12 @@
     UpstreamKey::new(ServiceName::from(common::SERVICE), UpstreamName::from("u0"))
 }
 
-fn name_of(index: usize) -> String {
+fn vm_name(index: usize) -> String {
     format!("vm-{index}")
 }
 
-/// Lets the tasks that are ready run, and those that they wake: each new task runs after all
-/// that were ready before it.
+/// Runs the tasks that are ready, and those that they wake. Each spawned task runs after all
+/// that were ready before it, so one round runs each ready task once.
 async fn run_ready() {
     const ROUNDS: usize = 20;
     for _ in 0..ROUNDS {
@@ -87,10 +87,10 @@
             vms: Vec::new(),
             ledger: Members {
                 version: 1,
-                list: (0..VMS).map(|i| member(&name_of(i), i as u64)).collect(),
+                list: (0..VMS).map(|i| member(&vm_name(i), i as u64)).collect(),
             },
             used: Vec::new(),
-            waiting: Vec::new(),
+            pending: Vec::new(),
             next_incarnation: VMS as u64,
         };
         for index in 0..VMS {
@@ -101,7 +101,7 @@
     }
 
     fn start(&self, index: usize, incarnation: u64) -> (Member, Rc<Slots>) {
-        let own = member(&name_of(index), incarnation);
+        let own = member(&vm_name(index), incarnation);
         let slots = Slots::new(SlotContext {
             own: own.clone(),
             port: self.network.slot_port(&own),
@@ -120,17 +120,17 @@
     async fn step(&mut self, step: Step) {
         let pick = |n: u8| usize::from(n) % VMS;
         match step {
-            Step::Take { vm } => self.take(pick(vm), Millis(0)),
-            Step::Wait { vm } => self.take(pick(vm), TERM),
-            Step::TakeAtOnce { vm } => return self.take(pick(vm), Millis(0)),
-            Step::Give { slot } => {
+            Step::Acquire { vm } => self.acquire(pick(vm), Millis(0)),
+            Step::Wait { vm } => self.acquire(pick(vm), TERM),
+            Step::AcquireImmediately { vm } => return self.acquire(pick(vm), Millis(0)),
+            Step::Release { slot } => {
                 if !self.used.is_empty() {
                     let at = usize::from(slot) % self.used.len();
                     self.used.swap_remove(at);
                 }
             }
             Step::Cut { vm, cut } => {
-                let name = VmName::from(name_of(pick(vm)));
+                let name = VmName::from(vm_name(pick(vm)));
                 match cut {
                     true => self.network.cut(&name),
                     false => self.network.heal(&name),
@@ -138,7 +138,7 @@
             }
             Step::Replace { vm } => self.replace(pick(vm)),
             Step::Resize { without } => self.resize(usize::from(without) % (VMS + 1)),
-            Step::Read { vm } => self.vms[pick(vm)].1.on_members(self.ledger.clone()),
+            Step::ReadLedger { vm } => self.vms[pick(vm)].1.on_members(self.ledger.clone()),
             Step::Delay { on } => {
                 let held = self.network.hold_acquire_replies.take();
                 if let Some(held) = held {
@@ -155,39 +155,39 @@
         self.collect().await;
     }
 
-    fn take(&mut self, index: usize, wait: Millis) {
+    fn acquire(&mut self, index: usize, wait: Millis) {
         let (member, slots) = self.vms[index].clone();
-        let want = SlotRequest {
+        let req = SlotRequest {
             class: Class::Interactive,
             waited: Millis(0),
             wait,
             term: TERM,
         };
-        let taking = monoio::spawn(async move { slots.acquire(&key(), want).await.ok() });
-        self.waiting.push((member, taking));
+        let task = monoio::spawn(async move { slots.acquire(&key(), req).await.ok() });
+        self.pending.push((member, task));
     }
 
-    /// Moves the slots that were lent meanwhile to those in use.
+    /// Collects the slots acquired by the tasks that have finished.
     async fn collect(&mut self) {
-        for (member, task) in std::mem::take(&mut self.waiting) {
+        for (member, task) in std::mem::take(&mut self.pending) {
             match task.is_finished() {
                 true => {
                     let slot = task.await;
                     self.used.extend(slot.map(|slot| (member, slot)));
                 }
-                false => self.waiting.push((member, task)),
+                false => self.pending.push((member, task)),
             }
         }
     }
 
-    /// Lists every VM but the one at `without`, or all of them.
+    /// Changes the ledger to list every VM except the one at `without`, or all of them.
     fn resize(&mut self, without: usize) {
         let mut list: Vec<Member> = self.vms.iter().map(|(member, _)| member.clone()).collect();
         let version = self.ledger.version + 1;
         if without < list.len() {
             let leaving = list.remove(without);
             let uses = self.used.iter().any(|(member, _)| *member == leaving);
-            if uses || self.waiting.iter().any(|(member, _)| *member == leaving) {
+            if uses || self.pending.iter().any(|(member, _)| *member == leaving) {
                 return;
             }
         }
@@ -199,14 +199,14 @@
 
     fn replace(&mut self, index: usize) {
         let old = self.vms[index].0.clone();
-        // The process is gone and so are its messages; its backend connections are closed.
+        // A dead process sends no release messages, and its backend connections are closed.
         self.network.lose_release_messages.set(true);
         self.used.retain(|(member, _)| *member != old);
         self.network.lose_release_messages.set(false);
-        self.waiting.retain(|(member, _)| *member != old);
+        self.pending.retain(|(member, _)| *member != old);
         let incarnation = self.next_incarnation;
         self.next_incarnation += 1;
-        let new = member(&name_of(index), incarnation);
+        let new = member(&vm_name(index), incarnation);
         self.ledger.version += 1;
         self.ledger.list.retain(|listed| listed.vm != new.vm);
         self.ledger.list.push(new);
@@ -215,11 +215,11 @@
 }
 
 #[test]
-fn slots_in_use_never_exceed_those_there_are() {
+fn slots_in_use_never_exceed_the_limit() {
     heatherknot_test_support::property::check()
         .with_generator(produce::<Vec<Step>>().with().len(STEPS))
         .with_iterations(ITERATIONS)
-        .with_max_len(MAX_LEN)
+        .with_max_len(MAX_INPUT_BYTES)
         .for_each(|steps| {
             block_on(async {
                 let mut world = World::new();
--- a/crates/gateway/tests/tokens.rs
+++ b/crates/gateway/tests/tokens.rs
@@ -1,4 +1,4 @@
-//! Tickets and hop headers: only what the deployment sealed is taken.
+//! Verification of tickets: only tokens signed by the deployment are accepted.
 
 use heatherknot_gateway::TokenKey;
 use heatherknot_gateway::once::Ticket;
@@ -18,27 +18,27 @@
 }
 
 #[test]
-fn sealed_ticket_is_read_back() {
+fn signed_ticket_is_parsed() {
     let key = TokenKey::new(b"secret");
 
-    let read = Ticket::from_text(&ticket().to_text(&key), &key);
+    let parsed = Ticket::from_text(&ticket().to_text(&key), &key);
 
-    assert_eq!(read, Ok(Some(ticket())));
+    assert_eq!(parsed, Ok(Some(ticket())));
 }
 
 #[test]
 fn ticket_of_another_deployment_is_refused() {
     let text = ticket().to_text(&TokenKey::new(b"other"));
 
-    let read = Ticket::from_text(&text, &TokenKey::new(b"secret"));
+    let parsed = Ticket::from_text(&text, &TokenKey::new(b"secret"));
 
-    assert!(read.is_err());
+    assert!(parsed.is_err());
 }
 
 #[test]
 fn altered_ticket_is_refused() {
-    // A caller changes any one byte of its ticket: another owner, service, end or number would
-    // let a request run twice.
+    // A caller changes one byte of its ticket. An accepted change of the owner, service, expiry
+    // or nonce would let a request run twice.
     let key = TokenKey::new(b"secret");
     let good = ticket().to_text(&key);
     heatherknot_test_support::property::check()
@@ -51,23 +51,23 @@
                 return;
             };
 
-            let read = Ticket::from_text(&text, &key);
+            let parsed = Ticket::from_text(&text, &key);
 
             let same = text == good;
-            assert_eq!(read == Ok(Some(ticket())), same, "{text}");
-            assert!(same || !matches!(read, Ok(Some(_))), "{text}");
+            assert_eq!(parsed == Ok(Some(ticket())), same, "{text}");
+            assert!(same || !matches!(parsed, Ok(Some(_))), "{text}");
         });
 }
 
 #[test]
-fn any_text_is_read_without_fault() {
+fn any_text_is_parsed_without_panic() {
     let key = TokenKey::new(b"secret");
     heatherknot_test_support::property::check()
         .with_type::<String>()
         .for_each(|text| {
-            let sealed_by_nobody = format!("hkt1.{text}");
+            let unsigned = format!("hkt1.{text}");
 
-            assert!(Ticket::from_text(&sealed_by_nobody, &key).is_err());
+            assert!(Ticket::from_text(&unsigned, &key).is_err());
             assert!(!matches!(Ticket::from_text(text, &key), Ok(Some(_))));
         });
 }
