--- a/crates/gateway/src/once/keep.rs
+++ b/crates/gateway/src/once/stored_response.rs
@@ -1,13 +1,13 @@
-//! Reading an answer so far that it can be kept for repeats.
+//! Buffering of responses that are stored for repeats of the request.
 
 use bytes::{Bytes, BytesMut};
 use heatherknot_http::{Body, BodyError, Response};
 use std::rc::Rc;
 
-use super::memory::{Ended, KeptAnswer};
+use super::records::{Completion, StoredResponse};
 
-impl KeptAnswer {
-    /// Makes the response to a repeat.
+impl StoredResponse {
+    /// Returns the response to a repeat.
     pub fn to_response(&self) -> Response {
         Response {
             status: self.status,
@@ -17,13 +17,16 @@
     }
 }
 
-/// Reads an answer of at most `max` bytes whole, to be kept. Of a longer one what was read goes
-/// before the rest.
+/// Buffers a response of at most `max` bytes to store it. A longer response is not stored, and
+/// its buffered part is put back in front of the rest.
 ///
 /// # Errors
 ///
-/// Returns an error where the answer broke off in the part that was read.
-pub(super) async fn keep(response: Response, max: usize) -> Result<(Response, Ended), BodyError> {
+/// Returns an error if the response ended prematurely while it was buffered.
+pub(super) async fn buffer_response(
+    response: Response,
+    max: usize,
+) -> Result<(Response, Completion), BodyError> {
     let Response {
         status,
         headers,
@@ -35,29 +38,29 @@
         match body.next_chunk().await.transpose()? {
             Some(chunk) => start.extend_from_slice(&chunk),
             None => {
-                let kept = Rc::new(KeptAnswer {
+                let stored = Rc::new(StoredResponse {
                     status,
                     headers,
                     body: start.freeze(),
                 });
-                return Ok((kept.to_response(), Ended::Answered(kept)));
+                return Ok((stored.to_response(), Completion::Answered(stored)));
             }
         }
     }
     let body = match start.is_empty() {
         true => body,
-        false => joined(start.freeze(), body),
+        false => prepend(start.freeze(), body),
     };
     let response = Response {
         status,
         headers,
         body,
     };
-    Ok((response, Ended::NotKept))
+    Ok((response, Completion::NotKept))
 }
 
-/// Makes the body that begins with `start` and goes on with `rest`.
-fn joined(start: Bytes, mut rest: Body) -> Body {
+/// Returns a body that consists of `start` followed by `rest`.
+fn prepend(start: Bytes, mut rest: Body) -> Body {
     let len = rest.known_len().map(|len| len + start.len() as u64);
     let (mut tx, body) = Body::channel_with_len(len);
     monoio::spawn(async move {
