--- a/crates/peer/examples/peer_fleet/baseline.rs
+++ b/crates/peer/examples/peer_fleet/baseline.rs
@@ -35,7 +35,7 @@
 
 fn start(n: usize) -> PeerNet {
     let mut cx = context(&format!("vm-{n:03}"), "mesh");
-    cx.options.max_incoming = usize::MAX;
+    cx.options.max_incoming_connections = usize::MAX;
     cx.methods.register("h", |_, ()| async move { Ok(()) });
     PeerNet::start(cx).expect("listening on loopback")
 }
--- a/crates/peer/examples/peer_fleet/daemons.rs
+++ b/crates/peer/examples/peer_fleet/daemons.rs
@@ -11,7 +11,7 @@
 use heatherknot_peer::{
     Delivery, Dial, MemberState, Membership, MembershipContext, MembershipHooks, MembershipOptions,
     MethodTable, PeerContext, PeerId, PeerNet, PeerOptions, Relay, RelayOptions, RelayedChange,
-    RelayedSnapshot, ReportBoard, ReportOptions, Secret, SettingsPort, StorePort,
+    RelayedSnapshot, ReportOptions, ReportTable, Secret, SettingsPort, StorePort,
 };
 use heatherknot_types::prelude::*;
 use monoio::net::TcpStream;
@@ -31,7 +31,7 @@
     membership: Membership,
     relay: Relay,
     revision: Rc<Cell<Revision>>,
-    board: ReportBoard,
+    report_table: ReportTable,
 }
 
 pub struct Fleet {
@@ -132,12 +132,12 @@
     }
 }
 
-async fn report(board: ReportBoard, incarnation: Incarnation, net: PeerNet) {
+async fn report(report_table: ReportTable, incarnation: Incarnation, net: PeerNet) {
     let names: Vec<Arc<str>> = (0..LOADS).map(|n| Arc::from(format!("p{n}"))).collect();
     monoio::time::sleep(REPORT_PERIOD.mul_f64(fastrand::f64())).await;
     while !net.is_closed() {
         let load = |name: &Arc<str>| (Arc::clone(name), fastrand::u32(0..1_000));
-        board.publish(incarnation, names.iter().map(load).collect());
+        report_table.publish(incarnation, names.iter().map(load).collect());
         monoio::time::sleep(REPORT_PERIOD).await;
     }
 }
@@ -173,14 +173,14 @@
             options,
             &mut cx.methods,
         );
-        let board = ReportBoard::new(cx.vm.clone(), timer.clone(), ReportOptions::default());
+        let report_table = ReportTable::new(cx.vm.clone(), timer.clone(), ReportOptions::default());
         let held = Rc::clone(&revision);
         let seeds = fastrand::choose_multiple(&self.daemons, 3);
         let membership = MembershipContext {
             seeds: seeds.iter().map(|daemon| daemon.net.me().address).collect(),
             platform: None,
             revision: Rc::new(move || held.get()),
-            reports: Some(board.port()),
+            reports: Some(report_table.port()),
             hooks: MembershipHooks {
                 on_peer_revision: relay.peer_revision_hook(),
                 ..MembershipHooks::default()
@@ -201,13 +201,13 @@
         let net = PeerNet::start(cx).expect("listening on loopback");
         membership.run(net.clone());
         relay.run(net.clone(), membership.clone());
-        monoio::spawn(report(board.clone(), incarnation, net.clone()));
+        monoio::spawn(report(report_table.clone(), incarnation, net.clone()));
         Daemon {
             net,
             membership,
             relay,
             revision,
-            board,
+            report_table,
         }
     }
 
@@ -217,7 +217,7 @@
         let mut ages = Vec::new();
         for daemon in &self.daemons {
             for vm in daemon.membership.domain_peers() {
-                let age = daemon.board.view(&vm).map(|view| view.age.0 as f64);
+                let age = daemon.report_table.view(&vm).map(|view| view.age.0 as f64);
                 ages.push(age.unwrap_or(f64::INFINITY));
             }
         }
--- a/crates/peer/src/auth.rs
+++ b/crates/peer/src/auth.rs
@@ -128,7 +128,7 @@
 }
 
 /// A code over the transcript of a handshake, in hexadecimal digits.
-pub type Code = String;
+pub type ProofCode = String;
 
 /// The client's first message.
 #[derive(Clone, Debug, Serialize, Deserialize)]
@@ -161,7 +161,7 @@
         nonce: Nonce,
         /// The server's code.
         #[serde(rename = "m")]
-        code: Code,
+        code: ProofCode,
     },
     /// The server refuses; not authenticated, so the client learns nothing else from it.
     #[serde(rename = "x")]
@@ -173,7 +173,7 @@
 pub struct Proof {
     /// The client's code.
     #[serde(rename = "m")]
-    pub code: Code,
+    pub code: ProofCode,
 }
 
 /// The server's last word, sent under the connection's keys.
@@ -228,7 +228,7 @@
     }
 
     /// Gives the code that an end in `role` proves itself with.
-    pub fn code(&self, secret: &Secret, role: Role) -> Code {
+    pub fn code(&self, secret: &Secret, role: Role) -> ProofCode {
         let full = self.mac(secret, role.label()).finalize().into_bytes();
         full.iter().map(|byte| format!("{byte:02x}")).collect()
     }
--- a/crates/peer/src/handshake.rs
+++ b/crates/peer/src/handshake.rs
@@ -16,7 +16,7 @@
 use crate::net::NetState;
 
 /// An authenticated connection.
-pub(crate) struct Link {
+pub(crate) struct Connection {
     pub(crate) remote: PeerId,
     pub(crate) rd: FrameReader,
     pub(crate) wr: FrameWriter,
@@ -51,17 +51,17 @@
 }
 
 /// Proves this daemon to the one that accepted `stream` and checks that one's proof.
-pub(crate) async fn open(net: &NetState, mut stream: TcpStream) -> Result<Link, Cause> {
+pub(crate) async fn open(net: &NetState, mut stream: TcpStream) -> Result<Connection, Cause> {
     let me = net.me();
-    let mine = Nonce::random();
+    let own_nonce = Nonce::random();
     let hello = Hello {
         version: WIRE_VERSION,
         deployment: net.deployment.clone(),
         client: me.clone(),
-        nonce: mine,
+        nonce: own_nonce,
     };
     send(net, &mut stream, &hello).await?;
-    let (server, theirs, code) = match receive(net, &mut stream).await? {
+    let (server, server_nonce, code) = match receive(net, &mut stream).await? {
         Welcome::Proof {
             server,
             nonce,
@@ -69,7 +69,7 @@
         } => (server, nonce, code),
         Welcome::Refused(refusal) => return Err(refused(refusal)),
     };
-    let transcript = Transcript::new(&net.deployment, (&me, mine), (&server, theirs));
+    let transcript = Transcript::new(&net.deployment, (&me, own_nonce), (&server, server_nonce));
     if !transcript.verify(&net.secret, Role::Server, &code) {
         return Err(refused(HandshakeRefusal::BadProof));
     }
@@ -78,8 +78,8 @@
     };
     send(net, &mut stream, &proof).await?;
     let keys = transcript.keys(&net.secret);
-    let mut link = split(net, stream, server, keys, Role::Client);
-    let verdict = link
+    let mut connection = split(net, stream, server, keys, Role::Client);
+    let verdict = connection
         .rd
         .read()
         .await
@@ -87,25 +87,25 @@
     match serde_json::from_slice(&verdict).map_err(json_cause)? {
         Verdict::Accepted => {}
         Verdict::Refused(refusal) => {
-            net.heed_refusal(&refusal);
+            net.handle_refusal(&refusal);
             return Err(refused(refusal));
         }
     }
-    net.learn(&link.remote).map_err(refused)?;
-    Ok(link)
+    net.learn(&connection.remote).map_err(refused)?;
+    Ok(connection)
 }
 
 /// Checks the proof of the daemon that opened `stream` and proves this one.
-pub(crate) async fn accept(net: &NetState, mut stream: TcpStream) -> Result<Link, Cause> {
+pub(crate) async fn accept(net: &NetState, mut stream: TcpStream) -> Result<Connection, Cause> {
     let hello = match receive::<Hello>(net, &mut stream).await {
-        Err(Cause::Refused { refusal }) => return turn_away(net, &mut stream, refusal).await,
+        Err(Cause::Refused { refusal }) => return refuse_client(net, &mut stream, refusal).await,
         received => received?,
     };
     if hello.version != WIRE_VERSION {
-        return turn_away(net, &mut stream, HandshakeRefusal::WrongVersion).await;
+        return refuse_client(net, &mut stream, HandshakeRefusal::WrongVersion).await;
     }
     if hello.deployment != net.deployment {
-        return turn_away(net, &mut stream, HandshakeRefusal::WrongDeployment).await;
+        return refuse_client(net, &mut stream, HandshakeRefusal::WrongDeployment).await;
     }
     let me = net.me();
     let nonce = Nonce::random();
@@ -121,34 +121,40 @@
         return Err(refused(HandshakeRefusal::BadProof));
     }
     let keys = transcript.keys(&net.secret);
-    let link = split(net, stream, hello.client, keys, Role::Server);
-    admit(net, link).await
+    let connection = split(net, stream, hello.client, keys, Role::Server);
+    send_verdict(net, connection).await
 }
 
-async fn turn_away(
+async fn refuse_client(
     net: &NetState,
     stream: &mut TcpStream,
     refusal: HandshakeRefusal,
-) -> Result<Link, Cause> {
+) -> Result<Connection, Cause> {
     send(net, stream, &Welcome::Refused(refusal.clone())).await?;
     Err(refused(refusal))
 }
 
 /// Tells the proven client whether its identity is accepted.
-async fn admit(net: &NetState, mut link: Link) -> Result<Link, Cause> {
-    let learnt = net.learn(&link.remote);
-    let verdict = match &learnt {
+async fn send_verdict(net: &NetState, mut connection: Connection) -> Result<Connection, Cause> {
+    let learned = net.learn(&connection.remote);
+    let verdict = match &learned {
         Ok(()) => Verdict::Accepted,
         Err(refusal) => Verdict::Refused(refusal.clone()),
     };
     let payload = serde_json::to_vec(&verdict).map_err(json_cause)?;
-    let sent = link.wr.write(&payload).await;
+    let sent = connection.wr.write(&payload).await;
     sent.map_err(|frame| Cause::Frame { frame })?;
-    learnt.map_err(refused)?;
-    Ok(link)
+    learned.map_err(refused)?;
+    Ok(connection)
 }
 
-fn split(net: &NetState, stream: TcpStream, remote: PeerId, keys: SessionKeys, role: Role) -> Link {
+fn split(
+    net: &NetState,
+    stream: TcpStream,
+    remote: PeerId,
+    keys: SessionKeys,
+    role: Role,
+) -> Connection {
     let (out_key, in_key) = match role {
         Role::Client => (keys.client, keys.server),
         Role::Server => (keys.server, keys.client),
@@ -158,7 +164,7 @@
     let _ = stream.set_nodelay(true);
     let (rd, wr) = stream.into_split();
     let limit = net.options.max_message;
-    Link {
+    Connection {
         remote,
         rd: FrameReader::new(rd, in_key, limit, Rc::clone(&net.traffic)),
         wr: FrameWriter::new(wr, out_key, limit, Rc::clone(&net.traffic)),
--- a/crates/peer/src/incoming.rs
+++ b/crates/peer/src/incoming.rs
@@ -12,16 +12,16 @@
 
 use crate::error::Cause;
 use crate::frame::{FrameReader, FrameWriter};
-use crate::handshake::{Link, accept};
-use crate::methods::{dispatch, refuse};
+use crate::handshake::{Connection, accept};
+use crate::methods::{dispatch, encode_refusal};
 use crate::net::NetState;
 
 /// Accepts connections until the daemon closes them.
 pub(crate) async fn accept_loop(net: Rc<NetState>, listener: TcpListener) {
-    let closed = net.closed();
+    let close_signal = net.close_signal();
     loop {
         let accepted = std::pin::pin!(listener.accept());
-        match select(accepted, closed.clone()).await {
+        match select(accepted, close_signal.clone()).await {
             Either::Left((Ok((stream, _)), _)) => spawn_connection(&net, stream),
             Either::Left((Err(e), _)) => {
                 // Out of descriptors, for one: accepting again at once would spin.
@@ -35,7 +35,7 @@
 
 fn spawn_connection(net: &Rc<NetState>, stream: TcpStream) {
     let open = net.incoming.get();
-    if open >= net.options.max_incoming {
+    if open >= net.options.max_incoming_connections {
         debug!(open; "a peer's connection was refused: too many");
         return;
     }
@@ -56,22 +56,22 @@
     let Some(accepted) = net.timer.limit(timeout, accept(net, stream)).await else {
         return Err(Cause::Timeout { timeout });
     };
-    let link = accepted.inspect_err(|cause| {
+    let connection = accepted.inspect_err(|cause| {
         if let Cause::Refused { refusal } = cause {
             info!(step = "handshake", refusal:% = refusal; "a peer was refused");
         }
     })?;
-    serve(net, link).await
+    serve(net, connection).await
 }
 
 /// What the reading half and the running calls share with the writing half.
-struct Answers {
+struct AnswerQueue {
     tx: UnboundedSender<Vec<u8>>,
     queued: Cell<usize>,
     running: Cell<usize>,
 }
 
-impl Answers {
+impl AnswerQueue {
     fn push(&self, message: Vec<u8>) {
         self.queued.set(self.queued.get() + 1);
         // The writing half has ended with its connection; nobody waits for the answer.
@@ -79,16 +79,16 @@
     }
 }
 
-async fn serve(net: &Rc<NetState>, link: Link) -> Result<(), Cause> {
+async fn serve(net: &Rc<NetState>, connection: Connection) -> Result<(), Cause> {
     let (tx, rx) = unbounded();
-    let answers = Rc::new(Answers {
+    let answers = Rc::new(AnswerQueue {
         tx,
         queued: Cell::new(0),
         running: Cell::new(0),
     });
-    let methods = net.methods.methods_for(&link.remote);
-    let reading = read_calls(net, link.rd, methods, &answers);
-    let writing = write_answers(net, link.wr, rx, &answers);
+    let methods = net.methods.methods_for(&connection.remote);
+    let reading = read_calls(net, connection.rd, methods, &answers);
+    let writing = write_answers(net, connection.wr, rx, &answers);
     select(std::pin::pin!(reading), std::pin::pin!(writing))
         .map(|ended| ended.factor_first().0)
         .await
@@ -98,9 +98,9 @@
     net: &Rc<NetState>,
     mut rd: FrameReader,
     methods: Methods,
-    answers: &Rc<Answers>,
+    answers: &Rc<AnswerQueue>,
 ) -> Result<(), Cause> {
-    let idle = net.options.incoming_idle_close;
+    let idle = net.options.incoming_idle_timeout;
     loop {
         // A client that vanished without closing leaves its connection here for good; no
         // message within the limit means that nothing is lost by closing it.
@@ -109,7 +109,7 @@
         };
         let frame = read.map_err(|frame| Cause::Frame { frame })?;
         let queued = answers.queued.get();
-        if queued > 2 * net.options.max_running {
+        if queued > 2 * net.options.max_running_calls {
             // The client sends and does not read: its answers would fill the memory.
             return Err(Cause::QueueFull { waiting: queued });
         }
@@ -124,9 +124,9 @@
     }
 }
 
-fn run_call(net: &NetState, message: String, methods: &Methods, answers: &Rc<Answers>) {
-    if answers.running.get() >= net.options.max_running {
-        if let Some(refusal) = refuse(&message, "too many calls run on this connection") {
+fn run_call(net: &NetState, message: String, methods: &Methods, answers: &Rc<AnswerQueue>) {
+    if answers.running.get() >= net.options.max_running_calls {
+        if let Some(refusal) = encode_refusal(&message, "too many calls run on this connection") {
             answers.push(refusal);
         }
         return;
@@ -153,7 +153,7 @@
     net: &NetState,
     mut wr: FrameWriter,
     mut rx: UnboundedReceiver<Vec<u8>>,
-    answers: &Answers,
+    answers: &AnswerQueue,
 ) -> Result<(), Cause> {
     let timeout = net.options.heartbeat_timeout;
     while let Some(message) = rx.next().await {
--- a/crates/peer/src/lib.rs
+++ b/crates/peer/src/lib.rs
@@ -31,5 +31,5 @@
 pub use net::{Dial, PeerContext, PeerNet};
 pub use options::{CallOptions, PeerOptions};
 pub use relay::{Origin, Relay, RelayOptions, RelayStatus};
-pub use reports::{ReportBoard, ReportOptions};
+pub use reports::{ReportOptions, ReportTable};
 pub use settings_port::{Delivery, RelayedChange, RelayedSnapshot, SettingsPort, StorePort};
--- a/crates/peer/src/members.rs
+++ b/crates/peer/src/members.rs
@@ -13,9 +13,9 @@
 use crate::auth::PeerId;
 
 /// Updates that one message carries at most.
-const UPDATES_A_MESSAGE: usize = 8;
+const MAX_UPDATES_PER_MESSAGE: usize = 8;
 /// An update is sent this many times the binary logarithm of the number of members.
-const SENDS_FACTOR: u32 = 2;
+const RETRANSMIT_FACTOR: u32 = 2;
 
 /// What is believed of a VM, from the weakest claim to the strongest: of two claims about the
 /// same run of a VM at the same count, the stronger one wins.
@@ -62,7 +62,7 @@
 
 impl Claim {
     /// Tells whether this claim replaces `other` about the same VM.
-    fn beats(&self, other: &Claim) -> bool {
+    fn supersedes(&self, other: &Claim) -> bool {
         let run = (self.id.epoch, self.id.incarnation);
         let other_run = (other.id.epoch, other.id.incarnation);
         (run, self.version, self.state) > (other_run, other.version, other.state)
@@ -77,9 +77,9 @@
     /// Where that claim came from.
     pub source: Source,
     /// When this daemon took it over.
-    pub since: Millis,
+    pub accepted_at: Millis,
     /// When the VM last gave this daemon a sign of life.
-    pub heard: Option<Millis>,
+    pub last_heard: Option<Millis>,
 }
 
 /// A belief as other packages and operators see it.
@@ -100,17 +100,17 @@
 
 /// What came of a claim.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Merged {
+pub enum MergeOutcome {
     /// It replaced what was believed.
-    Taken,
+    Accepted,
     /// Something at least as strong was believed already.
     Stale,
     /// It is about this daemon, which has answered by a new claim of its own.
     Refuted,
     /// It says that this daemon is leaving, which it now says itself.
-    ToldLeaving,
+    LeaveRequested,
     /// It is about another process in this VM's place.
-    Namesake,
+    IdentityConflict,
 }
 
 /// All beliefs of one daemon.
@@ -119,7 +119,7 @@
     others: BTreeMap<VmName, Member>,
     /// Updates still to be sent, with how often they were.
     pending: BTreeMap<VmName, u32>,
-    contacts: BTreeMap<DomainName, Millis>,
+    last_contacts: BTreeMap<DomainName, Millis>,
 }
 
 impl Members {
@@ -134,7 +134,7 @@
             pending: BTreeMap::from([(me.id.vm.clone(), 0)]),
             me,
             others: BTreeMap::new(),
-            contacts: BTreeMap::new(),
+            last_contacts: BTreeMap::new(),
         }
     }
 
@@ -156,16 +156,18 @@
     /// Gives the other VMs of this daemon's domain that are not gone.
     pub fn in_domain(&self) -> impl Iterator<Item = &Member> {
         let domain = &self.me.id.domain;
-        self.present().filter(move |m| m.claim.id.domain == *domain)
+        self.not_gone()
+            .filter(move |m| m.claim.id.domain == *domain)
     }
 
     /// Gives the VMs of other domains that are not gone.
-    pub fn elsewhere(&self) -> impl Iterator<Item = &Member> {
+    pub fn in_other_domains(&self) -> impl Iterator<Item = &Member> {
         let domain = &self.me.id.domain;
-        self.present().filter(move |m| m.claim.id.domain != *domain)
+        self.not_gone()
+            .filter(move |m| m.claim.id.domain != *domain)
     }
 
-    fn present(&self) -> impl Iterator<Item = &Member> {
+    fn not_gone(&self) -> impl Iterator<Item = &Member> {
         self.others().filter(|m| m.claim.state != MemberState::Gone)
     }
 
@@ -185,60 +187,61 @@
     }
 
     /// Takes a claim in.
-    pub fn merge(&mut self, claim: Claim, source: Source, now: Millis) -> Merged {
+    pub fn merge(&mut self, claim: Claim, source: Source, now: Millis) -> MergeOutcome {
         if claim.id.vm == self.me.id.vm {
             return self.merge_own(claim);
         }
         let vm = claim.id.vm.clone();
         match self.others.get_mut(&vm) {
-            Some(known) if !claim.beats(&known.claim) => return Merged::Stale,
+            Some(known) if !claim.supersedes(&known.claim) => return MergeOutcome::Stale,
             Some(known) => {
                 if claim.id.incarnation != known.claim.id.incarnation {
-                    known.heard = None;
+                    known.last_heard = None;
                 }
                 known.claim = claim;
                 known.source = source;
-                known.since = now;
+                known.accepted_at = now;
             }
             None => {
                 let member = Member {
                     claim,
                     source,
-                    since: now,
-                    heard: None,
+                    accepted_at: now,
+                    last_heard: None,
                 };
                 self.others.insert(vm.clone(), member);
             }
         }
         self.pending.insert(vm, 0);
-        Merged::Taken
+        MergeOutcome::Accepted
     }
 
-    fn merge_own(&mut self, claim: Claim) -> Merged {
+    fn merge_own(&mut self, claim: Claim) -> MergeOutcome {
         if claim.id.incarnation != self.me.id.incarnation {
-            return Merged::Namesake;
+            return MergeOutcome::IdentityConflict;
         }
-        if !claim.beats(&self.me) {
-            return Merged::Stale;
+        if !claim.supersedes(&self.me) {
+            return MergeOutcome::Stale;
         }
         self.me.version = claim.version;
-        let told = claim.state == MemberState::Leaving && self.me.state == MemberState::Alive;
-        if told {
+        let leave_requested =
+            claim.state == MemberState::Leaving && self.me.state == MemberState::Alive;
+        if leave_requested {
             self.announce(MemberState::Leaving);
-            return Merged::ToldLeaving;
+            return MergeOutcome::LeaveRequested;
         }
         self.announce(self.me.state);
-        Merged::Refuted
+        MergeOutcome::Refuted
     }
 
     /// Notes a sign of life of a VM and its domain. It does not change what is claimed: a
     /// suspected VM is told of the suspicion and answers it itself.
-    pub fn note_heard(&mut self, id: &PeerId, now: Millis) {
-        self.contacts.insert(id.domain.clone(), now);
+    pub fn record_contact(&mut self, id: &PeerId, now: Millis) {
+        self.last_contacts.insert(id.domain.clone(), now);
         if let Some(member) = self.others.get_mut(&id.vm)
             && member.claim.id.incarnation == id.incarnation
         {
-            member.heard = Some(now);
+            member.last_heard = Some(now);
         }
     }
 
@@ -249,9 +252,9 @@
         state: MemberState,
         source: Source,
         now: Millis,
-    ) -> Merged {
+    ) -> MergeOutcome {
         let Some(known) = self.others.get(vm) else {
-            return Merged::Stale;
+            return MergeOutcome::Stale;
         };
         let claim = Claim {
             state,
@@ -261,17 +264,17 @@
     }
 
     /// Leaves what is believed of some VMs out of further messages.
-    pub fn keep_quiet(&mut self, vms: &[VmName]) {
+    pub fn discard_updates(&mut self, vms: &[VmName]) {
         vms.iter().for_each(|vm| {
             self.pending.remove(vm);
         });
     }
 
     /// Gives the VMs suspected for longer than `suspicion`.
-    pub fn overdue(&self, suspicion: Millis, now: Millis) -> Vec<VmName> {
+    pub fn expired_suspicions(&self, timeout: Millis, now: Millis) -> Vec<VmName> {
         self.others()
             .filter(|m| m.claim.state == MemberState::Suspect)
-            .filter(|m| now.since(m.since) >= suspicion)
+            .filter(|m| now.since(m.accepted_at) >= timeout)
             .map(|m| m.claim.id.vm.clone())
             .collect()
     }
@@ -280,34 +283,35 @@
     /// about the others.
     pub fn restart_suspicions(&mut self, now: Millis) {
         for member in self.others.values_mut() {
-            member.since = member.since.max(now);
+            member.accepted_at = member.accepted_at.max(now);
         }
     }
 
     /// Forgets VMs that have been gone for longer than `keep`.
-    pub fn forget_gone(&mut self, keep: Millis, now: Millis) {
-        self.others
-            .retain(|_, m| m.claim.state != MemberState::Gone || now.since(m.since) < keep);
+    pub fn forget_gone(&mut self, retention: Millis, now: Millis) {
+        self.others.retain(|_, m| {
+            m.claim.state != MemberState::Gone || now.since(m.accepted_at) < retention
+        });
     }
 
     /// Takes the updates that the next message to `to` carries: first what is believed of
     /// the receiver where it should answer that, then the least sent.
     pub fn take_updates(&mut self, to: Option<&VmName>) -> Vec<Claim> {
-        let doubted = to
+        let suspected = to
             .and_then(|vm| self.others.get(vm))
             .filter(|m| m.claim.state >= MemberState::Suspect);
-        let mut claims: Vec<_> = doubted.map(|m| m.claim.clone()).into_iter().collect();
+        let mut claims: Vec<_> = suspected.map(|m| m.claim.clone()).into_iter().collect();
         let mut queue: Vec<_> = self
             .pending
             .iter()
             .map(|(vm, sent)| (*sent, vm.clone()))
             .collect();
         queue.sort();
-        queue.truncate(UPDATES_A_MESSAGE);
-        let enough = SENDS_FACTOR * (self.others.len() as u32 + 2).ilog2().max(1);
+        queue.truncate(MAX_UPDATES_PER_MESSAGE);
+        let max_sends = RETRANSMIT_FACTOR * (self.others.len() as u32 + 2).ilog2().max(1);
         for (sent, vm) in queue {
             claims.extend(self.claim_of(&vm));
-            if sent + 1 >= enough {
+            if sent + 1 >= max_sends {
                 self.pending.remove(&vm);
             } else {
                 self.pending.insert(vm, sent + 1);
@@ -334,17 +338,17 @@
     /// it. VMs that are gone don't count, since daemons forget them at different times.
     pub fn digests(&self) -> BTreeMap<DomainName, u64> {
         let mut digests = BTreeMap::new();
-        let others = self.present().map(|m| &m.claim);
+        let others = self.not_gone().map(|m| &m.claim);
         for claim in std::iter::once(&self.me).chain(others) {
             let digest: &mut u64 = digests.entry(claim.id.domain.clone()).or_default();
-            *digest ^= claim_hash(claim);
+            *digest ^= hash_claim(claim);
         }
         digests
     }
 
     /// Gives one number, the same for two daemons that believe the same.
     pub fn digest(&self) -> u64 {
-        self.digests().values().fold(0, |all, digest| all ^ digest)
+        self.digests().values().fold(0, |acc, digest| acc ^ digest)
     }
 
     /// Gives this daemon's place among the live VMs of its domain by rendezvous hash, from
@@ -360,7 +364,7 @@
 
     /// Gives the live VMs of this daemon's domain whose [`rank`](Self::rank) is below `count`,
     /// the first one first; this daemon may be among them.
-    pub fn first_ranked(&self, count: usize) -> Vec<VmName> {
+    pub fn top_ranked(&self, count: usize) -> Vec<VmName> {
         let weight = |vm: &VmName| hash::rendezvous(&[], vm.as_str());
         let alive = self
             .in_domain()
@@ -373,8 +377,8 @@
     }
 
     /// Gives when a VM of the domain last gave a sign of life.
-    pub fn contact(&self, domain: &DomainName) -> Option<Millis> {
-        self.contacts.get(domain).copied()
+    pub fn last_contact(&self, domain: &DomainName) -> Option<Millis> {
+        self.last_contacts.get(domain).copied()
     }
 
     /// Gives every belief as others see it.
@@ -384,21 +388,21 @@
 
     fn view(&self, member: &Member, now: Millis) -> MemberView {
         let id = &member.claim.id;
-        let mut heard = member.heard;
+        let mut last_heard = member.last_heard;
         if id.domain != self.me.id.domain {
-            heard = heard.max(self.contact(&id.domain));
+            last_heard = last_heard.max(self.last_contact(&id.domain));
         }
         MemberView {
             id: id.clone(),
             state: member.claim.state,
             source: member.source,
-            age: now.since(member.since),
-            since_heard: heard.map(|at| now.since(at)),
+            age: now.since(member.accepted_at),
+            since_heard: last_heard.map(|at| now.since(at)),
         }
     }
 
     /// Gives an address of a VM believed gone, the `nth` of them, to try again.
-    pub fn gone_address(&self, nth: usize) -> Option<SocketAddr> {
+    pub fn nth_gone_address(&self, nth: usize) -> Option<SocketAddr> {
         let gone: Vec<_> = self
             .others()
             .filter(|m| m.claim.state == MemberState::Gone)
@@ -408,7 +412,7 @@
     }
 }
 
-fn claim_hash(claim: &Claim) -> u64 {
+fn hash_claim(claim: &Claim) -> u64 {
     let mut bytes = claim.id.vm.as_str().as_bytes().to_vec();
     bytes.extend_from_slice(&claim.id.epoch.to_be_bytes());
     bytes.extend_from_slice(&claim.id.incarnation.0.to_be_bytes());
--- a/crates/peer/src/members/tests.rs
+++ b/crates/peer/src/members/tests.rs
@@ -23,7 +23,7 @@
     Members::new(id("me", "a", 1))
 }
 
-fn merge(members: &mut Members, claim: Claim) -> Merged {
+fn merge(members: &mut Members, claim: Claim) -> MergeOutcome {
     members.merge(claim, Source::Peer, Millis(0))
 }
 
@@ -41,8 +41,11 @@
         merge(&mut members, claim("x", 6, 0, MemberState::Alive)),
     ];
 
-    use Merged::{Stale, Taken};
-    assert_eq!(outcomes, [Taken, Stale, Taken, Taken, Stale, Taken]);
+    use MergeOutcome::{Accepted, Stale};
+    assert_eq!(
+        outcomes,
+        [Accepted, Stale, Accepted, Accepted, Stale, Accepted]
+    );
 }
 
 /// Two daemons hear the same claims in different orders, some of them twice. However the
@@ -60,9 +63,14 @@
             };
             let claims: Vec<_> = raw
                 .iter()
-                .map(|(vm, epoch, count, s)| {
+                .map(|(vm, epoch, version, s)| {
                     let name = format!("x{}", vm % 3);
-                    claim(&name, u64::from(epoch % 3), u32::from(count % 3), state(*s))
+                    claim(
+                        &name,
+                        u64::from(epoch % 3),
+                        u32::from(version % 3),
+                        state(*s),
+                    )
                 })
                 .collect();
             let (mut one, mut two) = (members(), members());
@@ -86,7 +94,7 @@
 
     let refuted = merge(&mut members, claim("me", 1, 7, MemberState::Gone));
 
-    assert_eq!(refuted, Merged::Refuted);
+    assert_eq!(refuted, MergeOutcome::Refuted);
     assert_eq!(
         (members.me().version, members.me().state),
         (8, MemberState::Alive)
@@ -99,7 +107,7 @@
 
     let told = merge(&mut members, claim("me", 1, 0, MemberState::Leaving));
 
-    assert_eq!(told, Merged::ToldLeaving);
+    assert_eq!(told, MergeOutcome::LeaveRequested);
     assert_eq!(
         (members.me().version, members.me().state),
         (1, MemberState::Leaving)
@@ -112,7 +120,7 @@
 
     let outcome = merge(&mut members, claim("me", 2, 0, MemberState::Alive));
 
-    assert_eq!(outcome, Merged::Namesake);
+    assert_eq!(outcome, MergeOutcome::IdentityConflict);
     assert_eq!(members.me().id.epoch, 1);
 }
 
@@ -170,7 +178,11 @@
 
     let messages: Vec<_> = (0..100).map(|_| members.take_updates(None).len()).collect();
 
-    assert!(messages.iter().all(|updates| *updates <= UPDATES_A_MESSAGE));
+    assert!(
+        messages
+            .iter()
+            .all(|updates| *updates <= MAX_UPDATES_PER_MESSAGE)
+    );
     assert_eq!(messages.iter().sum::<usize>(), 21 * 8);
     assert_eq!(messages.last(), Some(&0));
 }
@@ -197,7 +209,7 @@
     merge(&mut members, far("x"));
     merge(&mut members, far("y"));
 
-    members.note_heard(&id("y", "b", 1), Millis(500));
+    members.record_contact(&id("y", "b", 1), Millis(500));
 
     let views = members.views(Millis(800));
     assert_eq!(views[0].since_heard, Some(Millis(300)));
--- a/crates/peer/src/membership.rs
+++ b/crates/peer/src/membership.rs
@@ -12,16 +12,16 @@
 
 use crate::auth::PeerId;
 use crate::heartbeat::Gossip;
-use crate::members::{Claim, MemberState, MemberView, Members, Merged, Source};
+use crate::members::{Claim, MemberState, MemberView, Members, MergeOutcome, Source};
 use crate::methods::MethodTable;
 use crate::net::PeerNet;
 use crate::sync::SyncAnswer;
 
 /// Claims taken over from one message that heartbeats still pass on.
-const NEWS_AT_ONCE: usize = 8;
+const MAX_FORWARDED_CLAIMS: usize = 8;
 
 pub(crate) const HEARTBEAT: &str = "m";
-pub(crate) const ASK_FOR: &str = "mq";
+pub(crate) const PROBE_FOR: &str = "mq";
 pub(crate) const SYNC: &str = "ms";
 pub(crate) const PUSH: &str = "mu";
 
@@ -79,7 +79,7 @@
 }
 
 /// Takes a peer and the revision that it holds.
-pub type PeerRevision = Rc<dyn Fn(&PeerId, Revision)>;
+pub type PeerRevisionHook = Rc<dyn Fn(&PeerId, Revision)>;
 
 /// What the rest of the daemon does at changes.
 #[derive(Clone)]
@@ -89,7 +89,7 @@
     /// The platform says that this VM is leaving.
     pub on_leave_request: Rc<dyn Fn()>,
     /// A peer holds the revision given; called for each heartbeat.
-    pub on_peer_revision: PeerRevision,
+    pub on_peer_revision: PeerRevisionHook,
 }
 
 impl Default for MembershipHooks {
@@ -120,7 +120,7 @@
     pub rng: fastrand::Rng,
 }
 
-pub(crate) struct State {
+pub(crate) struct MembershipState {
     pub(crate) members: RefCell<Members>,
     pub(crate) timer: Timer,
     pub(crate) net: RefCell<Option<PeerNet>>,
@@ -131,16 +131,16 @@
     pub(crate) hooks: MembershipHooks,
     pub(crate) options: MembershipOptions,
     pub(crate) rng: RefCell<fastrand::Rng>,
-    pub(crate) round: RefCell<VecDeque<VmName>>,
+    pub(crate) probe_queue: RefCell<VecDeque<VmName>>,
     pub(crate) last_sync: Cell<Option<Millis>>,
     pub(crate) syncing: Cell<bool>,
-    pub(crate) begun: Millis,
+    pub(crate) started_at: Millis,
 }
 
 /// The heartbeats of one daemon and what they found out; cheap to clone.
 #[derive(Clone)]
 pub struct Membership {
-    state: Rc<State>,
+    state: Rc<MembershipState>,
 }
 
 type Answer<T> = Result<T, ErrorObjectOwned>;
@@ -149,8 +149,8 @@
     /// Registers the methods of the heartbeats. They answer once [`Membership::run`] is
     /// called.
     pub fn new(cx: MembershipContext, me: PeerId, timer: Timer, methods: &mut MethodTable) -> Self {
-        let begun = timer.now();
-        let state = Rc::new(State {
+        let started_at = timer.now();
+        let state = Rc::new(MembershipState {
             members: RefCell::new(Members::new(me)),
             timer,
             net: RefCell::default(),
@@ -161,10 +161,10 @@
             hooks: cx.hooks,
             options: cx.options,
             rng: RefCell::new(cx.rng),
-            round: RefCell::default(),
+            probe_queue: RefCell::default(),
             last_sync: Cell::new(None),
             syncing: Cell::new(false),
-            begun,
+            started_at,
         });
         register(&state, methods);
         Self { state }
@@ -195,7 +195,7 @@
             .members
             .borrow_mut()
             .announce(MemberState::Leaving);
-        self.state.push_self();
+        self.state.push_own_claim();
     }
 
     /// Tells whether this daemon is one of its domain's few that watch the store.
@@ -206,7 +206,7 @@
     /// Gives the VMs of this daemon's domain that watch the store, the first one first.
     pub fn watchers(&self) -> Vec<VmName> {
         let count = self.state.options.watchers;
-        self.state.members.borrow().first_ranked(count)
+        self.state.members.borrow().top_ranked(count)
     }
 
     /// Gives the live VMs of this daemon's domain.
@@ -218,67 +218,72 @@
     /// Draws a VM of any domain that is not gone.
     pub fn random_peer(&self) -> Option<VmName> {
         let members = self.state.members.borrow();
-        let all: Vec<_> = members.in_domain().chain(members.elsewhere()).collect();
+        let all: Vec<_> = members
+            .in_domain()
+            .chain(members.in_other_domains())
+            .collect();
         let drawn = self.state.rng.borrow_mut().choice(all)?;
         Some(drawn.claim.id.vm.clone())
     }
 }
 
-fn register(state: &Rc<State>, methods: &mut MethodTable) {
+fn register(state: &Rc<MembershipState>, methods: &mut MethodTable) {
     let cx = Rc::clone(state);
     methods.register(HEARTBEAT, move |caller, gossip: Gossip| {
         let answer = cx.answer_heartbeat(&caller, gossip);
         async move { Ok(answer) }
     });
     let cx = Rc::clone(state);
-    methods.register(ASK_FOR, move |_, vm: VmName| {
+    methods.register(PROBE_FOR, move |_, vm: VmName| {
         let cx = Rc::clone(&cx);
-        async move { Ok(cx.exchange(&vm).await.is_ok()) }
+        async move { Ok(cx.exchange_heartbeat(&vm).await.is_ok()) }
     });
     let cx = Rc::clone(state);
     methods.register(SYNC, move |caller, digests: BTreeMap<DomainName, u64>| {
-        cx.members.borrow_mut().note_heard(&caller, cx.timer.now());
+        cx.members
+            .borrow_mut()
+            .record_contact(&caller, cx.timer.now());
         let answer: Answer<SyncAnswer> = Ok(cx.answer_sync(&caller, &digests));
         async move { answer }
     });
     let cx = Rc::clone(state);
     methods.register(PUSH, move |_, claims: Vec<Claim>| {
-        cx.merge_all(claims);
+        cx.merge_claims(claims);
         async move { Answer::Ok(()) }
     });
 }
 
 /// Sends one heartbeat each period, whatever became of the ones before.
-async fn run_heartbeats(state: Rc<State>) {
+async fn run_heartbeats(state: Rc<MembershipState>) {
     let period = state.options.period;
     let phase = state.rng.borrow_mut().u64(0..period.0.max(1));
     state.join();
     state.timer.wait(Millis(phase)).await;
     let mut last = state.timer.now();
-    for round in 1_u64.. {
+    for period_count in 1_u64.. {
         state.timer.wait(period).await;
         if !state.is_open() {
             return;
         }
         let now = state.timer.now();
-        state.heed_pause(now.since(last + period));
+        state.handle_pause(now.since(last + period));
         last = now;
-        state.heed_epoch();
-        state.expire(now);
+        state.update_epoch();
+        state.expire_suspicions(now);
         state.heartbeat_in_domain();
-        if round % state.options.other_domain_periods == 0 {
-            state.heartbeat_elsewhere();
+        if period_count % state.options.other_domain_periods == 0 {
+            state.heartbeat_other_domain();
         }
-        if round % state.options.unreachable_retry_periods == 0 {
-            state.try_lost(round);
+        if period_count % state.options.unreachable_retry_periods == 0 {
+            state.retry_unreachable(period_count);
         }
-        if round % state.options.vm_list_periods == 0 && state.is_watcher() {
-            state.read_platform();
+        if period_count % state.options.vm_list_periods == 0 && state.is_watcher() {
+            state.read_vm_list();
         }
     }
 }
 
-impl State {
+impl MembershipState {
     pub(crate) fn net(&self) -> Option<PeerNet> {
         self.net.borrow().clone()
     }
@@ -295,7 +300,7 @@
     /// waited. Others may have counted it gone and taken its work meanwhile, so it ends its
     /// connections with whatever waits in them, tells the rest of the daemon, and announces
     /// itself anew.
-    pub(crate) fn heed_pause(&self, late: Millis) {
+    pub(crate) fn handle_pause(&self, late: Millis) {
         if late < self.options.pause_threshold {
             return;
         }
@@ -311,15 +316,15 @@
     }
 
     /// Takes over the epoch where a handshake has raised it.
-    fn heed_epoch(&self) {
+    fn update_epoch(&self) {
         if let Some(net) = self.net() {
             self.members.borrow_mut().raise_epoch(net.me().epoch);
         }
     }
 
-    pub(crate) fn expire(&self, now: Millis) {
+    pub(crate) fn expire_suspicions(&self, now: Millis) {
         let mut members = self.members.borrow_mut();
-        for vm in members.overdue(self.options.suspicion_timeout, now) {
+        for vm in members.expired_suspicions(self.options.suspicion_timeout, now) {
             info!(vm:% = vm; "a VM is gone");
             members.claim_state(&vm, MemberState::Gone, Source::Heartbeat, now);
         }
@@ -327,7 +332,7 @@
     }
 
     /// Notes a sign of life of a VM, and that it exists where it was not known.
-    pub(crate) fn introduce(&self, id: &PeerId, now: Millis) {
+    pub(crate) fn record_alive(&self, id: &PeerId, now: Millis) {
         let mut members = self.members.borrow_mut();
         let claim = Claim {
             id: id.clone(),
@@ -335,52 +340,52 @@
             state: MemberState::Alive,
         };
         members.merge(claim, Source::Heartbeat, now);
-        members.note_heard(id, now);
+        members.record_contact(id, now);
     }
 
-    pub(crate) fn merge_all(&self, claims: Vec<Claim>) {
-        let mut taken = Vec::new();
+    pub(crate) fn merge_claims(&self, claims: Vec<Claim>) {
+        let mut accepted = Vec::new();
         for claim in claims {
             let vm = claim.id.vm.clone();
-            if self.merge(claim, Source::Peer) == Merged::Taken {
-                taken.push(vm);
+            if self.merge(claim, Source::Peer) == MergeOutcome::Accepted {
+                accepted.push(vm);
             }
         }
         // Many at once are no news but the contents of a comparison. Heartbeats would carry
         // them for minutes; whoever lacks them finds the difference and compares as well.
-        if taken.len() > NEWS_AT_ONCE {
-            self.members.borrow_mut().keep_quiet(&taken);
+        if accepted.len() > MAX_FORWARDED_CLAIMS {
+            self.members.borrow_mut().discard_updates(&accepted);
         }
     }
 
-    pub(crate) fn merge(&self, claim: Claim, source: Source) -> Merged {
+    pub(crate) fn merge(&self, claim: Claim, source: Source) -> MergeOutcome {
         let Some(net) = self.net() else {
-            return Merged::Stale;
+            return MergeOutcome::Stale;
         };
         let id = claim.id.clone();
-        let merged = self
+        let outcome = self
             .members
             .borrow_mut()
             .merge(claim, source, self.timer.now());
-        match merged {
+        match outcome {
             // The connections' own book may know a later run and keep it.
-            Merged::Taken => drop(net.learn(&id)),
-            Merged::ToldLeaving => {
+            MergeOutcome::Accepted => drop(net.learn(&id)),
+            MergeOutcome::LeaveRequested => {
                 (self.hooks.on_leave_request)();
-                self.push_self();
+                self.push_own_claim();
             }
-            Merged::Namesake => {
-                net.heed_namesake(&id);
+            MergeOutcome::IdentityConflict => {
+                net.resolve_identity_conflict(&id);
                 self.members.borrow_mut().raise_epoch(net.me().epoch);
             }
-            Merged::Refuted => info!("a peer took this daemon for suspect, leaving or gone"),
-            Merged::Stale => {}
+            MergeOutcome::Refuted => info!("a peer took this daemon for suspect, leaving or gone"),
+            MergeOutcome::Stale => {}
         }
-        merged
+        outcome
     }
 
     /// Sends what this daemon says of itself to its domain.
-    pub(crate) fn push_self(&self) {
+    pub(crate) fn push_own_claim(&self) {
         let Some(net) = self.net() else {
             return;
         };
--- a/crates/peer/src/methods.rs
+++ b/crates/peer/src/methods.rs
@@ -17,7 +17,7 @@
 /// The error code of a call that was refused before anything of it ran.
 pub const NOT_RUN_CODE: i32 = -32050;
 /// The error code of a handler that ended without an answer.
-const HANDLER_LOST_CODE: i32 = -32051;
+const HANDLER_FAILED_CODE: i32 = -32051;
 
 type Answer = Result<Box<RawValue>, ErrorObjectOwned>;
 type Handler = Rc<dyn Fn(PeerId, Params<'static>) -> LocalBoxFuture<'static, Answer>>;
@@ -78,7 +78,7 @@
             .register_async_method(name, move |params, _, extensions| {
                 let caller = extensions.get::<PeerId>().cloned();
                 let rx = start_handler(key, caller, params);
-                async move { rx.await.unwrap_or_else(|_| Err(handler_lost())) }
+                async move { rx.await.unwrap_or_else(|_| Err(handler_failed())) }
             })
             .expect("each method is registered once");
     }
@@ -93,24 +93,24 @@
 impl Drop for MethodTable {
     fn drop(&mut self) {
         // At the end of its thread the table may be gone already, with all handlers.
-        let gone = HANDLERS.try_with(|handlers| {
+        let removed = HANDLERS.try_with(|handlers| {
             let mut handlers = handlers.borrow_mut();
             let keys = self.keys.drain(..);
             keys.map(|key| handlers.remove(key)).collect::<Vec<_>>()
         });
         // Dropped outside the borrow: a handler may own another table.
-        drop(gone);
+        drop(removed);
     }
 }
 
 fn to_answer(value: impl Serialize) -> Answer {
     serde_json::value::to_raw_value(&value)
-        .map_err(|e| ErrorObjectOwned::owned(HANDLER_LOST_CODE, e.to_string(), None::<()>))
+        .map_err(|e| ErrorObjectOwned::owned(HANDLER_FAILED_CODE, e.to_string(), None::<()>))
 }
 
-fn handler_lost() -> ErrorObjectOwned {
+fn handler_failed() -> ErrorObjectOwned {
     ErrorObjectOwned::owned(
-        HANDLER_LOST_CODE,
+        HANDLER_FAILED_CODE,
         "the handler ended without an answer",
         None::<()>,
     )
@@ -143,32 +143,32 @@
     message: &str,
 ) -> Result<Option<Box<RawValue>>, serde_json::Error> {
     #[derive(serde::Deserialize)]
-    struct Kind<'a> {
+    struct Message<'a> {
         #[serde(borrow)]
         id: Option<Id<'a>>,
         method: &'a str,
         #[serde(borrow)]
         params: Option<&'a RawValue>,
     }
-    let kind: Kind = serde_json::from_str(message)?;
-    if kind.id.is_some() {
+    let parsed: Message = serde_json::from_str(message)?;
+    if parsed.id.is_some() {
         let (answer, _) = methods.raw_json_request(message, 1).await?;
         return Ok(Some(answer));
     }
-    let req = serde_json::to_string(&Request::borrowed(kind.method, kind.params, Id::Null))?;
+    let req = serde_json::to_string(&Request::borrowed(parsed.method, parsed.params, Id::Null))?;
     methods.raw_json_request(&req, 1).await?;
     Ok(None)
 }
 
 /// Gives the answer that refuses `message` before anything of it ran, or nothing where it is
 /// a notification.
-pub(crate) fn refuse(message: &str, why: &str) -> Option<Vec<u8>> {
+pub(crate) fn encode_refusal(message: &str, reason: &str) -> Option<Vec<u8>> {
     #[derive(serde::Deserialize)]
-    struct Numbered<'a> {
+    struct MessageId<'a> {
         #[serde(borrow)]
         id: Option<Id<'a>>,
     }
-    let id = serde_json::from_str::<Numbered>(message).ok()?.id?;
-    let payload = ResponsePayload::<()>::error(not_run(why));
+    let id = serde_json::from_str::<MessageId>(message).ok()?.id?;
+    let payload = ResponsePayload::<()>::error(not_run(reason));
     serde_json::to_vec(&Response::new(payload, id)).ok()
 }
--- a/crates/peer/src/net.rs
+++ b/crates/peer/src/net.rs
@@ -22,7 +22,7 @@
 use crate::incoming::accept_loop;
 use crate::methods::MethodTable;
 use crate::options::{CallOptions, PeerOptions};
-use crate::outgoing::{Job, Peer, run_peer};
+use crate::outgoing::{Peer, QueuedCall, run_peer};
 
 /// Opens a TCP connection.
 pub type Dial = Rc<dyn Fn(SocketAddr) -> LocalBoxFuture<'static, std::io::Result<TcpStream>>>;
@@ -65,16 +65,16 @@
     }
 }
 
-type Outgoing = (Rc<Peer>, UnboundedSender<Job>);
-type Signal = Shared<oneshot::Receiver<()>>;
+type PeerTask = (Rc<Peer>, UnboundedSender<QueuedCall>);
+type CancelSignal = Shared<oneshot::Receiver<()>>;
 
 /// Ends what waits for it when it is replaced or dropped.
-struct Switch {
+struct CancelHandle {
     _tx: oneshot::Sender<()>,
-    signal: Signal,
+    signal: CancelSignal,
 }
 
-impl Switch {
+impl CancelHandle {
     fn new() -> Self {
         let (tx, rx) = oneshot::channel();
         Self {
@@ -96,10 +96,10 @@
     pub(crate) incoming: Cell<usize>,
     me: RefCell<PeerId>,
     superseded: RefCell<Option<PeerId>>,
-    book: RefCell<BTreeMap<VmName, PeerId>>,
-    peers: RefCell<BTreeMap<SocketAddr, Outgoing>>,
-    close: RefCell<Option<Switch>>,
-    reset: RefCell<Switch>,
+    identities: RefCell<BTreeMap<VmName, PeerId>>,
+    peers: RefCell<BTreeMap<SocketAddr, PeerTask>>,
+    close: RefCell<Option<CancelHandle>>,
+    reset: RefCell<CancelHandle>,
 }
 
 impl NetState {
@@ -107,18 +107,18 @@
         self.me.borrow().clone()
     }
 
-    pub(crate) fn closed(&self) -> Signal {
+    pub(crate) fn close_signal(&self) -> CancelSignal {
         match &*self.close.borrow() {
-            Some(switch) => switch.signal.clone(),
-            None => Switch::new().signal,
+            Some(handle) => handle.signal.clone(),
+            None => CancelHandle::new().signal,
         }
     }
 
-    pub(crate) fn reset_signal(&self) -> Signal {
+    pub(crate) fn reset_signal(&self) -> CancelSignal {
         self.reset.borrow().signal.clone()
     }
 
-    pub(crate) fn forget_peer(&self, peer: &Rc<Peer>) {
+    pub(crate) fn remove_peer(&self, peer: &Rc<Peer>) {
         let mut peers = self.peers.borrow_mut();
         if let Some((known, _)) = peers.get(&peer.address)
             && Rc::ptr_eq(known, peer)
@@ -130,29 +130,29 @@
     /// Notes who a VM is. The incarnation with the higher epoch wins for good, so a process
     /// that was paused while another took its place is refused when it comes back.
     pub(crate) fn learn(&self, id: &PeerId) -> Result<(), HandshakeRefusal> {
-        let mut book = self.book.borrow_mut();
-        if let Some(known) = book.get(&id.vm)
+        let mut identities = self.identities.borrow_mut();
+        if let Some(known) = identities.get(&id.vm)
             && known.incarnation != id.incarnation
             && known.epoch >= id.epoch
         {
             let by = Box::new(known.clone());
             return Err(HandshakeRefusal::Superseded { by });
         }
-        book.insert(id.vm.clone(), id.clone());
+        identities.insert(id.vm.clone(), id.clone());
         Ok(())
     }
 
     /// Acts on an authenticated refusal of this daemon's own identity.
-    pub(crate) fn heed_refusal(&self, refusal: &HandshakeRefusal) {
+    pub(crate) fn handle_refusal(&self, refusal: &HandshakeRefusal) {
         if let HandshakeRefusal::Superseded { by } = refusal {
-            self.heed_namesake(by);
+            self.resolve_identity_conflict(by);
         }
     }
 
     /// Answers the claim that another incarnation of this VM is the later one. At this
     /// daemon's own address it can only be a predecessor, since two processes can't listen
     /// at one address: this daemon goes ahead of it. Elsewhere it has replaced this VM.
-    pub(crate) fn heed_namesake(&self, other: &PeerId) {
+    pub(crate) fn resolve_identity_conflict(&self, other: &PeerId) {
         let mut me = self.me.borrow_mut();
         if other.vm != me.vm || other.incarnation == me.incarnation || other.epoch < me.epoch {
             return;
@@ -188,7 +188,7 @@
             let message = e.to_string();
             PeerError::new(Step::Connect, cx.listen, Handled::No, Cause::Io { message })
         };
-        // One process at an address: `heed_namesake` relies on it.
+        // One process at an address: `resolve_identity_conflict` relies on it.
         let opts = ListenerOpts::new().reuse_port(false);
         let listener = TcpListener::bind_with_config(cx.listen, &opts).map_err(listen_error)?;
         let bound = listener.local_addr().map_err(listen_error)?;
@@ -211,10 +211,10 @@
             incoming: Cell::new(0),
             me: RefCell::new(me),
             superseded: RefCell::default(),
-            book: RefCell::default(),
+            identities: RefCell::default(),
             peers: RefCell::default(),
-            close: RefCell::new(Some(Switch::new())),
-            reset: RefCell::new(Switch::new()),
+            close: RefCell::new(Some(CancelHandle::new())),
+            reset: RefCell::new(CancelHandle::new()),
         });
         monoio::spawn(accept_loop(Rc::clone(&state), listener));
         Ok(Self { state })
@@ -253,12 +253,12 @@
 
     /// Gives the known identity of a VM.
     pub fn identity_of(&self, vm: &VmName) -> Option<PeerId> {
-        self.state.book.borrow().get(vm).cloned()
+        self.state.identities.borrow().get(vm).cloned()
     }
 
     /// Answers the claim that another process runs as this VM: see [`Self::superseded_by`].
-    pub fn heed_namesake(&self, other: &PeerId) {
-        self.state.heed_namesake(other);
+    pub fn resolve_identity_conflict(&self, other: &PeerId) {
+        self.state.resolve_identity_conflict(other);
     }
 
     /// Tells whether [`Self::close`] was called.
@@ -269,7 +269,7 @@
     /// Ends every connection; calls open new ones. A process that was paused does this before
     /// it acts on anything that waited in them.
     pub fn reset_connections(&self) {
-        *self.state.reset.borrow_mut() = Switch::new();
+        *self.state.reset.borrow_mut() = CancelHandle::new();
     }
 
     /// Ends every connection and accepts no more. Further calls fail.
@@ -346,7 +346,7 @@
     }
 
     fn resolve(&self, vm: &VmName) -> Result<SocketAddr, PeerError> {
-        let known = self.state.book.borrow().get(vm).map(|id| id.address);
+        let known = self.state.identities.borrow().get(vm).map(|id| id.address);
         known.ok_or_else(|| PeerError::new(Step::Resolve, vm, Handled::No, Cause::UnknownVm))
     }
 
@@ -362,7 +362,7 @@
         let name = vm.map_or_else(|| address.to_string(), ToString::to_string);
         let (tx, rx) = oneshot::channel();
         let written = self.enqueue(address, vm, method, params, opts, Some(tx))?;
-        let lost = |step, cause| {
+        let fail = |step, cause| {
             let handled = if written.get() {
                 Handled::Maybe
             } else {
@@ -372,8 +372,8 @@
         };
         let answer = match self.state.timer.limit(timeout, rx).await {
             Some(Ok(result)) => result?,
-            Some(Err(_)) => return Err(lost(Step::Queue, Cause::Closing)),
-            None => return Err(lost(Step::Answer, Cause::Timeout { timeout })),
+            Some(Err(_)) => return Err(fail(Step::Queue, Cause::Closing)),
+            None => return Err(fail(Step::Answer, Cause::Timeout { timeout })),
         };
         serde_json::from_str(answer.get())
             .map_err(|e| PeerError::new(Step::Answer, &name, Handled::Yes, json_cause(e)))
@@ -398,32 +398,32 @@
             return Err(refuse(Step::Queue, Cause::Closing));
         }
         let (peer, tx) = self.peer_at(address);
-        let waiting = peer.waiting.get();
-        if waiting >= self.state.options.max_waiting {
+        let waiting = peer.outstanding.get();
+        if waiting >= self.state.options.max_outstanding_calls {
             return Err(refuse(Step::Queue, Cause::QueueFull { waiting }));
         }
         let written = Rc::new(Cell::new(false));
-        let job = Job {
+        let call = QueuedCall {
             method,
             params,
             opts,
             vm: vm.cloned(),
             reply,
-            tries: 0,
+            attempts: 0,
             written: Rc::clone(&written),
         };
-        peer.waiting.set(waiting + 1);
-        tx.unbounded_send(job)
+        peer.outstanding.set(waiting + 1);
+        tx.unbounded_send(call)
             .map_err(|_| refuse(Step::Queue, Cause::Closing))?;
         Ok(written)
     }
 
-    fn peer_at(&self, address: SocketAddr) -> (Rc<Peer>, UnboundedSender<Job>) {
+    fn peer_at(&self, address: SocketAddr) -> (Rc<Peer>, UnboundedSender<QueuedCall>) {
         let mut peers = self.state.peers.borrow_mut();
         let (peer, tx) = peers.entry(address).or_insert_with(|| {
             let peer = Rc::new(Peer {
                 address,
-                waiting: Cell::new(0),
+                outstanding: Cell::new(0),
             });
             let (tx, rx) = unbounded();
             monoio::spawn(run_peer(Rc::clone(&self.state), Rc::clone(&peer), rx));
--- a/crates/peer/src/options.rs
+++ b/crates/peer/src/options.rs
@@ -17,17 +17,17 @@
     /// A connection whose test got nothing back for this long is replaced.
     pub heartbeat_timeout: Millis,
     /// An outgoing connection without calls is closed after this.
-    pub idle_close: Millis,
+    pub idle_timeout: Millis,
     /// An incoming connection without messages is closed after this.
-    pub incoming_idle_close: Millis,
+    pub incoming_idle_timeout: Millis,
     /// Calls that may wait for one peer.
-    pub max_waiting: usize,
+    pub max_outstanding_calls: usize,
     /// Calls of one incoming connection that may run at once.
-    pub max_running: usize,
+    pub max_running_calls: usize,
     /// Incoming connections at once.
-    pub max_incoming: usize,
+    pub max_incoming_connections: usize,
     /// Connections on which an idempotent call is tried before it fails.
-    pub max_tries: u8,
+    pub max_attempts: u8,
 }
 
 impl Default for PeerOptions {
@@ -38,12 +38,12 @@
             handshake_timeout: Millis(2_000),
             heartbeat_period: Millis(1_000),
             heartbeat_timeout: Millis(800),
-            idle_close: Millis(90_000),
-            incoming_idle_close: Millis(180_000),
-            max_waiting: 512,
-            max_running: 128,
-            max_incoming: 512,
-            max_tries: 2,
+            idle_timeout: Millis(90_000),
+            incoming_idle_timeout: Millis(180_000),
+            max_outstanding_calls: 512,
+            max_running_calls: 128,
+            max_incoming_connections: 512,
+            max_attempts: 2,
         }
     }
 }
--- a/crates/peer/src/outgoing.rs
+++ b/crates/peer/src/outgoing.rs
@@ -17,14 +17,14 @@
 use crate::auth::{HandshakeRefusal, PeerId};
 use crate::error::{Cause, Handled, PeerError, Step};
 use crate::frame::{FrameError, FrameReader, FrameWriter};
-use crate::handshake::{Link, json_cause, open};
+use crate::handshake::{Connection, json_cause, open};
 use crate::net::NetState;
 use crate::options::CallOptions;
 
 pub(crate) type CallResult = Result<Box<RawValue>, PeerError>;
 
 /// A call on its way.
-pub(crate) struct Job {
+pub(crate) struct QueuedCall {
     pub(crate) method: &'static str,
     pub(crate) params: Box<RawValue>,
     pub(crate) opts: CallOptions,
@@ -33,14 +33,14 @@
     /// Where the answer goes; a notification has none.
     pub(crate) reply: Option<oneshot::Sender<CallResult>>,
     /// Connections that the call was written to.
-    pub(crate) tries: u8,
+    pub(crate) attempts: u8,
     /// Set once the first byte may have been written; shared with the caller, whose timeout
     /// must tell whether the peer may have run the call.
     pub(crate) written: Rc<Cell<bool>>,
 }
 
-impl Job {
-    fn given_up(&self) -> bool {
+impl QueuedCall {
+    fn is_abandoned(&self) -> bool {
         self.reply
             .as_ref()
             .is_some_and(oneshot::Sender::is_canceled)
@@ -64,16 +64,16 @@
 /// One address that this daemon calls.
 pub(crate) struct Peer {
     pub(crate) address: SocketAddr,
-    pub(crate) waiting: Cell<usize>,
+    pub(crate) outstanding: Cell<usize>,
 }
 
 /// Why a connection ended.
-struct End {
+struct Disconnect {
     step: Step,
     cause: Cause,
 }
 
-impl End {
+impl Disconnect {
     fn new(step: Step, cause: Cause) -> Self {
         Self { step, cause }
     }
@@ -84,20 +84,24 @@
 }
 
 /// Serves the calls to one address until there are none for a while.
-pub(crate) async fn run_peer(net: Rc<NetState>, peer: Rc<Peer>, mut jobs: UnboundedReceiver<Job>) {
+pub(crate) async fn run_peer(
+    net: Rc<NetState>,
+    peer: Rc<Peer>,
+    mut calls: UnboundedReceiver<QueuedCall>,
+) {
     let mut backlog = VecDeque::new();
     loop {
         if backlog.is_empty() {
-            let idle = net.options.idle_close;
-            let Some(Some(job)) = net.timer.limit(idle, jobs.next()).await else {
+            let idle = net.options.idle_timeout;
+            let Some(Some(call)) = net.timer.limit(idle, calls.next()).await else {
                 break;
             };
-            backlog.push_back(job);
+            backlog.push_back(call);
         }
         let ended = match connect(&net, &peer).await {
-            Ok(link) => run_link(&net, &peer, link, &mut backlog, &mut jobs).await,
+            Ok(connection) => run_session(&net, &peer, connection, &mut backlog, &mut calls).await,
             Err(end) => {
-                fail_all(&peer, &mut backlog, &mut jobs, &end);
+                fail_all(&peer, &mut backlog, &mut calls, &end);
                 Err(end)
             }
         };
@@ -109,42 +113,42 @@
             ),
         }
     }
-    net.forget_peer(&peer);
+    net.remove_peer(&peer);
 }
 
 /// Fails every call that waits: while a peer can't be reached, callers learn it at once and
 /// can turn to another.
 fn fail_all(
     peer: &Peer,
-    backlog: &mut VecDeque<Job>,
-    jobs: &mut UnboundedReceiver<Job>,
-    end: &End,
+    backlog: &mut VecDeque<QueuedCall>,
+    calls: &mut UnboundedReceiver<QueuedCall>,
+    end: &Disconnect,
 ) {
-    while let Ok(job) = jobs.try_recv() {
-        backlog.push_back(job);
+    while let Ok(call) = calls.try_recv() {
+        backlog.push_back(call);
     }
-    for job in backlog.drain(..) {
-        peer.waiting.set(peer.waiting.get() - 1);
-        job.fail(peer, end.step, end.cause.clone());
+    for call in backlog.drain(..) {
+        peer.outstanding.set(peer.outstanding.get() - 1);
+        call.fail(peer, end.step, end.cause.clone());
     }
 }
 
-async fn connect(net: &NetState, peer: &Peer) -> Result<Link, End> {
+async fn connect(net: &NetState, peer: &Peer) -> Result<Connection, Disconnect> {
     let timeout = net.options.connect_timeout;
-    let dialled = net.timer.limit(timeout, (net.dial)(peer.address)).await;
-    let stream = match dialled {
+    let dialed = net.timer.limit(timeout, (net.dial)(peer.address)).await;
+    let stream = match dialed {
         Some(Ok(stream)) => stream,
         Some(Err(e)) => {
             let message = e.to_string();
-            return Err(End::new(Step::Connect, Cause::Io { message }));
+            return Err(Disconnect::new(Step::Connect, Cause::Io { message }));
         }
-        None => return Err(End::new(Step::Connect, Cause::Timeout { timeout })),
+        None => return Err(Disconnect::new(Step::Connect, Cause::Timeout { timeout })),
     };
     let timeout = net.options.handshake_timeout;
     let opened = net.timer.limit(timeout, open(net, stream)).await;
     opened
         .unwrap_or(Err(Cause::Timeout { timeout }))
-        .map_err(|cause| End::new(Step::Handshake, cause))
+        .map_err(|cause| Disconnect::new(Step::Handshake, cause))
 }
 
 /// The state that the reading and the writing half of one connection share.
@@ -152,7 +156,7 @@
     net: &'a NetState,
     peer: &'a Peer,
     remote: PeerId,
-    pending: RefCell<BTreeMap<u64, Job>>,
+    pending: RefCell<BTreeMap<u64, QueuedCall>>,
     next_id: Cell<u64>,
     received: Cell<u64>,
     last_received: Cell<Millis>,
@@ -160,17 +164,17 @@
     probe: Cell<Option<(Millis, u64)>>,
 }
 
-async fn run_link(
+async fn run_session(
     net: &NetState,
     peer: &Peer,
-    link: Link,
-    backlog: &mut VecDeque<Job>,
-    jobs: &mut UnboundedReceiver<Job>,
-) -> Result<(), End> {
+    connection: Connection,
+    backlog: &mut VecDeque<QueuedCall>,
+    calls: &mut UnboundedReceiver<QueuedCall>,
+) -> Result<(), Disconnect> {
     let session = Session {
         net,
         peer,
-        remote: link.remote,
+        remote: connection.remote,
         pending: RefCell::default(),
         next_id: Cell::new(0),
         received: Cell::new(0),
@@ -179,29 +183,32 @@
     };
     let reset = net.reset_signal();
     let ended = {
-        let reading = std::pin::pin!(session.read_answers(link.rd));
-        let writing = std::pin::pin!(session.write_calls(link.wr, backlog, jobs));
+        let reading = std::pin::pin!(session.read_answers(connection.rd));
+        let writing = std::pin::pin!(session.write_calls(connection.wr, backlog, calls));
         let halves = select(reading, writing);
         match select(halves, reset).await {
             Either::Left((halves, _)) => halves.factor_first().0,
-            Either::Right(_) => Err(End::new(Step::Answer, Cause::Closing)),
+            Either::Right(_) => Err(Disconnect::new(Step::Answer, Cause::Closing)),
         }
     };
     if let Err(end) = &ended {
-        session.sort_out_pending(end, backlog);
+        session.requeue_or_fail_pending(end, backlog);
     }
     ended
 }
 
 impl Session<'_> {
-    async fn read_answers(&self, mut rd: FrameReader) -> Result<(), End> {
+    async fn read_answers(&self, mut rd: FrameReader) -> Result<(), Disconnect> {
         loop {
-            let frame = rd.read().await.map_err(|e| End::frame(Step::Answer, e))?;
+            let frame = rd
+                .read()
+                .await
+                .map_err(|e| Disconnect::frame(Step::Answer, e))?;
             self.received.set(self.received.get() + 1);
             self.last_received.set(self.net.timer.now());
             if !frame.is_empty() {
                 self.complete(&frame)
-                    .map_err(|cause| End::new(Step::Answer, cause))?;
+                    .map_err(|cause| Disconnect::new(Step::Answer, cause))?;
             }
         }
     }
@@ -217,16 +224,16 @@
             let message = format!("an answer to call {id}, which was not made");
             return Err(Cause::Json { message });
         }
-        let Some(job) = self.pending.borrow_mut().remove(&id) else {
+        let Some(call) = self.pending.borrow_mut().remove(&id) else {
             // The caller has given up on this call and its answer comes late.
             return Ok(());
         };
-        self.peer.waiting.set(self.peer.waiting.get() - 1);
+        self.peer.outstanding.set(self.peer.outstanding.get() - 1);
         let result = match answer.payload {
             ResponsePayload::Success(value) => Ok(value.into_owned()),
             ResponsePayload::Error(e) => Err(self.answered_error(&e)),
         };
-        if let Some(reply) = job.reply {
+        if let Some(reply) = call.reply {
             // The caller has given up and nobody waits.
             let _ = reply.send(result);
         }
@@ -248,15 +255,15 @@
     async fn write_calls(
         &self,
         mut wr: FrameWriter,
-        backlog: &mut VecDeque<Job>,
-        jobs: &mut UnboundedReceiver<Job>,
-    ) -> Result<(), End> {
+        backlog: &mut VecDeque<QueuedCall>,
+        calls: &mut UnboundedReceiver<QueuedCall>,
+    ) -> Result<(), Disconnect> {
         loop {
-            while let Some(job) = backlog.pop_front() {
-                self.write_call(&mut wr, job).await?;
+            while let Some(call) = backlog.pop_front() {
+                self.write_call(&mut wr, call).await?;
             }
-            match self.net.timer.limit(self.next_check(), jobs.next()).await {
-                Some(Some(job)) => backlog.push_back(job),
+            match self.net.timer.limit(self.next_check(), calls.next()).await {
+                Some(Some(call)) => backlog.push_back(call),
                 Some(None) => return Ok(()),
                 None if self.is_idle() => return Ok(()),
                 None => self.check_alive(&mut wr).await?,
@@ -264,42 +271,46 @@
         }
     }
 
-    async fn write_call(&self, wr: &mut FrameWriter, mut job: Job) -> Result<(), End> {
-        if job.given_up() {
-            self.peer.waiting.set(self.peer.waiting.get() - 1);
+    async fn write_call(
+        &self,
+        wr: &mut FrameWriter,
+        mut call: QueuedCall,
+    ) -> Result<(), Disconnect> {
+        if call.is_abandoned() {
+            self.peer.outstanding.set(self.peer.outstanding.get() - 1);
             return Ok(());
         }
-        if let Some(cause) = self.mismatch(&job) {
-            self.peer.waiting.set(self.peer.waiting.get() - 1);
-            job.fail(self.peer, Step::Handshake, cause);
+        if let Some(cause) = self.identity_mismatch(&call) {
+            self.peer.outstanding.set(self.peer.outstanding.get() - 1);
+            call.fail(self.peer, Step::Handshake, cause);
             return Ok(());
         }
         let id = self.next_id.get();
         self.next_id.set(id + 1);
-        let message = match encode_call(&job, id) {
+        let message = match encode_call(&call, id) {
             Ok(message) if message.len() <= self.net.options.max_message => message,
             Ok(message) => {
                 let frame = FrameError::Oversized {
                     len: message.len(),
                     limit: self.net.options.max_message,
                 };
-                self.peer.waiting.set(self.peer.waiting.get() - 1);
-                job.fail(self.peer, Step::Send, Cause::Frame { frame });
+                self.peer.outstanding.set(self.peer.outstanding.get() - 1);
+                call.fail(self.peer, Step::Send, Cause::Frame { frame });
                 return Ok(());
             }
             Err(e) => {
-                self.peer.waiting.set(self.peer.waiting.get() - 1);
-                job.fail(self.peer, Step::Send, json_cause(e));
+                self.peer.outstanding.set(self.peer.outstanding.get() - 1);
+                call.fail(self.peer, Step::Send, json_cause(e));
                 return Ok(());
             }
         };
-        let quick = job.opts.quick && job.reply.is_some();
-        job.tries += 1;
-        job.written.set(true);
-        if job.reply.is_some() {
-            self.pending.borrow_mut().insert(id, job);
+        let quick = call.opts.quick && call.reply.is_some();
+        call.attempts += 1;
+        call.written.set(true);
+        if call.reply.is_some() {
+            self.pending.borrow_mut().insert(id, call);
         } else {
-            self.peer.waiting.set(self.peer.waiting.get() - 1);
+            self.peer.outstanding.set(self.peer.outstanding.get() - 1);
         }
         self.write(wr, message.as_bytes()).await?;
         if quick {
@@ -309,28 +320,28 @@
         self.probe_if_stale(wr).await
     }
 
-    fn mismatch(&self, job: &Job) -> Option<Cause> {
-        if job.vm.as_ref().is_some_and(|vm| *vm != self.remote.vm) {
+    fn identity_mismatch(&self, call: &QueuedCall) -> Option<Cause> {
+        if call.vm.as_ref().is_some_and(|vm| *vm != self.remote.vm) {
             let refusal = HandshakeRefusal::WrongVm;
             return Some(Cause::Refused { refusal });
         }
-        let expected = job.opts.incarnation?;
+        let expected = call.opts.incarnation?;
         let found = self.remote.incarnation;
         (expected != found).then_some(Cause::WrongIncarnation { expected, found })
     }
 
-    async fn write(&self, wr: &mut FrameWriter, message: &[u8]) -> Result<(), End> {
+    async fn write(&self, wr: &mut FrameWriter, message: &[u8]) -> Result<(), Disconnect> {
         let timeout = self.net.options.heartbeat_timeout;
         match self.net.timer.limit(timeout, wr.write(message)).await {
-            Some(written) => written.map_err(|e| End::frame(Step::Send, e)),
-            None => Err(End::new(Step::Send, Cause::Silent { span: timeout })),
+            Some(written) => written.map_err(|e| Disconnect::frame(Step::Send, e)),
+            None => Err(Disconnect::new(Step::Send, Cause::Silent { span: timeout })),
         }
     }
 
     /// A device between the two ends may have lost track of a connection that was idle:
     /// it stays open and carries nothing more. The heartbeat with the first call finds it
     /// within one timeout, before the call's own, longer timeout runs out.
-    async fn probe_if_stale(&self, wr: &mut FrameWriter) -> Result<(), End> {
+    async fn probe_if_stale(&self, wr: &mut FrameWriter) -> Result<(), Disconnect> {
         let idle = self.net.timer.now().since(self.last_received.get());
         if self.probe_outstanding().is_some() || idle < self.net.options.heartbeat_period {
             return Ok(());
@@ -344,7 +355,7 @@
         (received == self.received.get()).then_some(sent)
     }
 
-    async fn send_probe(&self, wr: &mut FrameWriter) -> Result<(), End> {
+    async fn send_probe(&self, wr: &mut FrameWriter) -> Result<(), Disconnect> {
         self.write(wr, &[]).await?;
         self.expect_answer();
         Ok(())
@@ -360,14 +371,14 @@
 
     /// Tests the connection while calls wait on it. Any message back proves it alive; a slow
     /// method does not delay the answer to a heartbeat.
-    async fn check_alive(&self, wr: &mut FrameWriter) -> Result<(), End> {
+    async fn check_alive(&self, wr: &mut FrameWriter) -> Result<(), Disconnect> {
         let now = self.net.timer.now();
-        self.drop_given_up();
+        self.drop_abandoned();
         if let Some(sent) = self.probe_outstanding() {
             if now.since(sent) >= self.net.options.heartbeat_timeout {
                 let span = now.since(self.last_received.get());
                 info!(peer:% = self.remote.vm, silent_ms = span.0; "a connection went silent");
-                return Err(End::new(Step::Answer, Cause::Silent { span }));
+                return Err(Disconnect::new(Step::Answer, Cause::Silent { span }));
             }
             return Ok(());
         }
@@ -378,14 +389,16 @@
         Ok(())
     }
 
-    /// Forgets the calls whose callers stopped waiting, so that a peer that never answers
+    /// Forgets the calls whose callers stopped outstanding, so that a peer that never answers
     /// does not fill the memory.
-    fn drop_given_up(&self) {
+    fn drop_abandoned(&self) {
         let mut pending = self.pending.borrow_mut();
         let before = pending.len();
-        pending.retain(|_, job| !job.given_up());
+        pending.retain(|_, call| !call.is_abandoned());
         let dropped = before - pending.len();
-        self.peer.waiting.set(self.peer.waiting.get() - dropped);
+        self.peer
+            .outstanding
+            .set(self.peer.outstanding.get() - dropped);
     }
 
     fn next_check(&self) -> Millis {
@@ -394,38 +407,38 @@
             return (sent + self.net.options.heartbeat_timeout).since(now);
         }
         if self.pending.borrow().is_empty() {
-            return (self.last_received.get() + self.net.options.idle_close).since(now);
+            return (self.last_received.get() + self.net.options.idle_timeout).since(now);
         }
         self.net.options.heartbeat_period
     }
 
     fn is_idle(&self) -> bool {
         let idle = self.net.timer.now().since(self.last_received.get());
-        self.pending.borrow().is_empty() && idle >= self.net.options.idle_close
+        self.pending.borrow().is_empty() && idle >= self.net.options.idle_timeout
     }
 
     /// Sends idempotent calls to the next connection and fails the others: the peer may have
     /// run them before the connection ended.
-    fn sort_out_pending(&self, end: &End, backlog: &mut VecDeque<Job>) {
-        for (_, job) in self.pending.take() {
-            let again = job.opts.idempotent && job.tries < self.net.options.max_tries;
-            if again && !job.given_up() {
-                backlog.push_back(job);
+    fn requeue_or_fail_pending(&self, end: &Disconnect, backlog: &mut VecDeque<QueuedCall>) {
+        for (_, call) in self.pending.take() {
+            let may_retry = call.opts.idempotent && call.attempts < self.net.options.max_attempts;
+            if may_retry && !call.is_abandoned() {
+                backlog.push_back(call);
                 continue;
             }
-            self.peer.waiting.set(self.peer.waiting.get() - 1);
-            job.fail(self.peer, end.step, end.cause.clone());
+            self.peer.outstanding.set(self.peer.outstanding.get() - 1);
+            call.fail(self.peer, end.step, end.cause.clone());
         }
     }
 }
 
-fn encode_call(job: &Job, id: u64) -> Result<String, serde_json::Error> {
-    if job.reply.is_some() {
-        let params = Some(job.params.as_ref());
-        return serde_json::to_string(&Request::borrowed(job.method, params, Id::Number(id)));
+fn encode_call(call: &QueuedCall, id: u64) -> Result<String, serde_json::Error> {
+    if call.reply.is_some() {
+        let params = Some(call.params.as_ref());
+        return serde_json::to_string(&Request::borrowed(call.method, params, Id::Number(id)));
     }
     serde_json::to_string(&jsonrpsee_types::Notification::new(
-        job.method.into(),
-        job.params.as_ref(),
+        call.method.into(),
+        call.params.as_ref(),
     ))
 }
--- a/crates/peer/src/relay.rs
+++ b/crates/peer/src/relay.rs
@@ -12,7 +12,7 @@
 
 use crate::auth::PeerId;
 use crate::change_log::ChangeLog;
-use crate::membership::{Membership, PeerRevision};
+use crate::membership::{Membership, PeerRevisionHook};
 use crate::methods::MethodTable;
 use crate::net::PeerNet;
 use crate::relay_wire::{CachedSnapshot, register};
@@ -22,49 +22,49 @@
 #[derive(Clone, Debug)]
 pub struct RelayOptions {
     /// Changes up to this size go with the notice, in bytes.
-    pub max_pushed: usize,
+    pub max_push_bytes: usize,
     /// Largest answer with changes, in bytes.
-    pub max_changes: usize,
+    pub max_changes_bytes: usize,
     /// Largest part of a snapshot, in bytes.
-    pub max_part: usize,
+    pub max_part_bytes: usize,
     /// Changes kept for peers that are behind, in bytes.
-    pub max_log: usize,
+    pub max_log_bytes: usize,
     /// The most that a snapshot's revision may exceed the one held.
-    pub max_jump: u64,
+    pub max_revision_jump: u64,
     /// Time allowed for one call of a peer.
     pub call_timeout: Millis,
     /// Time allowed for one call of the store; a watch that goes quiet is renewed after it.
-    pub watch_limit: Millis,
+    pub watch_timeout: Millis,
     /// Between two attempts while something is missing, doubled at each failure.
-    pub retry: Millis,
+    pub retry_delay: Millis,
     /// The longest pause between two attempts.
-    pub max_retry: Millis,
+    pub max_retry_delay: Millis,
     /// How long a new daemon asks peers alone before it turns to the store too.
-    pub peers_first: Millis,
+    pub store_delay: Millis,
     /// How long a revision that the holder refused is left alone.
-    pub refusal: Millis,
+    pub refusal_cooldown: Millis,
     /// How long a snapshot is kept for peers that fetch its parts.
-    pub keep_snapshot: Millis,
+    pub snapshot_retention: Millis,
     /// Pulls at once, so that a peer that hangs delays no other.
-    pub max_pulls: usize,
+    pub max_concurrent_pulls: usize,
 }
 
 impl Default for RelayOptions {
     fn default() -> Self {
         Self {
-            max_pushed: 2 * 1024,
-            max_changes: 64 * 1024,
-            max_part: 64 * 1024,
-            max_log: 512 * 1024,
-            max_jump: 1_000_000,
+            max_push_bytes: 2 * 1024,
+            max_changes_bytes: 64 * 1024,
+            max_part_bytes: 64 * 1024,
+            max_log_bytes: 512 * 1024,
+            max_revision_jump: 1_000_000,
             call_timeout: Millis(2_000),
-            watch_limit: Millis(30_000),
-            retry: Millis(500),
-            max_retry: Millis(8_000),
-            peers_first: Millis(2_000),
-            refusal: Millis(30_000),
-            keep_snapshot: Millis(60_000),
-            max_pulls: 3,
+            watch_timeout: Millis(30_000),
+            retry_delay: Millis(500),
+            max_retry_delay: Millis(8_000),
+            store_delay: Millis(2_000),
+            refusal_cooldown: Millis(30_000),
+            snapshot_retention: Millis(60_000),
+            max_concurrent_pulls: 3,
         }
     }
 }
@@ -97,7 +97,7 @@
     pub waiting_for: Option<String>,
 }
 
-struct Refused {
+struct RefusedRevision {
     revision: Revision,
     at: Millis,
     why: String,
@@ -109,16 +109,16 @@
     pub(crate) timer: Timer,
     pub(crate) options: RelayOptions,
     pub(crate) log: RefCell<ChangeLog>,
-    pub(crate) cached: RefCell<Option<CachedSnapshot>>,
+    pub(crate) cached_snapshot: RefCell<Option<CachedSnapshot>>,
     pub(crate) net: RefCell<Option<PeerNet>>,
     membership: RefCell<Option<Membership>>,
     pub(crate) pulls: Cell<usize>,
-    in_force: Cell<Millis>,
+    in_force_since: Cell<Millis>,
     origin: RefCell<Option<Origin>>,
     watching: Cell<bool>,
     store_error: RefCell<Option<String>>,
     peer_error: RefCell<Option<String>>,
-    refused: RefCell<Option<Refused>>,
+    refused: RefCell<Option<RefusedRevision>>,
 }
 
 /// The relay of settings of one daemon; cheap to clone.
@@ -139,11 +139,11 @@
         let state = Rc::new(RelayState {
             settings,
             store,
-            in_force: Cell::new(timer.now()),
+            in_force_since: Cell::new(timer.now()),
             timer,
-            log: RefCell::new(ChangeLog::new(options.max_log)),
+            log: RefCell::new(ChangeLog::new(options.max_log_bytes)),
             options,
-            cached: RefCell::default(),
+            cached_snapshot: RefCell::default(),
             net: RefCell::default(),
             membership: RefCell::default(),
             pulls: Cell::new(0),
@@ -158,9 +158,9 @@
     }
 
     /// Gives the hook that heartbeats call with a peer's revision.
-    pub fn peer_revision_hook(&self) -> PeerRevision {
+    pub fn peer_revision_hook(&self) -> PeerRevisionHook {
         let state = Rc::clone(&self.state);
-        Rc::new(move |peer, revision| state.heed_peer_revision(peer, revision))
+        Rc::new(move |peer, revision| state.handle_peer_revision(peer, revision))
     }
 
     /// Starts to fetch settings from peers and, where this daemon is one of its domain's few,
@@ -168,7 +168,7 @@
     pub fn run(&self, net: PeerNet, membership: Membership) {
         *self.state.net.borrow_mut() = Some(net);
         *self.state.membership.borrow_mut() = Some(membership);
-        monoio::spawn(fetch_first(Rc::clone(&self.state)));
+        monoio::spawn(fetch_initial_settings(Rc::clone(&self.state)));
         if let Some(store) = self.state.store.clone() {
             monoio::spawn(watch_store(Rc::clone(&self.state), store));
         }
@@ -186,29 +186,29 @@
     ///
     /// Returns the holder's reason where it keeps what it holds.
     pub fn deliver(&self, delivery: Delivery) -> Result<(), String> {
-        self.state.take(delivery, Origin::Store)
+        self.state.apply(delivery, Origin::Store)
     }
 }
 
 /// Asks peers, and after a while the store, until there are settings.
-async fn fetch_first(state: Rc<RelayState>) {
-    let begun = state.timer.now();
+async fn fetch_initial_settings(state: Rc<RelayState>) {
+    let started_at = state.timer.now();
     while state.revision() == Revision::NONE && state.is_open() {
         let peer = state.membership().and_then(|m| m.random_peer());
         match peer {
             Some(vm) => Rc::clone(&state).pull(vm).await,
-            None => state.note_peer_error("no peer is known"),
+            None => state.record_peer_error("no peer is known"),
         }
         let now = state.timer.now();
         if state.revision() == Revision::NONE
-            && now.since(begun) >= state.options.peers_first
+            && now.since(started_at) >= state.options.store_delay
             && let Some(store) = &state.store
         {
             // The watch of a domain's watcher takes the same way; asking here as well
             // covers a daemon that is none while the watchers have nothing either.
-            state.ask_store(store).await;
+            state.fetch_from_store(store).await;
         }
-        state.timer.wait(state.options.retry).await;
+        state.timer.wait(state.options.retry_delay).await;
     }
 }
 
@@ -220,10 +220,10 @@
         state.watching.set(watching);
         if !watching {
             failures = 0;
-            state.timer.wait(state.options.retry).await;
+            state.timer.wait(state.options.retry_delay).await;
             continue;
         }
-        if state.ask_store(&store).await {
+        if state.fetch_from_store(&store).await {
             failures = 0;
             continue;
         }
@@ -247,8 +247,8 @@
     }
 
     fn backoff(&self, failures: u32) -> Millis {
-        let doubled = self.options.retry.0 << (failures - 1).min(16);
-        let longest = doubled.min(self.options.max_retry.0);
+        let doubled = self.options.retry_delay.0 << (failures - 1).min(16);
+        let longest = doubled.min(self.options.max_retry_delay.0);
         // Watchers that lost the store together come back spread out.
         Millis(fastrand::u64(longest / 2..=longest))
     }
@@ -256,16 +256,16 @@
     /// Waits for the store's next revision, and tells whether the store answered or was
     /// still waiting when the limit ran out. A watch can go quiet without an error; asking
     /// again with the revision held finds what it missed.
-    async fn ask_store(&self, store: &StorePort) -> bool {
+    async fn fetch_from_store(&self, store: &StorePort) -> bool {
         let asked = (store.next)(self.revision());
-        match self.timer.limit(self.options.watch_limit, asked).await {
+        match self.timer.limit(self.options.watch_timeout, asked).await {
             None => true,
             Some(Ok(delivery)) => {
                 *self.store_error.borrow_mut() = None;
                 let held = self.revision();
                 // A refusal is noted there. Where nothing came of the delivery, refused or
                 // stale, the same one would come again at once: that counts as a failure.
-                let _ = self.take(delivery, Origin::Store);
+                let _ = self.apply(delivery, Origin::Store);
                 self.revision() > held
             }
             Some(Err(error)) => {
@@ -279,19 +279,19 @@
     /// Passes what is new to the holder. An older or the same revision is dropped here,
     /// whoever delivers it: a domain that was cut off, a process that was paused, and a stale
     /// read of the store all look like that.
-    pub(crate) fn take(&self, delivery: Delivery, origin: Origin) -> Result<(), String> {
+    pub(crate) fn apply(&self, delivery: Delivery, origin: Origin) -> Result<(), String> {
         let held = self.revision();
         let given = delivery.revision();
         if given <= held {
             return Ok(());
         }
-        self.check_jump(&delivery, held)?;
+        self.check_revision_jump(&delivery, held)?;
         if let Err(why) = (self.settings.apply)(&delivery) {
-            self.note_refused(given, &why);
+            self.record_refusal(given, &why);
             return Err(why);
         }
-        self.note_in_force(&delivery, held, &origin);
-        if self.must_spread(&origin) {
+        self.record_in_force(&delivery, held, &origin);
+        if self.should_push_to_domain(&origin) {
             self.push_to_domain(held);
         }
         Ok(())
@@ -299,27 +299,27 @@
 
     /// A snapshot far ahead of what is held is more likely a damaged number than a long
     /// absence, and taking it would make every later change look old.
-    fn check_jump(&self, delivery: &Delivery, held: Revision) -> Result<(), String> {
+    fn check_revision_jump(&self, delivery: &Delivery, held: Revision) -> Result<(), String> {
         let given = delivery.revision();
-        let far = given.0 - held.0 > self.options.max_jump;
-        if held != Revision::NONE && far {
+        let is_too_far = given.0 - held.0 > self.options.max_revision_jump;
+        if held != Revision::NONE && is_too_far {
             let why = format!("{given} is too far ahead of {held}");
-            self.note_refused(given, &why);
+            self.record_refusal(given, &why);
             return Err(why);
         }
         Ok(())
     }
 
-    fn note_refused(&self, revision: Revision, why: &str) {
+    fn record_refusal(&self, revision: Revision, why: &str) {
         warn!(revision = revision.0, why; "settings were refused");
-        *self.refused.borrow_mut() = Some(Refused {
+        *self.refused.borrow_mut() = Some(RefusedRevision {
             revision,
             at: self.timer.now(),
             why: why.to_string(),
         });
     }
 
-    fn note_in_force(&self, delivery: &Delivery, held: Revision, origin: &Origin) {
+    fn record_in_force(&self, delivery: &Delivery, held: Revision, origin: &Origin) {
         let mut log = self.log.borrow_mut();
         match delivery {
             Delivery::Changes(changes) => {
@@ -328,7 +328,7 @@
             }
             Delivery::Snapshot(_) => log.clear(),
         }
-        self.in_force.set(self.timer.now());
+        self.in_force_since.set(self.timer.now());
         *self.origin.borrow_mut() = Some(origin.clone());
         info!(revision = self.revision().0, origin:? = origin; "settings are in force");
     }
@@ -336,7 +336,7 @@
     /// Tells whether the domain may not have this yet: what came from the store or from
     /// another domain. Whoever has it from its own domain leaves the rest to the one that
     /// brought it there, and to the heartbeats.
-    fn must_spread(&self, origin: &Origin) -> bool {
+    fn should_push_to_domain(&self, origin: &Origin) -> bool {
         let Origin::Peer(vm) = origin else {
             return true;
         };
@@ -350,22 +350,22 @@
 
     /// Tells whether a peer's revision is worth a pull: newer than the one held, and not one
     /// that the holder has just refused.
-    pub(crate) fn wants(&self, revision: Revision) -> bool {
+    pub(crate) fn should_pull(&self, revision: Revision) -> bool {
         let refused = self.refused.borrow();
-        let left_alone = refused.as_ref().is_some_and(|refused| {
+        let in_cooldown = refused.as_ref().is_some_and(|refused| {
             let age = self.timer.now().since(refused.at);
-            revision <= refused.revision && age < self.options.refusal
+            revision <= refused.revision && age < self.options.refusal_cooldown
         });
-        revision > self.revision() && !left_alone
+        revision > self.revision() && !in_cooldown
     }
 
-    fn heed_peer_revision(self: &Rc<Self>, peer: &PeerId, revision: Revision) {
-        if self.wants(revision) {
+    fn handle_peer_revision(self: &Rc<Self>, peer: &PeerId, revision: Revision) {
+        if self.should_pull(revision) {
             monoio::spawn(Rc::clone(self).pull(peer.vm.clone()));
         }
     }
 
-    pub(crate) fn note_peer_error(&self, error: &str) {
+    pub(crate) fn record_peer_error(&self, error: &str) {
         *self.peer_error.borrow_mut() = Some(error.to_string());
     }
 
@@ -383,7 +383,7 @@
             .filter(|refused| refused.revision > revision);
         RelayStatus {
             revision,
-            age: self.timer.now().since(self.in_force.get()),
+            age: self.timer.now().since(self.in_force_since.get()),
             origin: self.origin.borrow().clone(),
             watching: self.watching.get(),
             store_error: self.store_error.borrow().clone(),
--- a/crates/peer/src/relay_wire.rs
+++ b/crates/peer/src/relay_wire.rs
@@ -19,7 +19,7 @@
 const PART: &str = "sp";
 
 /// Answers with changes that one pull takes in at most.
-const ROUNDS: usize = 64;
+const MAX_PULL_ROUNDS: usize = 64;
 
 /// A watcher's word that there is a new revision, with the changes where they are small.
 #[derive(Debug, Serialize, Deserialize)]
@@ -64,20 +64,20 @@
 }
 
 impl CachedSnapshot {
-    fn new(snapshot: &RelayedSnapshot, max_part: usize) -> Self {
+    fn new(snapshot: &RelayedSnapshot, max_part_bytes: usize) -> Self {
         Self {
             revision: snapshot.revision,
-            parts: cut(snapshot.body.get(), max_part),
+            parts: split_text(snapshot.body.get(), max_part_bytes),
         }
     }
 }
 
-/// Cuts text into parts of at most `max_part` bytes, never inside a character.
-fn cut(text: &str, max_part: usize) -> Vec<String> {
+/// Cuts text into parts of at most `max_part_bytes` bytes, never inside a character.
+fn split_text(text: &str, max_part_bytes: usize) -> Vec<String> {
     let mut parts = Vec::new();
     let mut rest = text;
     while !rest.is_empty() {
-        let mut end = rest.len().min(max_part);
+        let mut end = rest.len().min(max_part_bytes);
         while !rest.is_char_boundary(end) {
             end -= 1;
         }
@@ -89,16 +89,16 @@
 }
 
 /// Drops the cached snapshot after a while: it can be as large as all settings.
-async fn drop_cached(state: Rc<RelayState>, revision: Revision) {
-    state.timer.wait(state.options.keep_snapshot).await;
-    let mut cached = state.cached.borrow_mut();
+async fn expire_cached_snapshot(state: Rc<RelayState>, revision: Revision) {
+    state.timer.wait(state.options.snapshot_retention).await;
+    let mut cached = state.cached_snapshot.borrow_mut();
     cached.take_if(|cached| cached.revision == revision);
 }
 
 pub(crate) fn register(state: &Rc<RelayState>, methods: &mut MethodTable) {
     let cx = Rc::clone(state);
     methods.register(NOTICE, move |caller, notice: Notice| {
-        cx.heed_notice(&caller.vm, notice);
+        cx.handle_notice(&caller.vm, notice);
         async move { Ok(()) }
     });
     let cx = Rc::clone(state);
@@ -120,7 +120,7 @@
         let Some(net) = net.as_ref() else {
             return;
         };
-        let changes = self.log.borrow().since(held, self.options.max_pushed);
+        let changes = self.log.borrow().since(held, self.options.max_push_bytes);
         let notice = Notice {
             revision: self.revision(),
             changes: changes.unwrap_or_default(),
@@ -133,23 +133,23 @@
         }
     }
 
-    fn heed_notice(self: &Rc<Self>, from: &VmName, notice: Notice) {
-        if !self.wants(notice.revision) {
+    fn handle_notice(self: &Rc<Self>, from: &VmName, notice: Notice) {
+        if !self.should_pull(notice.revision) {
             return;
         }
-        if self.follows(&notice.changes) {
+        if self.continues_held(&notice.changes) {
             // A refusal is noted there, and keeps this revision from being pulled again.
-            let _ = self.take(
+            let _ = self.apply(
                 Delivery::Changes(notice.changes),
                 Origin::Peer(from.clone()),
             );
         }
-        if self.wants(notice.revision) {
+        if self.should_pull(notice.revision) {
             monoio::spawn(Rc::clone(self).pull(from.clone()));
         }
     }
 
-    fn follows(&self, changes: &[RelayedChange]) -> bool {
+    fn continues_held(&self, changes: &[RelayedChange]) -> bool {
         let next = self.revision().next();
         let first = changes.first().map(|change| change.revision);
         first.is_some_and(|first| first <= next)
@@ -159,14 +159,18 @@
         if since >= self.revision() {
             return PullAnswer::Nothing;
         }
-        if let Some(changes) = self.log.borrow().since(since, self.options.max_changes) {
+        if let Some(changes) = self
+            .log
+            .borrow()
+            .since(since, self.options.max_changes_bytes)
+        {
             return PullAnswer::Changes(changes);
         }
-        let mut cached = self.cached.borrow_mut();
+        let mut cached = self.cached_snapshot.borrow_mut();
         if cached.as_ref().is_none_or(|c| c.revision < self.revision()) {
             let snapshot = (self.settings.snapshot)();
-            *cached = snapshot.map(|s| CachedSnapshot::new(&s, self.options.max_part));
-            monoio::spawn(drop_cached(Rc::clone(self), self.revision()));
+            *cached = snapshot.map(|s| CachedSnapshot::new(&s, self.options.max_part_bytes));
+            monoio::spawn(expire_cached_snapshot(Rc::clone(self), self.revision()));
         }
         match cached.as_ref() {
             Some(cached) => PullAnswer::Snapshot {
@@ -178,28 +182,28 @@
     }
 
     fn answer_part(&self, req: PartRequest) -> Option<String> {
-        let cached = self.cached.borrow();
+        let cached = self.cached_snapshot.borrow();
         let cached = cached.as_ref().filter(|c| c.revision == req.revision)?;
         cached.parts.get(req.part).cloned()
     }
 
     /// Fetches what a peer has beyond the revision held.
     pub(crate) async fn pull(self: Rc<Self>, vm: VmName) {
-        if self.pulls.get() >= self.options.max_pulls {
+        if self.pulls.get() >= self.options.max_concurrent_pulls {
             return;
         }
         self.pulls.set(self.pulls.get() + 1);
         if let Err(error) = self.pull_rounds(&vm).await {
             debug!(error:% = error; "settings were not fetched");
-            self.note_peer_error(&error.to_string());
+            self.record_peer_error(&error.to_string());
         }
         self.pulls.set(self.pulls.get() - 1);
     }
 
     async fn pull_rounds(&self, vm: &VmName) -> Result<(), PeerError> {
-        for _ in 0..ROUNDS {
+        for _ in 0..MAX_PULL_ROUNDS {
             let held = self.revision();
-            let delivery = match self.ask::<_, PullAnswer>(vm, PULL, &held).await? {
+            let delivery = match self.call::<_, PullAnswer>(vm, PULL, &held).await? {
                 PullAnswer::Changes(changes) => Delivery::Changes(changes),
                 PullAnswer::Snapshot { revision, parts } => {
                     match self.fetch_parts(vm, revision, parts).await? {
@@ -208,21 +212,21 @@
                     }
                 }
                 PullAnswer::Nothing => {
-                    self.note_nothing(vm);
+                    self.record_nothing_newer(vm);
                     return Ok(());
                 }
             };
-            let taken = self.take(delivery, Origin::Peer(vm.clone()));
-            if taken.is_err() || self.revision() == held {
+            let applied = self.apply(delivery, Origin::Peer(vm.clone()));
+            if applied.is_err() || self.revision() == held {
                 return Ok(());
             }
         }
         Ok(())
     }
 
-    fn note_nothing(&self, vm: &VmName) {
+    fn record_nothing_newer(&self, vm: &VmName) {
         if self.revision() == Revision::NONE {
-            self.note_peer_error(&format!("{vm} has none either"));
+            self.record_peer_error(&format!("{vm} has none either"));
         }
     }
 
@@ -235,8 +239,8 @@
         let mut text = String::new();
         for part in 0..parts {
             let req = PartRequest { revision, part };
-            text += &self.ask::<_, String>(vm, PART, &req).await?;
-            if !self.wants(revision) {
+            text += &self.call::<_, String>(vm, PART, &req).await?;
+            if !self.should_pull(revision) {
                 // Another peer was faster.
                 return Ok(None);
             }
@@ -245,7 +249,7 @@
         Ok(body.map(|body| RelayedSnapshot { revision, body }))
     }
 
-    async fn ask<P: Serialize, R: serde::de::DeserializeOwned>(
+    async fn call<P: Serialize, R: serde::de::DeserializeOwned>(
         &self,
         vm: &VmName,
         method: &'static str,
--- a/crates/peer/src/relay_wire/tests.rs
+++ b/crates/peer/src/relay_wire/tests.rs
@@ -5,15 +5,15 @@
     heatherknot_test_support::property::check()
         .with_type::<(String, u8)>()
         .for_each(|(text, max)| {
-            let max = usize::from(*max).max(4);
+            let max_part = usize::from(*max).max(4);
 
-            let parts = cut(text, max);
+            let parts = split_text(text, max_part);
 
             assert_eq!(parts.concat(), *text);
             assert!(
                 parts
                     .iter()
-                    .all(|part| !part.is_empty() && part.len() <= max)
+                    .all(|part| !part.is_empty() && part.len() <= max_part)
             );
         });
 }
--- a/crates/peer/src/reports.rs
+++ b/crates/peer/src/reports.rs
@@ -13,7 +13,7 @@
 
 /// A part of one VM's report: the values that changed since the version it follows.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Difference {
+pub struct ReportDelta {
     /// The VM that reports.
     #[serde(rename = "v")]
     vm: VmName,
@@ -26,7 +26,7 @@
     /// How long ago the values were measured, when this message was written.
     #[serde(rename = "g")]
     age: Millis,
-    /// The number of the report that the values are a difference from; zero for all values.
+    /// The number of the report that the values are a delta from; zero for all values.
     #[serde(rename = "b", default, skip_serializing_if = "is_zero")]
     base: u64,
     #[serde(rename = "l")]
@@ -38,7 +38,7 @@
 }
 
 /// What one message carries.
-pub type Batch = Vec<Difference>;
+pub type Batch = Vec<ReportDelta>;
 
 /// How far a message goes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -46,16 +46,16 @@
     /// To a VM of the same domain, which gets reports of all VMs.
     Domain,
     /// To a VM of another domain, which gets this VM's own report and keeps it to itself.
-    Elsewhere,
+    OtherDomain,
 }
 
-type TakeBatch = Rc<dyn Fn(Scope) -> Option<Batch>>;
+type NextBatch = Rc<dyn Fn(Scope) -> Option<Batch>>;
 
 /// How heartbeats exchange reports.
 #[derive(Clone)]
 pub struct ReportPort {
     /// Takes what to send to a VM, where there is anything.
-    pub take: TakeBatch,
+    pub next_batch: NextBatch,
     /// Takes in what a VM sent.
     pub merge: Rc<dyn Fn(Scope, Batch)>,
 }
@@ -65,13 +65,13 @@
 struct Report {
     incarnation: Incarnation,
     number: u64,
-    measured: Millis,
+    measured_at: Millis,
     loads: Loads,
     /// The values that the latest report changed, and the report that they changed.
     changed: Loads,
     base: u64,
     /// Messages that carried the report.
-    sent: u32,
+    send_count: u32,
 }
 
 /// A report as decisions read it.
@@ -89,36 +89,36 @@
 #[derive(Clone, Debug)]
 pub struct ReportOptions {
     /// Values that one message carries at most.
-    pub values_a_message: usize,
+    pub max_values_per_message: usize,
     /// Messages in which a daemon sends one report of its own.
-    pub own_sends: u32,
+    pub max_own_sends: u32,
     /// Messages in which a daemon passes one report of another VM on.
-    pub sends: u32,
+    pub max_forwards: u32,
     /// Reports older than this are forgotten.
-    pub keep: Millis,
+    pub max_age: Millis,
 }
 
 impl Default for ReportOptions {
     fn default() -> Self {
         Self {
-            values_a_message: 14,
-            own_sends: 6,
-            sends: 2,
-            keep: Millis(30_000),
+            max_values_per_message: 14,
+            max_own_sends: 6,
+            max_forwards: 2,
+            max_age: Millis(30_000),
         }
     }
 }
 
 /// The latest reports of all VMs that one daemon has heard.
 #[derive(Clone)]
-pub struct ReportBoard {
+pub struct ReportTable {
     me: VmName,
     timer: Timer,
     options: ReportOptions,
     reports: Rc<RefCell<BTreeMap<VmName, Report>>>,
 }
 
-impl ReportBoard {
+impl ReportTable {
     /// Makes an empty board.
     pub fn new(me: VmName, timer: Timer, options: ReportOptions) -> Self {
         Self {
@@ -136,7 +136,7 @@
             .get(&self.me)
             .filter(|r| r.incarnation == incarnation);
         let (number, changed, base) = match last {
-            // A value that disappeared can't be told by a difference.
+            // A value that disappeared can't be told by a delta.
             Some(last) if last.loads.keys().all(|name| loads.contains_key(name)) => {
                 let differs =
                     |(name, load): &(&Arc<str>, &u32)| last.loads.get(*name) != Some(load);
@@ -152,11 +152,11 @@
         let report = Report {
             incarnation,
             number,
-            measured: self.timer.now(),
+            measured_at: self.timer.now(),
             loads,
             changed,
             base,
-            sent: 0,
+            send_count: 0,
         };
         reports.insert(self.me.clone(), report);
     }
@@ -167,70 +167,70 @@
         let reports = self.reports.borrow();
         reports.get(vm).map(|report| ReportView {
             incarnation: report.incarnation,
-            age: now.since(report.measured),
+            age: now.since(report.measured_at),
             loads: report.loads.clone(),
         })
     }
 
     /// Takes what the next message carries: the least sent reports first, then the freshest.
-    pub fn take(&self, scope: Scope) -> Option<Batch> {
+    pub fn next_batch(&self, scope: Scope) -> Option<Batch> {
         let now = self.timer.now();
-        if scope == Scope::Elsewhere {
+        if scope == Scope::OtherDomain {
             let reports = self.reports.borrow();
-            let mine = reports.get(&self.me)?;
-            return Some(vec![mine.whole(&self.me, now)]);
+            let own = reports.get(&self.me)?;
+            return Some(vec![own.full(&self.me, now)]);
         }
         let mut reports = self.reports.borrow_mut();
-        reports.retain(|_, r| now.since(r.measured) < self.options.keep);
-        let enough = |vm: &VmName| match *vm == self.me {
-            true => self.options.own_sends,
-            false => self.options.sends,
+        reports.retain(|_, r| now.since(r.measured_at) < self.options.max_age);
+        let max_sends = |vm: &VmName| match *vm == self.me {
+            true => self.options.max_own_sends,
+            false => self.options.max_forwards,
         };
         let mut queue: Vec<_> = reports
             .iter_mut()
-            .filter(|(vm, r)| r.sent < enough(vm))
+            .filter(|(vm, r)| r.send_count < max_sends(vm))
             .collect();
-        queue.sort_by_key(|(_, r)| (r.sent, now.since(r.measured)));
+        queue.sort_by_key(|(_, r)| (r.send_count, now.since(r.measured_at)));
         let mut batch = Vec::new();
         let mut values = 0;
         for (vm, report) in queue {
-            let difference = report.difference(vm, now);
-            values += difference.loads.len() + 1;
-            if values > self.options.values_a_message && !batch.is_empty() {
+            let delta = report.delta(vm, now);
+            values += delta.loads.len() + 1;
+            if values > self.options.max_values_per_message && !batch.is_empty() {
                 break;
             }
-            report.sent += 1;
-            batch.push(difference);
+            report.send_count += 1;
+            batch.push(delta);
         }
         (!batch.is_empty()).then_some(batch)
     }
 
-    /// Takes in what a VM sent. A difference from a report that this daemon does not have
-    /// is left out; the whole values come with a later message.
+    /// Takes in what a VM sent. A delta from a report that this daemon does not have
+    /// is left out; the full values come with a later message.
     pub fn merge(&self, scope: Scope, batch: Batch) {
         let now = self.timer.now();
         let mut reports = self.reports.borrow_mut();
-        for difference in batch {
-            if difference.vm == self.me || difference.age >= self.options.keep {
+        for delta in batch {
+            if delta.vm == self.me || delta.age >= self.options.max_age {
                 continue;
             }
-            let known = reports.get(&difference.vm);
-            if let Some(mut report) = Report::follow(known, &difference, now) {
-                if scope == Scope::Elsewhere {
+            let known = reports.get(&delta.vm);
+            if let Some(mut report) = Report::from_delta(known, &delta, now) {
+                if scope == Scope::OtherDomain {
                     // Reports of all domains would crowd out those of this one.
-                    report.sent = u32::MAX;
+                    report.send_count = u32::MAX;
                 }
-                reports.insert(difference.vm, report);
+                reports.insert(delta.vm, report);
             }
         }
     }
 
     /// Gives the port that heartbeats use.
     pub fn port(&self) -> ReportPort {
-        let (taker, merger) = (self.clone(), self.clone());
+        let (sender, receiver) = (self.clone(), self.clone());
         ReportPort {
-            take: Rc::new(move |scope| taker.take(scope)),
-            merge: Rc::new(move |scope, batch| merger.merge(scope, batch)),
+            next_batch: Rc::new(move |scope| sender.next_batch(scope)),
+            merge: Rc::new(move |scope, batch| receiver.merge(scope, batch)),
         }
     }
 }
@@ -238,47 +238,47 @@
 impl Report {
     /// Gives the values that changed, and every other time all of them, for those who
     /// missed the report before.
-    fn difference(&self, vm: &VmName, now: Millis) -> Difference {
-        let whole = self.whole(vm, now);
-        if self.base == 0 || self.sent % 2 == 1 {
-            return whole;
+    fn delta(&self, vm: &VmName, now: Millis) -> ReportDelta {
+        let full = self.full(vm, now);
+        if self.base == 0 || self.send_count % 2 == 1 {
+            return full;
         }
-        Difference {
+        ReportDelta {
             base: self.base,
             loads: self.changed.clone(),
-            ..whole
+            ..full
         }
     }
 
-    fn whole(&self, vm: &VmName, now: Millis) -> Difference {
-        Difference {
+    fn full(&self, vm: &VmName, now: Millis) -> ReportDelta {
+        ReportDelta {
             vm: vm.clone(),
             incarnation: self.incarnation,
             number: self.number,
-            age: now.since(self.measured),
+            age: now.since(self.measured_at),
             base: 0,
             loads: self.loads.clone(),
         }
     }
 
-    fn follow(known: Option<&Report>, difference: &Difference, now: Millis) -> Option<Report> {
-        let known = known.filter(|r| r.incarnation == difference.incarnation);
-        if known.is_some_and(|r| r.number >= difference.number) {
+    fn from_delta(known: Option<&Report>, delta: &ReportDelta, now: Millis) -> Option<Report> {
+        let known = known.filter(|r| r.incarnation == delta.incarnation);
+        if known.is_some_and(|r| r.number >= delta.number) {
             return None;
         }
         let mut loads = Loads::new();
-        if difference.base != 0 {
-            loads.clone_from(&known.filter(|r| r.number == difference.base)?.loads);
+        if delta.base != 0 {
+            loads.clone_from(&known.filter(|r| r.number == delta.base)?.loads);
         }
-        loads.extend(difference.loads.clone());
+        loads.extend(delta.loads.clone());
         Some(Report {
-            incarnation: difference.incarnation,
-            number: difference.number,
-            measured: now - difference.age,
+            incarnation: delta.incarnation,
+            number: delta.number,
+            measured_at: now - delta.age,
             loads,
-            changed: difference.loads.clone(),
-            base: difference.base,
-            sent: 0,
+            changed: delta.loads.clone(),
+            base: delta.base,
+            send_count: 0,
         })
     }
 }
--- a/crates/peer/src/sync.rs
+++ b/crates/peer/src/sync.rs
@@ -9,11 +9,11 @@
 
 use crate::auth::PeerId;
 use crate::members::Claim;
-use crate::membership::{PUSH, SYNC, State};
+use crate::membership::{MembershipState, PUSH, SYNC};
 use crate::options::CallOptions;
 
 /// Claims that one message of a comparison carries at most.
-const CLAIMS_A_MESSAGE: usize = 512;
+const MAX_CLAIMS_PER_MESSAGE: usize = 512;
 
 /// A comparison of all beliefs: the caller's digests, and the answer's claims about the
 /// domains where they differ.
@@ -25,18 +25,18 @@
     claims: Vec<Claim>,
 }
 
-impl State {
+impl MembershipState {
     /// Compares all beliefs with a VM that was just found to believe something else. While a
     /// change is on its way most exchanges find that, so a pause lies between two comparisons.
-    pub(crate) async fn sync_if_different(&self, vm: &VmName, same: bool) {
+    pub(crate) async fn sync_if_different(&self, vm: &VmName, digests_match: bool) {
         let now = self.timer.now();
-        let pause = if now.since(self.begun) < self.options.startup_duration {
+        let interval = if now.since(self.started_at) < self.options.startup_duration {
             self.options.startup_sync_interval
         } else {
             self.options.sync_interval
         };
-        let paused = |last: Millis| now.since(last) < pause;
-        if same || self.last_sync.get().is_some_and(paused) {
+        let is_recent = |last: Millis| now.since(last) < interval;
+        if digests_match || self.last_sync.get().is_some_and(is_recent) {
             return;
         }
         self.last_sync.set(Some(now));
@@ -63,11 +63,13 @@
         let Ok(answer) = answer else {
             return;
         };
-        let back = self.claims_where_different(&answer.digests);
-        self.merge_all(answer.claims);
+        let own_claims = self.differing_claims(&answer.digests);
+        self.merge_claims(answer.claims);
         let opts = CallOptions::quick(self.options.answer_timeout);
         // The next comparison repairs a push that was lost.
-        let _ = net.call_address::<_, ()>(address, PUSH, &back, opts).await;
+        let _ = net
+            .call_address::<_, ()>(address, PUSH, &own_claims, opts)
+            .await;
     }
 
     pub(crate) fn answer_sync(
@@ -75,28 +77,28 @@
         caller: &PeerId,
         digests: &BTreeMap<DomainName, u64>,
     ) -> SyncAnswer {
-        let mut claims = self.claims_where_different(digests);
+        let mut claims = self.differing_claims(digests);
         let members = self.members.borrow();
         claims.push(members.me().clone());
-        let doubted = members.get(&caller.vm).map(|m| m.claim.clone());
-        claims.extend(doubted);
+        let about_caller = members.get(&caller.vm).map(|m| m.claim.clone());
+        claims.extend(about_caller);
         SyncAnswer {
             digests: members.digests(),
             claims,
         }
     }
 
-    pub(crate) fn claims_where_different(&self, theirs: &BTreeMap<DomainName, u64>) -> Vec<Claim> {
+    pub(crate) fn differing_claims(&self, their_digests: &BTreeMap<DomainName, u64>) -> Vec<Claim> {
         let members = self.members.borrow();
-        let mine = members.digests();
-        let different = mine
+        let own_digests = members.digests();
+        let different = own_digests
             .iter()
-            .filter(|(domain, digest)| theirs.get(*domain) != Some(digest));
+            .filter(|(domain, digest)| their_digests.get(*domain) != Some(digest));
         let mut claims: Vec<_> = different
             .flat_map(|(domain, _)| members.claims_of_domain(domain))
             .collect();
         self.rng.borrow_mut().shuffle(&mut claims);
-        claims.truncate(CLAIMS_A_MESSAGE);
+        claims.truncate(MAX_CLAIMS_PER_MESSAGE);
         claims
     }
 
@@ -112,9 +114,9 @@
 
     /// Tries an address that does not answer: a VM believed gone, or one of the start
     /// settings. Both sides of a cut that has healed find each other by it.
-    pub(crate) fn try_lost(self: &Rc<Self>, round: u64) {
-        let nth = (round / self.options.unreachable_retry_periods) as usize;
-        let gone = self.members.borrow().gone_address(nth);
+    pub(crate) fn retry_unreachable(self: &Rc<Self>, period_count: u64) {
+        let nth = (period_count / self.options.unreachable_retry_periods) as usize;
+        let gone = self.members.borrow().nth_gone_address(nth);
         let seed = nth.checked_rem(self.seeds.len()).map(|at| self.seeds[at]);
         let state = Rc::clone(self);
         monoio::spawn(async move {
--- a/crates/peer/tests/authentication.rs
+++ b/crates/peer/tests/authentication.rs
@@ -20,18 +20,18 @@
 const TIMEOUT: Millis = Millis(5_000);
 const CALL: &[u8] = br#"{"jsonrpc":"2.0","id":0,"method":"touch","params":null}"#;
 
-fn victim(time: &TestTime) -> (PeerNet, Rc<Cell<u32>>) {
-    let touched = Rc::new(Cell::new(0));
-    let counted = Rc::clone(&touched);
+fn target(time: &TestTime) -> (PeerNet, Rc<Cell<u32>>) {
+    let touch_count = Rc::new(Cell::new(0));
+    let counter = Rc::clone(&touch_count);
     let mut cx = context("victim", "a", time);
     cx.options.max_message = 4_096;
     let mut table = MethodTable::default();
     table.register("touch", move |_, ()| {
-        counted.set(counted.get() + 1);
+        counter.set(counter.get() + 1);
         async move { Ok(()) }
     });
     cx.methods = table;
-    (start(cx), touched)
+    (start(cx), touch_count)
 }
 
 fn identity(vm: &str, epoch: u64) -> PeerId {
@@ -55,12 +55,12 @@
 }
 
 /// A connection under the test's own control.
-struct Raw {
+struct RawConnection {
     stream: TcpStream,
     traffic: Traffic,
 }
 
-impl Raw {
+impl RawConnection {
     async fn open(to: &PeerNet) -> Self {
         let stream = TcpStream::connect(to.me().address)
             .await
@@ -77,16 +77,16 @@
         sent.expect("an open connection");
     }
 
-    async fn welcome(&mut self) -> Welcome {
+    async fn receive_welcome(&mut self) -> Welcome {
         let payload = read_plain(&mut self.stream, 4_096, &self.traffic).await;
         serde_json::from_slice(&payload.expect("an answer")).expect("a welcome")
     }
 
     /// Goes through the handshake as `client` with `secret`.
-    async fn prove(&mut self, client: PeerId, secret: &Secret) -> SessionKeys {
+    async fn authenticate(&mut self, client: PeerId, secret: &Secret) -> SessionKeys {
         let hello = hello(client);
         self.send(&hello).await;
-        let Welcome::Proof { server, nonce, .. } = self.welcome().await else {
+        let Welcome::Proof { server, nonce, .. } = self.receive_welcome().await else {
             panic!("refused");
         };
         let ends = ((&hello.client, hello.nonce), (&server, nonce));
@@ -98,7 +98,7 @@
 
     /// Writes raw bytes and reads until the server closes, giving what came after the
     /// verdict.
-    async fn finish(self, bytes: Vec<u8>, keys: SessionKeys) -> Vec<Box<[u8]>> {
+    async fn exchange(self, bytes: Vec<u8>, keys: SessionKeys) -> Vec<Box<[u8]>> {
         let (rd, mut wr) = self.stream.into_split();
         let _ = wr.write_all(bytes).await;
         let mut rd = FrameReader::new(rd, keys.server, 4_096, Rc::default());
@@ -112,11 +112,14 @@
 
 /// Sends `bytes` on a proven connection, and gives how many messages the server sent after
 /// its verdict before it closed.
-async fn after_proof(to: &PeerNet, bytes: impl FnOnce(&SessionKeys) -> Vec<u8>) -> usize {
-    let mut raw = Raw::open(to).await;
-    let keys = raw.prove(identity("raw", 1), &secret()).await;
+async fn count_messages_after_verdict(
+    to: &PeerNet,
+    bytes: impl FnOnce(&SessionKeys) -> Vec<u8>,
+) -> usize {
+    let mut raw = RawConnection::open(to).await;
+    let keys = raw.authenticate(identity("raw", 1), &secret()).await;
     let bytes = bytes(&keys);
-    raw.finish(bytes, keys).await.len() - 1
+    raw.exchange(bytes, keys).await.len() - 1
 }
 
 /// Somebody on the network without the secret sends a well-formed handshake and a call. The
@@ -125,17 +128,17 @@
 fn a_client_without_the_secret_is_refused() {
     run(async {
         let time = TestTime::default();
-        let (net, touched) = victim(&time);
-        let mut raw = Raw::open(&net).await;
+        let (net, touch_count) = target(&time);
+        let mut raw = RawConnection::open(&net).await;
 
         let keys = raw
-            .prove(identity("stranger", 1), &Secret::new("a guess"))
+            .authenticate(identity("stranger", 1), &Secret::new("a guess"))
             .await;
         let call = encode(&keys.client, 0, CALL);
-        let frames = raw.finish(call, keys).await;
+        let frames = raw.exchange(call, keys).await;
 
         assert!(frames.is_empty());
-        assert_eq!(touched.get(), 0);
+        assert_eq!(touch_count.get(), 0);
         assert!(net.identity_of(&"stranger".into()).is_none());
     });
 }
@@ -146,28 +149,28 @@
 fn a_replayed_handshake_is_refused() {
     run(async {
         let time = TestTime::default();
-        let (net, touched) = victim(&time);
-        let mut first = Raw::open(&net).await;
+        let (net, touch_count) = target(&time);
+        let mut first = RawConnection::open(&net).await;
         let hello = hello(identity("raw", 1));
         first.send(&hello).await;
-        let Welcome::Proof { server, nonce, .. } = first.welcome().await else {
+        let Welcome::Proof { server, nonce, .. } = first.receive_welcome().await else {
             panic!("refused");
         };
         let ends = ((&hello.client, hello.nonce), (&server, nonce));
         let transcript = Transcript::new("tests", ends.0, ends.1);
         let code = transcript.code(&secret(), Role::Client);
         let recorded = Proof { code };
-        let mut second = Raw::open(&net).await;
+        let mut second = RawConnection::open(&net).await;
 
         second.send(&hello).await;
-        second.welcome().await;
+        second.receive_welcome().await;
         second.send(&recorded).await;
         let keys = transcript.keys(&secret());
         let call = encode(&keys.client, 0, CALL);
-        let frames = second.finish(call, keys).await;
+        let frames = second.exchange(call, keys).await;
 
         assert!(frames.is_empty());
-        assert_eq!(touched.get(), 0);
+        assert_eq!(touch_count.get(), 0);
     });
 }
 
@@ -175,23 +178,20 @@
 fn another_deployment_is_refused_by_name() {
     run(async {
         let time = TestTime::default();
-        let (net, _) = victim(&time);
+        let (net, _) = target(&time);
         let mut cx = context("foreign", "a", &time);
         cx.deployment = String::from("elsewhere");
         let foreign = start(cx);
         introduce(&foreign, &net);
 
-        let refused = foreign
+        let error = foreign
             .call::<_, ()>(&"victim".into(), "touch", &(), TIMEOUT)
             .await;
 
-        let refused = refused.expect_err("another deployment");
-        assert_eq!(
-            (refused.step, refused.handled),
-            (Step::Handshake, Handled::No)
-        );
+        let error = error.expect_err("another deployment");
+        assert_eq!((error.step, error.handled), (Step::Handshake, Handled::No));
         let refusal = HandshakeRefusal::WrongDeployment;
-        assert_eq!(refused.source, Cause::Refused { refusal });
+        assert_eq!(error.source, Cause::Refused { refusal });
     });
 }
 
@@ -207,17 +207,14 @@
         let net = start(context("caller", "a", &time));
         introduce(&net, &impostor);
 
-        let refused = net
+        let error = net
             .call::<_, ()>(&"impostor".into(), "touch", &(), TIMEOUT)
             .await;
 
-        let refused = refused.expect_err("no proof");
-        assert_eq!(
-            (refused.step, refused.handled),
-            (Step::Handshake, Handled::No)
-        );
+        let error = error.expect_err("no proof");
+        assert_eq!((error.step, error.handled), (Step::Handshake, Handled::No));
         let refusal = HandshakeRefusal::BadProof;
-        assert_eq!(refused.source, Cause::Refused { refusal });
+        assert_eq!(error.source, Cause::Refused { refusal });
     });
 }
 
@@ -225,7 +222,7 @@
 fn another_vm_at_the_address_gets_no_call() {
     run(async {
         let time = TestTime::default();
-        let (net, touched) = victim(&time);
+        let (net, touch_count) = target(&time);
         let caller = start(context("caller", "a", &time));
         let moved = PeerId {
             address: net.me().address,
@@ -233,13 +230,13 @@
         };
         caller.learn(&moved).expect("news");
 
-        let refused = caller.call::<_, ()>(&moved.vm, "touch", &(), TIMEOUT).await;
+        let error = caller.call::<_, ()>(&moved.vm, "touch", &(), TIMEOUT).await;
 
-        let refused = refused.expect_err("another VM");
-        assert_eq!(refused.handled, Handled::No);
+        let error = error.expect_err("another VM");
+        assert_eq!(error.handled, Handled::No);
         let refusal = HandshakeRefusal::WrongVm;
-        assert_eq!(refused.source, Cause::Refused { refusal });
-        assert_eq!(touched.get(), 0);
+        assert_eq!(error.source, Cause::Refused { refusal });
+        assert_eq!(touch_count.get(), 0);
     });
 }
 
@@ -249,23 +246,23 @@
 fn an_earlier_incarnation_is_refused_and_told() {
     run(async {
         let time = TestTime::default();
-        let (net, touched) = victim(&time);
+        let (net, touch_count) = target(&time);
         let old = start(context("moved", "a", &time));
         introduce(&old, &net);
         let successor = identity("moved", 2_000);
         net.learn(&successor).expect("news");
 
-        let refused = old
+        let error = old
             .call::<_, ()>(&"victim".into(), "touch", &(), TIMEOUT)
             .await;
 
-        let refused = refused.expect_err("superseded");
-        assert_eq!(refused.handled, Handled::No);
+        let error = error.expect_err("superseded");
+        assert_eq!(error.handled, Handled::No);
         let by = Box::new(successor.clone());
         let refusal = HandshakeRefusal::Superseded { by };
-        assert_eq!(refused.source, Cause::Refused { refusal });
+        assert_eq!(error.source, Cause::Refused { refusal });
         assert_eq!(old.superseded_by(), Some(successor));
-        assert_eq!(touched.get(), 0);
+        assert_eq!(touch_count.get(), 0);
     });
 }
 
@@ -275,7 +272,7 @@
 fn a_restarted_daemon_goes_ahead_of_its_predecessor_at_the_same_address() {
     run(async {
         let time = TestTime::default();
-        let (net, touched) = victim(&time);
+        let (net, touch_count) = target(&time);
         let restarted = start(context("restarted", "a", &time));
         introduce(&restarted, &net);
         let predecessor = PeerId {
@@ -295,7 +292,7 @@
         second.expect("accepted with a higher epoch");
         assert_eq!(restarted.superseded_by(), None);
         assert_eq!(net.identity_of(&"restarted".into()), Some(restarted.me()));
-        assert_eq!(touched.get(), 1);
+        assert_eq!(touch_count.get(), 1);
     });
 }
 
@@ -303,10 +300,10 @@
 fn a_message_in_sequence_is_answered() {
     run(async {
         let time = TestTime::default();
-        let (net, touched) = victim(&time);
+        let (net, touch_count) = target(&time);
 
-        let mut raw = Raw::open(&net).await;
-        let keys = raw.prove(identity("raw", 1), &secret()).await;
+        let mut raw = RawConnection::open(&net).await;
+        let keys = raw.authenticate(identity("raw", 1), &secret()).await;
         let call = encode(&keys.client, 0, CALL);
         let (rd, mut wr) = raw.stream.into_split();
         wr.write_all(call).await.0.expect("an open connection");
@@ -319,7 +316,7 @@
             Ok(Verdict::Accepted)
         ));
         assert_eq!(&*answer, br#"{"jsonrpc":"2.0","id":0,"result":null}"#);
-        assert_eq!(touched.get(), 1);
+        assert_eq!(touch_count.get(), 1);
     });
 }
 
@@ -329,13 +326,14 @@
 fn a_jump_of_the_sequence_number_ends_the_connection() {
     run(async {
         let time = TestTime::default();
-        let (net, touched) = victim(&time);
+        let (net, touch_count) = target(&time);
 
-        let next = after_proof(&net, |keys| encode(&keys.client, 1, CALL)).await;
-        let huge = after_proof(&net, |keys| encode(&keys.client, u64::MAX, CALL)).await;
+        let next = count_messages_after_verdict(&net, |keys| encode(&keys.client, 1, CALL)).await;
+        let huge =
+            count_messages_after_verdict(&net, |keys| encode(&keys.client, u64::MAX, CALL)).await;
 
         assert_eq!((next, huge), (0, 0));
-        assert_eq!(touched.get(), 0);
+        assert_eq!(touch_count.get(), 0);
     });
 }
 
@@ -343,14 +341,15 @@
 fn a_message_over_the_limit_ends_the_connection() {
     run(async {
         let time = TestTime::default();
-        let (net, touched) = victim(&time);
+        let (net, touch_count) = target(&time);
         let padded = [CALL, &[b' '; 4_096]].concat();
 
-        let over = after_proof(&net, |keys| encode(&keys.client, 0, &padded)).await;
-        let claimed = after_proof(&net, |_| vec![0xff; 28]).await;
+        let over =
+            count_messages_after_verdict(&net, |keys| encode(&keys.client, 0, &padded)).await;
+        let claimed = count_messages_after_verdict(&net, |_| vec![0xff; 28]).await;
 
         assert_eq!((over, claimed), (0, 0));
-        assert_eq!(touched.get(), 0);
+        assert_eq!(touch_count.get(), 0);
     });
 }
 
@@ -358,9 +357,9 @@
 fn a_changed_byte_ends_the_connection() {
     run(async {
         let time = TestTime::default();
-        let (net, touched) = victim(&time);
+        let (net, touch_count) = target(&time);
 
-        let frames = after_proof(&net, |keys| {
+        let frames = count_messages_after_verdict(&net, |keys| {
             let mut call = encode(&keys.client, 0, CALL);
             let last = call.len() - 1;
             call[last] ^= 1;
@@ -369,7 +368,7 @@
         .await;
 
         assert_eq!(frames, 0);
-        assert_eq!(touched.get(), 0);
+        assert_eq!(touch_count.get(), 0);
     });
 }
 
@@ -377,12 +376,13 @@
 fn a_message_that_is_no_call_ends_the_connection() {
     run(async {
         let time = TestTime::default();
-        let (net, touched) = victim(&time);
+        let (net, touch_count) = target(&time);
 
-        let frames = after_proof(&net, |keys| encode(&keys.client, 0, b"[1, 2")).await;
+        let frames =
+            count_messages_after_verdict(&net, |keys| encode(&keys.client, 0, b"[1, 2")).await;
 
         assert_eq!(frames, 0);
-        assert_eq!(touched.get(), 0);
+        assert_eq!(touch_count.get(), 0);
     });
 }
 
@@ -392,12 +392,12 @@
 fn a_client_that_says_nothing_is_closed() {
     run(async {
         let time = TestTime::default();
-        let (net, _) = victim(&time);
+        let (net, _) = target(&time);
 
-        let raw = Raw::open(&net).await;
-        time.until("it is counted", || net.connections().1 == 1)
+        let raw = RawConnection::open(&net).await;
+        time.wait_until("it is counted", || net.connections().1 == 1)
             .await;
-        time.until("it is closed", || net.connections().1 == 0)
+        time.wait_until("it is closed", || net.connections().1 == 0)
             .await;
 
         drop(raw);
@@ -413,8 +413,8 @@
         .for_each(|bytes| {
             run(async {
                 let time = TestTime::default();
-                let (net, touched) = victim(&time);
-                let raw = Raw::open(&net).await;
+                let (net, touch_count) = target(&time);
+                let raw = RawConnection::open(&net).await;
                 let (rd, mut wr) = raw.stream.into_split();
                 let _ = wr.write_all(bytes.to_vec()).await;
                 drop((rd, wr));
@@ -426,7 +426,7 @@
                     .await;
 
                 answered.expect("daemons are still answered");
-                assert_eq!(touched.get(), 1);
+                assert_eq!(touch_count.get(), 1);
             });
         });
 }
@@ -435,7 +435,7 @@
 fn a_second_process_cannot_listen_at_the_same_address() {
     run(async {
         let time = TestTime::default();
-        let (net, _) = victim(&time);
+        let (net, _) = target(&time);
         let mut cx = context("second", "a", &time);
         cx.listen = net.me().address;
 
--- a/crates/peer/tests/calls.rs
+++ b/crates/peer/tests/calls.rs
@@ -9,31 +9,31 @@
     CallOptions, Cause, Handled, MethodTable, PeerContext, PeerNet, Step, not_run,
 };
 use heatherknot_types::prelude::*;
-use support::{Network, Path, TestTime, context, introduce, run, settle, start};
+use support::{Network, Path, TestTime, context, introduce, let_sockets_progress, run, start};
 
 const TIMEOUT: Millis = Millis(5_000);
 
 /// A daemon whose methods count how often they ran.
 struct Callee {
     net: PeerNet,
-    runs: Rc<Cell<u32>>,
+    run_count: Rc<Cell<u32>>,
 }
 
 fn callee(time: &TestTime) -> Callee {
-    let runs = Rc::new(Cell::new(0));
+    let run_count = Rc::new(Cell::new(0));
     let mut cx = context("callee", "a", time);
-    cx.methods = methods(&runs, time);
+    cx.methods = methods(&run_count, time);
     Callee {
         net: start(cx),
-        runs,
+        run_count,
     }
 }
 
-fn methods(runs: &Rc<Cell<u32>>, time: &TestTime) -> MethodTable {
+fn methods(run_count: &Rc<Cell<u32>>, time: &TestTime) -> MethodTable {
     let mut table = MethodTable::default();
-    let counted = Rc::clone(runs);
+    let counter = Rc::clone(run_count);
     table.register("add", move |_, (a, b): (u64, u64)| {
-        counted.set(counted.get() + 1);
+        counter.set(counter.get() + 1);
         async move { Ok(a + b) }
     });
     table.register("who", |caller, ()| async move { Ok(caller.vm) });
@@ -74,7 +74,7 @@
         assert_eq!(sum, 5);
         assert_eq!(name, VmName::from("caller"));
         assert_eq!(
-            callee.net.identity_of(&name).expect("learnt").address,
+            callee.net.identity_of(&name).expect("learned").address,
             net.me().address
         );
     });
@@ -111,7 +111,7 @@
         net.notify(&callee.net.me().vm, "add", &(1, 1))
             .expect("queued");
 
-        time.until("the method ran", || callee.runs.get() == 1)
+        time.wait_until("the method ran", || callee.run_count.get() == 1)
             .await;
     });
 }
@@ -129,7 +129,7 @@
             .await;
         let refused = net.call::<_, ()>(&vm, "refuse", &(), TIMEOUT).await;
         let missing = net.call::<_, ()>(&vm, "no-such-method", &(), TIMEOUT).await;
-        let hung = {
+        let unanswered = {
             let (net, vm) = (net.clone(), vm.clone());
             time.drive(async move { net.call::<_, ()>(&vm, "hang", &(), TIMEOUT).await })
                 .await
@@ -145,9 +145,9 @@
         assert_eq!((refused.step, refused.handled), (Step::Answer, Handled::No));
         assert_eq!(refused.peer, "callee");
         assert_eq!(missing.expect_err("no method").handled, Handled::Yes);
-        let hung = hung.expect_err("no answer");
-        assert_eq!(hung.handled, Handled::Maybe);
-        assert_eq!(hung.source, Cause::Timeout { timeout: TIMEOUT });
+        let unanswered = unanswered.expect_err("no answer");
+        assert_eq!(unanswered.handled, Handled::Maybe);
+        assert_eq!(unanswered.source, Cause::Timeout { timeout: TIMEOUT });
     });
 }
 
@@ -159,13 +159,16 @@
         let net = caller(&time, &callee.net, |cx| cx.options.max_message = 4_096);
         let vm = callee.net.me().vm;
 
-        let big = net
+        let oversized = net
             .call::<_, ()>(&vm, "add", &"x".repeat(5_000), TIMEOUT)
             .await;
         let sum: u64 = net.call(&vm, "add", &(1, 1), TIMEOUT).await.expect("a sum");
 
-        let big = big.expect_err("too large");
-        assert_eq!((big.step, big.handled), (Step::Send, Handled::No));
+        let oversized = oversized.expect_err("too large");
+        assert_eq!(
+            (oversized.step, oversized.handled),
+            (Step::Send, Handled::No)
+        );
         assert_eq!(sum, 2);
     });
 }
@@ -178,13 +181,13 @@
         let net = caller(&time, &callee.net, |cx| cx.options.max_message = 4_096);
         let vm = callee.net.me().vm;
 
-        let big = net.call::<_, String>(&vm, "blob", &5_000, TIMEOUT).await;
+        let oversized = net.call::<_, String>(&vm, "blob", &5_000, TIMEOUT).await;
         let sum: u64 = net
             .call(&vm, "add", &(1, 1), TIMEOUT)
             .await
             .expect("a new connection");
 
-        assert_eq!(big.expect_err("too large").handled, Handled::Maybe);
+        assert_eq!(oversized.expect_err("too large").handled, Handled::Maybe);
         assert_eq!(sum, 2);
     });
 }
@@ -206,7 +209,7 @@
         let refused = refused.expect_err("another incarnation");
         assert_eq!(refused.handled, Handled::No);
         assert!(matches!(refused.source, Cause::WrongIncarnation { .. }));
-        assert_eq!(callee.runs.get(), 0);
+        assert_eq!(callee.run_count.get(), 0);
     });
 }
 
@@ -226,7 +229,7 @@
             .await
             .expect("the path is open");
         time.advance(30_000);
-        network.set("caller", callee.net.me().address, Path::SilentOldOnly);
+        network.set_path("caller", callee.net.me().address, Path::CutExisting);
 
         let sum = time
             .drive(async move {
@@ -255,7 +258,7 @@
             .await
             .expect("the path is open");
         time.advance(30_000);
-        network.set("caller", callee.net.me().address, Path::SilentOldOnly);
+        network.set_path("caller", callee.net.me().address, Path::CutExisting);
 
         let (first, second) = time
             .drive(async move {
@@ -271,7 +274,7 @@
         assert_eq!(first.handled, Handled::Maybe);
         assert!(matches!(first.source, Cause::Silent { .. }));
         assert_eq!(second.expect("a new connection"), 6);
-        assert_eq!(callee.runs.get(), 2);
+        assert_eq!(callee.run_count.get(), 2);
     });
 }
 
@@ -286,13 +289,13 @@
         let hanging = start(context("hanging", "a", &time));
         let net = caller(&time, &callee.net, |cx| cx.dial = network.dial("caller"));
         introduce(&net, &hanging);
-        network.set("caller", hanging.me().address, Path::Cut);
+        network.set_path("caller", hanging.me().address, Path::Cut);
         let (other, vm) = (net.clone(), hanging.me().vm);
-        let stuck = monoio::spawn(async move {
+        let pending = monoio::spawn(async move {
             let opts = CallOptions::idempotent(TIMEOUT);
             other.call_with::<_, u64>(&vm, "add", &(1, 1), opts).await
         });
-        settle().await;
+        let_sockets_progress().await;
 
         let before = time.now();
         let sum: u64 = net
@@ -301,7 +304,7 @@
             .expect("the other peer answers");
 
         assert_eq!((sum, time.now()), (2, before));
-        let stuck = time.drive(stuck).await.expect_err("the peer hangs");
-        assert_eq!(stuck.handled, Handled::No);
+        let pending = time.drive(pending).await.expect_err("the peer hangs");
+        assert_eq!(pending.handled, Handled::No);
     });
 }
--- a/crates/peer/tests/membership.rs
+++ b/crates/peer/tests/membership.rs
@@ -8,10 +8,13 @@
 use heatherknot_peer::{MemberState, Source};
 use heatherknot_store::vm_list::{VmRecord, VmState};
 use heatherknot_types::prelude::*;
-use support::fleet::{ListedVms, Node, NodeSetup, all_alive, set_between, set_both, settled_fleet};
+use support::fleet::{
+    ListedVms, TestDaemon, TestDaemonSetup, all_alive, set_path_between, set_path_both_ways,
+    settled_fleet,
+};
 use support::{Network, Path, TestTime, run};
 
-fn believe(nodes: &[&Node], vm: &VmName, state: MemberState) -> bool {
+fn all_believe(nodes: &[&TestDaemon], vm: &VmName, state: MemberState) -> bool {
     nodes.iter().all(|node| node.state(vm) == Some(state))
 }
 
@@ -42,13 +45,13 @@
             rest.iter()
                 .any(|node| node.state(&vm) == Some(MemberState::Suspect))
         };
-        time.until("somebody suspects it", suspected).await;
-        time.until("all count it gone", || {
-            believe(&rest, &vm, MemberState::Gone)
+        time.wait_until("somebody suspects it", suspected).await;
+        time.wait_until("all count it gone", || {
+            all_believe(&rest, &vm, MemberState::Gone)
         })
         .await;
 
-        let alive = |node: &&Node| {
+        let alive = |node: &&TestDaemon| {
             let views = node.membership.views();
             views
                 .iter()
@@ -69,20 +72,20 @@
         let old = nodes.remove(1);
         let (vm, address) = (old.vm(), old.address());
         old.net.close();
-        support::settle().await;
+        support::let_sockets_progress().await;
 
-        let mut setup = NodeSetup::new(vm.as_str(), "a", &time, &network);
+        let mut setup = TestDaemonSetup::new(vm.as_str(), "a", &time, &network);
         setup.cx.listen = address;
         setup.cx.epoch = 10;
         setup.seeds.push(nodes[0].address());
         let new = setup.start();
         let incarnation = new.net.me().incarnation;
-        let known = |node: &Node| {
+        let known = |node: &TestDaemon| {
             node.view(&vm).is_some_and(|view| {
                 view.id.incarnation == incarnation && view.state == MemberState::Alive
             })
         };
-        time.until("all know the new run", || nodes.iter().all(known))
+        time.wait_until("all know the new run", || nodes.iter().all(known))
             .await;
 
         assert_ne!(incarnation, old.net.me().incarnation);
@@ -99,11 +102,11 @@
         let nodes = settled_fleet(&[("a", 5)], &time, &network).await;
         let vm = nodes[3].vm();
 
-        network.set(nodes[1].vm().as_str(), nodes[3].address(), Path::Cut);
-        let gone = |node: &&Node| node.state(&vm) == Some(MemberState::Gone);
+        network.set_path(nodes[1].vm().as_str(), nodes[3].address(), Path::Cut);
+        let gone = |node: &&TestDaemon| node.state(&vm) == Some(MemberState::Gone);
         let mut ever_gone = false;
         let end = time.now() + Millis(60_000);
-        time.until("a minute passes", || {
+        time.wait_until("a minute passes", || {
             ever_gone |= nodes.iter().any(|node| gone(&node));
             time.now() >= end
         })
@@ -124,20 +127,20 @@
         let (a, b) = nodes.split_at(3);
         let (a, b): (Vec<_>, Vec<_>) = (a.iter().collect(), b.iter().collect());
 
-        set_between(&network, &a, &b, Path::Cut);
-        time.pass(40_000).await;
+        set_path_between(&network, &a, &b, Path::Cut);
+        time.run_for(40_000).await;
         let near = a[0].view(&a[1].vm()).expect("known");
         let far = a[0].view(&b[1].vm()).expect("known");
         let died = b[2].vm();
         b[2].net.close();
-        time.until("its own domain notices", || {
-            believe(&b[..2], &died, MemberState::Gone)
+        time.wait_until("its own domain notices", || {
+            all_believe(&b[..2], &died, MemberState::Gone)
         })
         .await;
         let unaware = a[0].state(&died);
-        set_between(&network, &a, &b, Path::Open);
-        time.until("the others hear of it", || {
-            believe(&a, &died, MemberState::Gone)
+        set_path_between(&network, &a, &b, Path::Open);
+        time.wait_until("the others hear of it", || {
+            all_believe(&a, &died, MemberState::Gone)
         })
         .await;
 
@@ -164,17 +167,18 @@
         let vm = stopped.vm();
 
         stopped.paused.set(true);
-        set_between(&network, &[stopped], &rest, Path::Cut);
-        time.until("it is gone", || believe(&rest, &vm, MemberState::Gone))
+        set_path_between(&network, &[stopped], &rest, Path::Cut);
+        time.wait_until("it is gone", || all_believe(&rest, &vm, MemberState::Gone))
             .await;
-        time.pass(30_000).await;
-        let resumed_before = stopped.resumed.get();
-        set_between(&network, &[stopped], &rest, Path::Open);
+        time.run_for(30_000).await;
+        let resumed_before = stopped.resume_count.get();
+        set_path_between(&network, &[stopped], &rest, Path::Open);
         stopped.paused.set(false);
-        time.until("it is alive again", || all_alive(&nodes)).await;
+        time.wait_until("it is alive again", || all_alive(&nodes))
+            .await;
 
-        assert_eq!((resumed_before, stopped.resumed.get()), (0, 1));
-        assert!(rest.iter().all(|node| node.resumed.get() == 0));
+        assert_eq!((resumed_before, stopped.resume_count.get()), (0, 1));
+        assert!(rest.iter().all(|node| node.resume_count.get() == 0));
     });
 }
 
@@ -186,10 +190,10 @@
         let (time, network) = (TestTime::default(), Network::default());
         let nodes = settled_fleet(&[("a", 4)], &time, &network).await;
 
-        set_both(&network, &nodes[1], &nodes[2], Path::Cut);
-        time.pass(60_000).await;
+        set_path_both_ways(&network, &nodes[1], &nodes[2], Path::Cut);
+        time.run_for(60_000).await;
 
-        let gone = |node: &Node| {
+        let gone = |node: &TestDaemon| {
             let views = node.membership.views();
             views.iter().any(|view| view.state == MemberState::Gone)
         };
@@ -206,14 +210,14 @@
 
         nodes[0].membership.leave();
         let rest: Vec<_> = nodes[1..].iter().collect();
-        time.until("all know", || believe(&rest, &vm, MemberState::Leaving))
+        time.wait_until("all know", || all_believe(&rest, &vm, MemberState::Leaving))
             .await;
 
         assert_eq!(nodes[0].membership.own_state(), MemberState::Leaving);
     });
 }
 
-fn listed(node: &Node, state: VmState) -> VmRecord {
+fn listed(node: &TestDaemon, state: VmState) -> VmRecord {
     let id = node.net.me();
     VmRecord {
         name: id.vm,
@@ -224,20 +228,20 @@
     }
 }
 
-async fn fleet_with_list(time: &TestTime, network: &Network) -> (Vec<Node>, ListedVms) {
+async fn fleet_with_list(time: &TestTime, network: &Network) -> (Vec<TestDaemon>, ListedVms) {
     let list = ListedVms::default();
-    let mut nodes: Vec<Node> = Vec::new();
+    let mut nodes: Vec<TestDaemon> = Vec::new();
     for (vm, domain) in [("a0", "a"), ("a1", "a"), ("b0", "b"), ("b1", "b")] {
-        let mut setup = NodeSetup::new(vm, domain, time, network);
+        let mut setup = TestDaemonSetup::new(vm, domain, time, network);
         setup.listed = Some(Rc::clone(&list));
-        setup.seeds.extend(nodes.first().map(Node::address));
+        setup.seeds.extend(nodes.first().map(TestDaemon::address));
         nodes.push(setup.start());
     }
     *list.borrow_mut() = nodes
         .iter()
         .map(|node| listed(node, VmState::Live))
         .collect();
-    time.until("all know all", || all_alive(&nodes)).await;
+    time.wait_until("all know all", || all_alive(&nodes)).await;
     (nodes, list)
 }
 
@@ -250,12 +254,14 @@
 
         list.borrow_mut()[1].state = VmState::Leaving;
         let others = [&nodes[0], &nodes[2], &nodes[3]];
-        time.until("all know", || believe(&others, &vm, MemberState::Leaving))
-            .await;
-        time.until("it was told", || nodes[1].told_leaving.get() > 0)
+        time.wait_until("all know", || {
+            all_believe(&others, &vm, MemberState::Leaving)
+        })
+        .await;
+        time.wait_until("it was told", || nodes[1].leave_requests.get() > 0)
             .await;
 
-        assert_eq!(nodes[1].told_leaving.get(), 1);
+        assert_eq!(nodes[1].leave_requests.get(), 1);
         assert_eq!(nodes[1].membership.own_state(), MemberState::Leaving);
     });
 }
@@ -272,12 +278,14 @@
         list.borrow_mut().retain(|vm| vm.name != unlisted);
         nodes[1].net.close();
         let others = [&nodes[0], &nodes[2], &nodes[3]];
-        time.until("it is gone", || believe(&others, &dead, MemberState::Gone))
-            .await;
-        time.pass(120_000).await;
+        time.wait_until("it is gone", || {
+            all_believe(&others, &dead, MemberState::Gone)
+        })
+        .await;
+        time.run_for(120_000).await;
 
-        assert!(believe(&others, &dead, MemberState::Gone));
-        assert!(believe(
+        assert!(all_believe(&others, &dead, MemberState::Gone));
+        assert!(all_believe(
             &[&nodes[0], &nodes[2]],
             &unlisted,
             MemberState::Alive
@@ -297,8 +305,8 @@
         nodes[3].net.close();
         list.borrow_mut().truncate(2);
         let rest = [&nodes[0], &nodes[1]];
-        time.until("both are gone", || {
-            let gone = |node: &Node| believe(&rest, &node.vm(), MemberState::Gone);
+        time.wait_until("both are gone", || {
+            let gone = |node: &TestDaemon| all_believe(&rest, &node.vm(), MemberState::Gone);
             gone(&nodes[2]) && gone(&nodes[3])
         })
         .await;
@@ -313,13 +321,14 @@
 fn a_daemon_without_seeds_finds_its_peers_by_the_platforms_list() {
     run(async {
         let (time, network) = (TestTime::default(), Network::default());
-        let old = NodeSetup::new("a0", "a", &time, &network).start();
-        let mut setup = NodeSetup::new("a1", "a", &time, &network);
+        let old = TestDaemonSetup::new("a0", "a", &time, &network).start();
+        let mut setup = TestDaemonSetup::new("a1", "a", &time, &network);
         setup.listed = Some(Rc::new(RefCell::new(vec![listed(&old, VmState::Live)])));
 
         let nodes = [old, setup.start()];
 
-        time.until("both know both", || all_alive(&nodes)).await;
+        time.wait_until("both know both", || all_alive(&nodes))
+            .await;
     });
 }
 
@@ -332,7 +341,7 @@
         let (nodes, list) = fleet_with_list(&time, &network).await;
         let vm = nodes[3].vm();
 
-        set_between(
+        set_path_between(
             &network,
             &[&nodes[3]],
             &[&nodes[0], &nodes[1], &nodes[2]],
@@ -340,8 +349,8 @@
         );
         list.borrow_mut()[3].state = VmState::Gone;
         let rest = [&nodes[0], &nodes[1], &nodes[2]];
-        time.until("all count it gone", || {
-            believe(&rest, &vm, MemberState::Gone)
+        time.wait_until("all count it gone", || {
+            all_believe(&rest, &vm, MemberState::Gone)
         })
         .await;
 
@@ -361,20 +370,20 @@
         let (a, b) = nodes[1..].split_at(2);
         let (a, b): (Vec<_>, Vec<_>) = (a.iter().collect(), b.iter().collect());
         let (lost, vm) = (nodes[0].vm(), b[0].vm());
-        time.until("all count it gone", || {
-            believe(&a, &lost, MemberState::Gone) && believe(&b, &lost, MemberState::Gone)
+        time.wait_until("all count it gone", || {
+            all_believe(&a, &lost, MemberState::Gone) && all_believe(&b, &lost, MemberState::Gone)
         })
         .await;
-        set_between(&network, &a, &b, Path::Cut);
+        set_path_between(&network, &a, &b, Path::Cut);
         // By the end of the cut the change has been sent as often as updates are.
         b[0].membership.leave();
-        time.pass(60_000).await;
-        let unaware = believe(&a, &vm, MemberState::Alive);
+        time.run_for(60_000).await;
+        let unaware = all_believe(&a, &vm, MemberState::Alive);
 
         let healed = time.now();
-        set_between(&network, &a, &b, Path::Open);
-        let all = || believe(&a, &vm, MemberState::Leaving);
-        time.until("the others hear of it", all).await;
+        set_path_between(&network, &a, &b, Path::Open);
+        let all = || all_believe(&a, &vm, MemberState::Leaving);
+        time.wait_until("the others hear of it", all).await;
 
         assert!(unaware);
         assert!(time.now().since(healed) < Millis(30_000));
@@ -388,22 +397,25 @@
     run(async {
         let (time, network) = (TestTime::default(), Network::default());
         let nodes = settled_fleet(&[("a", 6), ("b", 6), ("c", 6)], &time, &network).await;
-        time.pass(60_000).await;
-        let moved = || -> u64 {
+        time.run_for(60_000).await;
+        let byte_count = || -> u64 {
             let traffic = nodes.iter().map(|node| node.net.traffic());
             traffic.map(|t| t.bytes_in.get() + t.bytes_out.get()).sum()
         };
-        let messages = || -> u64 {
+        let message_count = || -> u64 {
             let traffic = nodes.iter().map(|node| node.net.traffic());
             traffic
                 .map(|t| t.frames_in.get() + t.frames_out.get())
                 .sum()
         };
 
-        let (bytes_before, messages_before) = (moved(), messages());
-        time.pass(30_000).await;
+        let (bytes_before, messages_before) = (byte_count(), message_count());
+        time.run_for(30_000).await;
 
-        let each = (moved() - bytes_before) / (messages() - messages_before);
-        assert!(each < 150, "{each} bytes a message");
+        let bytes_per_message = (byte_count() - bytes_before) / (message_count() - messages_before);
+        assert!(
+            bytes_per_message < 150,
+            "{bytes_per_message} bytes a message"
+        );
     });
 }
--- a/crates/peer/tests/reports.rs
+++ b/crates/peer/tests/reports.rs
@@ -1,19 +1,19 @@
-//! Load reports on their way between boards, and over heartbeats.
+//! Load reports on their way between tables, and over heartbeats.
 
 mod support;
 
 use std::sync::Arc;
 
 use heatherknot_peer::reports::{Loads, Scope};
-use heatherknot_peer::{ReportBoard, ReportOptions};
+use heatherknot_peer::{ReportOptions, ReportTable};
 use heatherknot_types::prelude::*;
-use support::fleet::{Node, NodeSetup, all_alive};
+use support::fleet::{TestDaemon, TestDaemonSetup, all_alive};
 use support::{Network, TestTime, run};
 
 const RUN: Incarnation = Incarnation(1);
 
-fn board(vm: &str, time: &TestTime) -> ReportBoard {
-    ReportBoard::new(VmName::from(vm), time.timer(), ReportOptions::default())
+fn table(vm: &str, time: &TestTime) -> ReportTable {
+    ReportTable::new(VmName::from(vm), time.timer(), ReportOptions::default())
 }
 
 fn loads(values: &[(&str, u32)]) -> Loads {
@@ -21,26 +21,26 @@
     named.collect()
 }
 
-fn pass_on(from: &ReportBoard, to: &ReportBoard) {
-    if let Some(batch) = from.take(Scope::Domain) {
+fn transfer(from: &ReportTable, to: &ReportTable) {
+    if let Some(batch) = from.next_batch(Scope::Domain) {
         to.merge(Scope::Domain, batch);
     }
 }
 
-fn seen(board: &ReportBoard, vm: &str) -> Option<Loads> {
-    board.view(&VmName::from(vm)).map(|view| view.loads)
+fn seen(table: &ReportTable, vm: &str) -> Option<Loads> {
+    table.view(&VmName::from(vm)).map(|view| view.loads)
 }
 
 #[test]
 fn a_report_arrives_with_its_age() {
     let time = TestTime::default();
-    let (a, b, c) = (board("a", &time), board("b", &time), board("c", &time));
+    let (a, b, c) = (table("a", &time), table("b", &time), table("c", &time));
 
     a.publish(RUN, loads(&[("x", 3), ("y", 4)]));
     time.advance(700);
-    pass_on(&a, &b);
+    transfer(&a, &b);
     time.advance(500);
-    pass_on(&b, &c);
+    transfer(&b, &c);
     time.advance(100);
 
     let view = c.view(&"a".into()).expect("it arrived");
@@ -51,12 +51,12 @@
 #[test]
 fn only_what_changed_is_sent_to_who_has_the_report_before() {
     let time = TestTime::default();
-    let (a, b) = (board("a", &time), board("b", &time));
+    let (a, b) = (table("a", &time), table("b", &time));
     a.publish(RUN, loads(&[("x", 3), ("y", 4)]));
-    pass_on(&a, &b);
+    transfer(&a, &b);
 
     a.publish(RUN, loads(&[("x", 3), ("y", 9)]));
-    let batch = a.take(Scope::Domain).expect("a difference");
+    let batch = a.next_batch(Scope::Domain).expect("a difference");
     let text = serde_json::to_string(&batch).expect("JSON");
     b.merge(Scope::Domain, batch);
 
@@ -70,16 +70,16 @@
 #[test]
 fn a_difference_from_a_report_that_was_missed_is_left_out() {
     let time = TestTime::default();
-    let (a, b) = (board("a", &time), board("b", &time));
+    let (a, b) = (table("a", &time), table("b", &time));
     a.publish(RUN, loads(&[("x", 1), ("y", 1)]));
-    pass_on(&a, &b);
+    transfer(&a, &b);
     a.publish(RUN, loads(&[("x", 2), ("y", 1)]));
-    a.take(Scope::Domain).expect("lost on the way");
+    a.next_batch(Scope::Domain).expect("lost on the way");
     a.publish(RUN, loads(&[("x", 2), ("y", 2)]));
 
-    pass_on(&a, &b);
+    transfer(&a, &b);
     let after_difference = seen(&b, "a");
-    pass_on(&a, &b);
+    transfer(&a, &b);
 
     assert_eq!(after_difference, Some(loads(&[("x", 1), ("y", 1)])));
     assert_eq!(seen(&b, "a"), Some(loads(&[("x", 2), ("y", 2)])));
@@ -88,12 +88,12 @@
 #[test]
 fn an_older_report_does_not_replace_a_newer_one() {
     let time = TestTime::default();
-    let (a, b) = (board("a", &time), board("b", &time));
+    let (a, b) = (table("a", &time), table("b", &time));
     a.publish(RUN, loads(&[("x", 1)]));
-    let late = a.take(Scope::Domain).expect("a report");
+    let late = a.next_batch(Scope::Domain).expect("a report");
     a.publish(RUN, loads(&[("x", 2), ("z", 5)]));
-    a.take(Scope::Domain).expect("a difference");
-    pass_on(&a, &b);
+    a.next_batch(Scope::Domain).expect("a difference");
+    transfer(&a, &b);
 
     b.merge(Scope::Domain, late);
 
@@ -105,17 +105,17 @@
 #[test]
 fn a_new_run_replaces_the_reports_of_the_one_before() {
     let time = TestTime::default();
-    let b = board("b", &time);
-    let old = board("a", &time);
+    let b = table("b", &time);
+    let old = table("a", &time);
     for n in 0..5 {
         old.publish(RUN, loads(&[("x", n)]));
     }
-    pass_on(&old, &b);
-    pass_on(&old, &b);
-    let new = board("a", &time);
+    transfer(&old, &b);
+    transfer(&old, &b);
+    let new = table("a", &time);
 
     new.publish(Incarnation(2), loads(&[("x", 50)]));
-    pass_on(&new, &b);
+    transfer(&new, &b);
 
     let view = b.view(&"a".into()).expect("a report");
     assert_eq!(
@@ -127,12 +127,12 @@
 #[test]
 fn a_value_that_disappears_is_gone_at_the_others() {
     let time = TestTime::default();
-    let (a, b) = (board("a", &time), board("b", &time));
+    let (a, b) = (table("a", &time), table("b", &time));
     a.publish(RUN, loads(&[("x", 1), ("y", 1)]));
-    pass_on(&a, &b);
+    transfer(&a, &b);
 
     a.publish(RUN, loads(&[("y", 1)]));
-    pass_on(&a, &b);
+    transfer(&a, &b);
 
     assert_eq!(seen(&b, "a"), Some(loads(&[("y", 1)])));
 }
@@ -140,15 +140,15 @@
 #[test]
 fn a_message_keeps_to_its_bound_and_each_report_is_sent_a_few_times() {
     let time = TestTime::default();
-    let (a, b) = (board("a", &time), board("b", &time));
+    let (a, b) = (table("a", &time), table("b", &time));
     for n in 0..40 {
-        let other = board(&format!("vm{n}"), &time);
+        let other = table(&format!("vm{n}"), &time);
         other.publish(RUN, loads(&[("x", n), ("y", n), ("z", n)]));
-        pass_on(&other, &a);
+        transfer(&other, &a);
     }
 
     let mut sent = 0;
-    while let Some(batch) = a.take(Scope::Domain) {
+    while let Some(batch) = a.next_batch(Scope::Domain) {
         assert!(batch.len() <= 3, "{} reports", batch.len());
         sent += batch.len();
         b.merge(Scope::Domain, batch);
@@ -161,15 +161,15 @@
 #[test]
 fn old_reports_are_forgotten_and_not_taken_in() {
     let time = TestTime::default();
-    let (a, b) = (board("a", &time), board("b", &time));
+    let (a, b) = (table("a", &time), table("b", &time));
     a.publish(RUN, loads(&[("x", 1)]));
-    pass_on(&a, &b);
-    let batch = a.take(Scope::Elsewhere).expect("its own report");
+    transfer(&a, &b);
+    let batch = a.next_batch(Scope::OtherDomain).expect("its own report");
     let text = serde_json::to_string(&batch).expect("JSON");
 
     time.advance(30_000);
     let aged = text.replace("\"g\":0", "\"g\":30000");
-    b.take(Scope::Domain);
+    b.next_batch(Scope::Domain);
     b.merge(Scope::Domain, serde_json::from_str(&aged).expect("a batch"));
 
     assert_eq!(seen(&b, "a"), None);
@@ -178,42 +178,42 @@
 #[test]
 fn a_report_of_another_domain_is_kept_and_not_passed_on() {
     let time = TestTime::default();
-    let (a, b) = (board("a", &time), board("b", &time));
+    let (a, b) = (table("a", &time), table("b", &time));
     a.publish(RUN, loads(&[("x", 1)]));
 
     b.merge(
-        Scope::Elsewhere,
-        a.take(Scope::Elsewhere).expect("its own report"),
+        Scope::OtherDomain,
+        a.next_batch(Scope::OtherDomain).expect("its own report"),
     );
 
     assert_eq!(seen(&b, "a"), Some(loads(&[("x", 1)])));
-    assert_eq!(b.take(Scope::Domain), None);
+    assert_eq!(b.next_batch(Scope::Domain), None);
 }
 
 #[test]
 fn reports_reach_all_vms_of_a_domain_over_heartbeats() {
     run(async {
         let (time, network) = (TestTime::default(), Network::default());
-        let mut boards = Vec::new();
-        let mut nodes: Vec<Node> = Vec::new();
+        let mut tables = Vec::new();
+        let mut nodes: Vec<TestDaemon> = Vec::new();
         for vm in ["a0", "a1", "a2", "a3"] {
-            let mut setup = NodeSetup::new(vm, "a", &time, &network);
-            let board = board(vm, &time);
-            setup.reports = Some(board.port());
-            setup.seeds.extend(nodes.first().map(Node::address));
+            let mut setup = TestDaemonSetup::new(vm, "a", &time, &network);
+            let table = table(vm, &time);
+            setup.reports = Some(table.port());
+            setup.seeds.extend(nodes.first().map(TestDaemon::address));
             nodes.push(setup.start());
-            boards.push(board);
+            tables.push(table);
         }
-        time.until("all know all", || all_alive(&nodes)).await;
+        time.wait_until("all know all", || all_alive(&nodes)).await;
 
         // A message that comes too late for one report carries the next one.
         for n in 0..5 {
-            boards[0].publish(RUN, loads(&[("x", n)]));
-            time.pass(3_000).await;
+            tables[0].publish(RUN, loads(&[("x", n)]));
+            time.run_for(3_000).await;
         }
 
-        for board in &boards {
-            let view = board.view(&"a0".into()).expect("a report");
+        for table in &tables {
+            let view = table.view(&"a0".into()).expect("a report");
             assert!(view.age < Millis(10_000), "{view:?}");
         }
     });
--- a/crates/peer/tests/support/fleet.rs
+++ b/crates/peer/tests/support/fleet.rs
@@ -115,7 +115,7 @@
                 let (store, cut, timer) = (store.clone(), Rc::clone(&cut), timer.clone());
                 store.calls.set(store.calls.get() + 1);
                 Box::pin(async move {
-                    let waiting = Waiting::begin(&store.waiting);
+                    let waiting = WaitGuard::begin(&store.waiting);
                     while !store.down.get() && !cut.get() {
                         if let Some(stale) = &*store.stale.borrow() {
                             return Ok(stale.clone());
@@ -144,36 +144,36 @@
     }
 }
 
-struct Waiting(Rc<Cell<u32>>);
+struct WaitGuard(Rc<Cell<u32>>);
 
-impl Waiting {
+impl WaitGuard {
     fn begin(count: &Rc<Cell<u32>>) -> Self {
         count.set(count.get() + 1);
         Self(Rc::clone(count))
     }
 }
 
-impl Drop for Waiting {
+impl Drop for WaitGuard {
     fn drop(&mut self) {
         self.0.set(self.0.get() - 1);
     }
 }
 
 /// One daemon of a fleet.
-pub struct Node {
+pub struct TestDaemon {
     pub net: PeerNet,
     pub relay: Relay,
     pub settings: FakeSettings,
     /// Cuts this daemon off from the store.
     pub store_cut: Rc<Cell<bool>>,
     pub membership: Membership,
-    pub resumed: Rc<Cell<u32>>,
-    pub told_leaving: Rc<Cell<u32>>,
+    pub resume_count: Rc<Cell<u32>>,
+    pub leave_requests: Rc<Cell<u32>>,
     pub paused: Rc<Cell<bool>>,
 }
 
 /// What one daemon is started with.
-pub struct NodeSetup {
+pub struct TestDaemonSetup {
     pub cx: PeerContext,
     pub seeds: Vec<SocketAddr>,
     pub listed: Option<ListedVms>,
@@ -185,7 +185,7 @@
     pub reports: Option<heatherknot_peer::reports::ReportPort>,
 }
 
-impl NodeSetup {
+impl TestDaemonSetup {
     pub fn new(vm: &str, domain: &str, time: &TestTime, network: &Network) -> Self {
         let paused = Rc::new(Cell::new(false));
         let mut cx = context(vm, domain, time);
@@ -210,13 +210,13 @@
         self
     }
 
-    pub fn start(mut self) -> Node {
-        let (resumed, told_leaving) = (Rc::new(Cell::new(0)), Rc::new(Cell::new(0)));
+    pub fn start(mut self) -> TestDaemon {
+        let (resume_count, leave_requests) = (Rc::new(Cell::new(0)), Rc::new(Cell::new(0)));
         let count = |cell: &Rc<Cell<u32>>| {
             let cell = Rc::clone(cell);
             move || cell.set(cell.get() + 1)
         };
-        let (on_resumed, on_told) = (count(&resumed), count(&told_leaving));
+        let (on_resume, on_leave_request) = (count(&resume_count), count(&leave_requests));
         let relay = Relay::new(
             self.settings.port(),
             self.store,
@@ -232,8 +232,8 @@
                 revision: Rc::new(move || held.revision()),
                 reports: self.reports,
                 hooks: MembershipHooks {
-                    on_resume: Rc::new(move |_| on_resumed()),
-                    on_leave_request: Rc::new(on_told),
+                    on_resume: Rc::new(move |_| on_resume()),
+                    on_leave_request: Rc::new(on_leave_request),
                     on_peer_revision: relay.peer_revision_hook(),
                 },
                 options: MembershipOptions::default(),
@@ -246,14 +246,14 @@
         let net = super::start(self.cx);
         membership.run(net.clone());
         relay.run(net.clone(), membership.clone());
-        Node {
+        TestDaemon {
             net,
             relay,
             settings: self.settings,
             store_cut: self.store_cut,
             membership,
-            resumed,
-            told_leaving,
+            resume_count,
+            leave_requests,
             paused: self.paused,
         }
     }
@@ -279,7 +279,7 @@
     }
 }
 
-impl Node {
+impl TestDaemon {
     pub fn address(&self) -> SocketAddr {
         self.net.me().address
     }
@@ -299,12 +299,12 @@
 }
 
 /// Starts daemons named after their domains, all of which begin with the first one's address.
-pub fn fleet(domains: &[(&str, usize)], time: &TestTime, network: &Network) -> Vec<Node> {
-    let mut nodes: Vec<Node> = Vec::new();
+pub fn fleet(domains: &[(&str, usize)], time: &TestTime, network: &Network) -> Vec<TestDaemon> {
+    let mut nodes: Vec<TestDaemon> = Vec::new();
     for (domain, count) in domains {
         for n in 0..*count {
-            let mut setup = NodeSetup::new(&format!("{domain}{n}"), domain, time, network);
-            setup.seeds.extend(nodes.first().map(Node::address));
+            let mut setup = TestDaemonSetup::new(&format!("{domain}{n}"), domain, time, network);
+            setup.seeds.extend(nodes.first().map(TestDaemon::address));
             nodes.push(setup.start());
         }
     }
@@ -317,22 +317,22 @@
     time: &TestTime,
     network: &Network,
     store: &FakeStore,
-) -> Vec<Node> {
-    let mut nodes: Vec<Node> = Vec::new();
+) -> Vec<TestDaemon> {
+    let mut nodes: Vec<TestDaemon> = Vec::new();
     for (domain, count) in domains {
         for n in 0..*count {
-            let setup = NodeSetup::new(&format!("{domain}{n}"), domain, time, network);
+            let setup = TestDaemonSetup::new(&format!("{domain}{n}"), domain, time, network);
             let mut setup = setup.with_store(store, time);
-            setup.seeds.extend(nodes.first().map(Node::address));
+            setup.seeds.extend(nodes.first().map(TestDaemon::address));
             nodes.push(setup.start());
         }
     }
-    time.until("all know all", || all_alive(&nodes)).await;
+    time.wait_until("all know all", || all_alive(&nodes)).await;
     nodes
 }
 
 /// Tells whether every daemon believes every other one to be alive.
-pub fn all_alive(nodes: &[Node]) -> bool {
+pub fn all_alive(nodes: &[TestDaemon]) -> bool {
     nodes.iter().all(|node| {
         let alive = node.membership.views().into_iter();
         alive
@@ -347,23 +347,28 @@
     domains: &[(&str, usize)],
     time: &TestTime,
     network: &Network,
-) -> Vec<Node> {
+) -> Vec<TestDaemon> {
     let nodes = fleet(domains, time, network);
-    time.until("all know all", || all_alive(&nodes)).await;
+    time.wait_until("all know all", || all_alive(&nodes)).await;
     nodes
 }
 
 /// Sets what happens to bytes between two daemons, both ways.
-pub fn set_both(network: &Network, a: &Node, b: &Node, path: Path) {
-    network.set(a.vm().as_str(), b.address(), path);
-    network.set(b.vm().as_str(), a.address(), path);
+pub fn set_path_both_ways(network: &Network, a: &TestDaemon, b: &TestDaemon, path: Path) {
+    network.set_path(a.vm().as_str(), b.address(), path);
+    network.set_path(b.vm().as_str(), a.address(), path);
 }
 
 /// Sets what happens to bytes between two groups of daemons, both ways.
-pub fn set_between(network: &Network, these: &[&Node], those: &[&Node], path: Path) {
+pub fn set_path_between(
+    network: &Network,
+    these: &[&TestDaemon],
+    those: &[&TestDaemon],
+    path: Path,
+) {
     for a in these {
         for b in those {
-            set_both(network, a, b, path);
+            set_path_both_ways(network, a, b, path);
         }
     }
 }
--- a/crates/peer/tests/support/mod.rs
+++ b/crates/peer/tests/support/mod.rs
@@ -31,7 +31,7 @@
 }
 
 /// Lets the sockets of this process make progress.
-pub async fn settle() {
+pub async fn let_sockets_progress() {
     monoio::time::sleep(Duration::from_millis(1)).await;
 }
 
@@ -97,12 +97,12 @@
     }
 
     /// Advances step by step until `done` holds.
-    pub async fn until(&self, what: &str, mut done: impl FnMut() -> bool) {
+    pub async fn wait_until(&self, what: &str, mut done: impl FnMut() -> bool) {
         for _ in 0..MAX_STEPS {
             if done() {
                 return;
             }
-            settle().await;
+            let_sockets_progress().await;
             self.advance(STEP);
         }
         panic!("never came true: {what}");
@@ -115,7 +115,7 @@
             let _ = tx.send(work.await);
         });
         let got = RefCell::new(None);
-        self.until("the work ends", || {
+        self.wait_until("the work ends", || {
             *got.borrow_mut() = rx.try_recv().expect("the work runs");
             got.borrow().is_some()
         })
@@ -124,9 +124,10 @@
     }
 
     /// Lets `span` virtual milliseconds pass.
-    pub async fn pass(&self, span: u64) {
+    pub async fn run_for(&self, span: u64) {
         let end = self.now.get() + span;
-        self.until("time passes", || self.now.get() >= end).await;
+        self.wait_until("time passes", || self.now.get() >= end)
+            .await;
     }
 }
 
@@ -138,7 +139,7 @@
     /// Drops them without a word, on connections old and new.
     Cut,
     /// Drops them on the connections that are open now and delivers those of new ones.
-    SilentOldOnly,
+    CutExisting,
 }
 
 /// The paths from each address to each other; daemons dial through it.
@@ -150,18 +151,18 @@
 
 impl Network {
     /// Sets what happens to bytes of connections that `from` opens to `to`.
-    pub fn set(&self, from: &str, to: SocketAddr, path: Path) {
+    pub fn set_path(&self, from: &str, to: SocketAddr, path: Path) {
         self.generation.set(self.generation.get() + 1);
         self.paths
             .borrow_mut()
             .insert((VmName::from(from), to), path);
     }
 
-    fn delivers(&self, from: &VmName, to: SocketAddr, born: u64) -> bool {
+    fn delivers(&self, from: &VmName, to: SocketAddr, opened_in: u64) -> bool {
         match self.paths.borrow().get(&(from.clone(), to)) {
             None | Some(Path::Open) => true,
             Some(Path::Cut) => false,
-            Some(Path::SilentOldOnly) => born >= self.generation.get(),
+            Some(Path::CutExisting) => opened_in >= self.generation.get(),
         }
     }
 
@@ -173,8 +174,8 @@
     }
 
     async fn connect(self, from: VmName, to: SocketAddr) -> std::io::Result<TcpStream> {
-        let born = self.generation.get();
-        if !self.delivers(&from, to, born) {
+        let opened_in = self.generation.get();
+        if !self.delivers(&from, to, opened_in) {
             std::future::pending::<()>().await;
         }
         let far = TcpStream::connect(to).await?;
@@ -185,16 +186,19 @@
         let (far_rd, far_wr) = far.into_split();
         let there = (self.clone(), from.clone());
         monoio::spawn(async move {
-            pump(inner_rd, far_wr, || there.0.delivers(&there.1, to, born)).await;
+            forward(inner_rd, far_wr, || {
+                there.0.delivers(&there.1, to, opened_in)
+            })
+            .await;
         });
         monoio::spawn(async move {
-            pump(far_rd, inner_wr, || self.delivers(&from, to, born)).await;
+            forward(far_rd, inner_wr, || self.delivers(&from, to, opened_in)).await;
         });
         Ok(near)
     }
 }
 
-async fn pump(
+async fn forward(
     mut rd: impl AsyncReadRent,
     mut wr: impl AsyncWriteRent,
     delivers: impl Fn() -> bool,
