--- a/crates/peer/examples/peer_fleet/baseline.rs
+++ b/crates/peer/examples/peer_fleet/baseline.rs
@@ -1,5 +1,5 @@
-//! The baseline: every daemon sends a heartbeat to every other one each second, over the same
-//! connections, with nothing else in it.
+//! Baseline for comparison: a full mesh, in which every daemon sends an empty heartbeat to every
+//! other one each second, over the same kind of connections.
 
 use std::time::Duration;
 
@@ -7,29 +7,29 @@
 use heatherknot_types::prelude::*;
 
 use crate::daemons::{add, context};
-use crate::figures::{Cost, Moved};
+use crate::figures::{Cost, TrafficTotals};
 
 const PERIOD: Duration = Duration::from_secs(1);
 const WARM_UP: Duration = Duration::from_secs(5);
-/// Time for the tasks of closed connections to end, before the next run opens its own.
-pub const CLOSING: Duration = Duration::from_secs(2);
-const SPAN: Duration = Duration::from_secs(10);
+/// Time for the tasks of closed connections to end before the next run starts.
+pub const SHUTDOWN: Duration = Duration::from_secs(2);
+const MEASUREMENT: Duration = Duration::from_secs(10);
 
-/// Gives what one daemon of a full mesh costs a second.
+/// Returns the cost per second of one daemon in a full mesh.
 pub async fn full_mesh(size: usize) -> Cost {
     let nets: Vec<_> = (0..size).map(start).collect();
     for net in &nets {
         for other in nets.iter().filter(|other| other.me() != net.me()) {
             net.learn(&other.me()).expect("each is known once");
         }
-        monoio::spawn(beat(net.clone(), nets.clone()));
+        monoio::spawn(send_heartbeats(net.clone(), nets.clone()));
     }
     monoio::time::sleep(WARM_UP).await;
-    let before = Cost::mark(traffic(&nets));
-    monoio::time::sleep(SPAN).await;
-    let cost = before.until_now(traffic(&nets), size);
+    let before = Cost::start_measuring(traffic(&nets));
+    monoio::time::sleep(MEASUREMENT).await;
+    let cost = before.finish(traffic(&nets), size);
     nets.iter().for_each(PeerNet::close);
-    monoio::time::sleep(CLOSING).await;
+    monoio::time::sleep(SHUTDOWN).await;
     cost
 }
 
@@ -40,7 +40,7 @@
     PeerNet::start(cx).expect("listening on loopback")
 }
 
-async fn beat(net: PeerNet, others: Vec<PeerNet>) {
+async fn send_heartbeats(net: PeerNet, others: Vec<PeerNet>) {
     let me = net.me().vm;
     let names: Vec<VmName> = others.iter().map(|other| other.me().vm).collect();
     drop(others);
@@ -50,7 +50,7 @@
             let (net, vm) = (net.clone(), vm.clone());
             monoio::spawn(async move {
                 let opts = CallOptions::quick(Millis(1_500));
-                // A heartbeat that fails costs as much as one that is answered.
+                // A failed heartbeat costs as much as an answered one.
                 let _ = net.call_with::<_, ()>(&vm, "h", &(), opts).await;
             });
         }
@@ -58,8 +58,8 @@
     }
 }
 
-fn traffic(nets: &[PeerNet]) -> Moved {
-    let mut moved = Moved::default();
+fn traffic(nets: &[PeerNet]) -> TrafficTotals {
+    let mut moved = TrafficTotals::default();
     nets.iter().for_each(|net| add(&mut moved, net));
     moved
 }
--- a/crates/peer/examples/peer_fleet/daemons.rs
+++ b/crates/peer/examples/peer_fleet/daemons.rs
@@ -1,5 +1,5 @@
-//! The daemons of one run: connections, heartbeats, load reports and the relay of settings,
-//! over a store that is a cell of this process.
+//! The fleet of daemons of one run, with connections, heartbeats, load reports and the relay of
+//! settings. The store is simulated by a cell in this process.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeSet;
@@ -16,14 +16,15 @@
 use heatherknot_types::prelude::*;
 use monoio::net::TcpStream;
 
-use crate::figures::Moved;
+use crate::figures::TrafficTotals;
 
 pub const DOMAINS: usize = 8;
 
-/// Bytes of one change of settings.
+/// Size of a change of settings, in bytes.
 const CHANGE_BYTES: usize = 700;
-/// Values of one load report, and how often a daemon reports.
+/// Number of values in a load report.
 const LOADS: usize = 6;
+/// Interval between load reports of a daemon.
 const REPORT_PERIOD: Duration = Duration::from_secs(5);
 
 pub struct Daemon {
@@ -38,9 +39,10 @@
     daemons: Vec<Daemon>,
     store: Rc<Cell<Revision>>,
     vanished: Rc<RefCell<BTreeSet<SocketAddr>>>,
-    /// The domains that can't reach the store.
+    /// Failure domains that cannot reach the store.
     cut_off: Rc<RefCell<BTreeSet<DomainName>>>,
-    lost: Moved,
+    /// Traffic of the daemons that have been stopped.
+    stopped_traffic: TrafficTotals,
 }
 
 fn change(revision: Revision) -> RelayedChange {
@@ -68,7 +70,7 @@
 }
 
 impl Fleet {
-    /// A watch that answers as soon as there is more, looking every 5 ms.
+    /// Returns a simulated watch of the store, which checks for new changes every 5 ms.
     fn store_port(&self, domain: &str) -> StorePort {
         let store = Rc::clone(&self.store);
         let cut_off = Rc::clone(&self.cut_off);
@@ -90,7 +92,7 @@
         }
     }
 
-    /// Cuts the first domain off from the store, or ends the cut.
+    /// Cuts the first domain off from the store, or reconnects it.
     pub fn cut_off(&self, cut: bool) {
         let mut cut_off = self.cut_off.borrow_mut();
         cut_off.clear();
@@ -100,7 +102,7 @@
     }
 }
 
-/// Opens connections, but not to VMs that have vanished: nothing comes back from those.
+/// Returns a function that opens connections. Connecting to a VM that has vanished hangs.
 fn dial(vanished: &Rc<RefCell<BTreeSet<SocketAddr>>>) -> Dial {
     let vanished = Rc::clone(vanished);
     Rc::new(move |to| {
@@ -149,7 +151,7 @@
             store: Rc::new(Cell::new(Revision(1))),
             vanished: Rc::default(),
             cut_off: Rc::default(),
-            lost: Moved::default(),
+            stopped_traffic: TrafficTotals::default(),
         };
         for n in 0..size {
             let daemon = fleet.start_daemon(n);
@@ -211,8 +213,8 @@
         }
     }
 
-    /// Gives the age of each report that a daemon has of another of its domain, in
-    /// milliseconds; one that it does not have counts as infinitely old.
+    /// Returns the ages of the reports that each daemon has of the others in its domain, in
+    /// milliseconds. A missing report counts as infinitely old.
     pub fn report_ages(&self) -> Vec<f64> {
         let mut ages = Vec::new();
         for daemon in &self.daemons {
@@ -236,8 +238,8 @@
         })
     }
 
-    pub fn traffic(&self) -> Moved {
-        let mut moved = self.lost;
+    pub fn traffic(&self) -> TrafficTotals {
+        let mut moved = self.stopped_traffic;
         for daemon in &self.daemons {
             add(&mut moved, &daemon.net);
         }
@@ -267,27 +269,28 @@
             .all(|daemon| daemon.revision.get() >= revision)
     }
 
-    /// Draws a daemon of the domain that has most: a domain needs some to notice.
-    fn draw(&self) -> usize {
-        let mates = |n: usize| {
+    /// Returns the index of a random daemon of a largest domain, because a failure is detected by
+    /// other daemons of the domain.
+    fn choose_daemon(&self) -> usize {
+        let domain_size = |n: usize| {
             let domain = self.daemons[n].net.me().domain;
             let same = |daemon: &&Daemon| daemon.net.me().domain == domain;
             self.daemons.iter().filter(same).count()
         };
-        let drawn = (0..self.len()).max_by_key(|n| (mates(*n), fastrand::u64(..)));
-        drawn.expect("a fleet")
+        let chosen = (0..self.len()).max_by_key(|n| (domain_size(*n), fastrand::u64(..)));
+        chosen.expect("a fleet")
     }
 
-    /// Takes a daemon away: its process ends and its address refuses, or its VM vanishes and
-    /// nothing comes back from its address.
-    pub fn lose_one(&mut self, silently: bool) -> VmName {
-        let daemon = self.daemons.swap_remove(self.draw());
+    /// Stops a daemon and returns its name. If `silently` is set, its VM vanishes and connecting to
+    /// its address hangs; otherwise its process ends and its address refuses connections.
+    pub fn stop_one(&mut self, silently: bool) -> VmName {
+        let daemon = self.daemons.swap_remove(self.choose_daemon());
         let me = daemon.net.me();
         if silently {
             self.vanished.borrow_mut().insert(me.address);
         }
         daemon.net.close();
-        add(&mut self.lost, &daemon.net);
+        add(&mut self.stopped_traffic, &daemon.net);
         me.vm
     }
 
@@ -314,7 +317,7 @@
     }
 }
 
-pub fn add(moved: &mut Moved, net: &PeerNet) {
+pub fn add(moved: &mut TrafficTotals, net: &PeerNet) {
     let traffic = net.traffic();
     moved.bytes += traffic.bytes_in.get() + traffic.bytes_out.get();
     moved.messages += traffic.frames_in.get() + traffic.frames_out.get();
--- a/crates/peer/examples/peer_fleet/figures.rs
+++ b/crates/peer/examples/peer_fleet/figures.rs
@@ -1,36 +1,36 @@
-//! Figures of one run and how they are printed.
+//! Measurements of one run and their output.
 
 use std::fmt;
 use std::time::Instant;
 
-/// Bytes and messages over all daemons, both directions.
+/// Bytes and messages of all daemons, in both directions.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Moved {
+pub struct TrafficTotals {
     pub bytes: u64,
     pub messages: u64,
 }
 
-/// What one daemon costs a second.
+/// Cost of one daemon per second.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Cost {
-    /// Bytes sent and received, headers of messages included, those of TCP and IP not.
+    /// Bytes sent and received, including message headers but not TCP and IP headers.
     pub bytes: f64,
     /// Messages sent and received.
     pub messages: f64,
-    /// Per cent of a core.
+    /// CPU time in per cent of a core.
     pub cpu: f64,
 }
 
-/// The beginning of a measurement.
-pub struct Mark {
+/// The state at the beginning of a measurement.
+pub struct Measurement {
     at: Instant,
-    moved: Moved,
+    moved: TrafficTotals,
     cpu_ns: u64,
 }
 
 impl Cost {
-    pub fn mark(moved: Moved) -> Mark {
-        Mark {
+    pub fn start_measuring(moved: TrafficTotals) -> Measurement {
+        Measurement {
             at: Instant::now(),
             moved,
             cpu_ns: cpu_ns(),
@@ -38,8 +38,8 @@
     }
 }
 
-impl Mark {
-    pub fn until_now(&self, moved: Moved, daemons: usize) -> Cost {
+impl Measurement {
+    pub fn finish(&self, moved: TrafficTotals, daemons: usize) -> Cost {
         let span = self.at.elapsed().as_secs_f64() * daemons as f64;
         Cost {
             bytes: (moved.bytes - self.moved.bytes) as f64 / span,
@@ -49,19 +49,20 @@
     }
 }
 
-/// Gives the time that this thread, the only one, has run, by the kernel's account.
+/// Returns the CPU time of this process in nanoseconds, as accounted by the kernel. The process has
+/// only one thread.
 fn cpu_ns() -> u64 {
     let stat = std::fs::read_to_string("/proc/self/schedstat").unwrap_or_default();
     let first = stat.split_whitespace().next();
     first.and_then(|ns| ns.parse().ok()).unwrap_or_default()
 }
 
-/// The middle and the ends of repeated measurements.
+/// Minimum, median and maximum of repeated measurements.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Spread {
-    pub least: f64,
+    pub min: f64,
     pub median: f64,
-    pub most: f64,
+    pub max: f64,
 }
 
 impl Spread {
@@ -69,20 +70,16 @@
         values.sort_by(f64::total_cmp);
         let at = |n: usize| values.get(n).copied().unwrap_or(f64::NAN);
         Self {
-            least: at(0),
+            min: at(0),
             median: at(values.len() / 2),
-            most: at(values.len().saturating_sub(1)),
+            max: at(values.len().saturating_sub(1)),
         }
     }
 }
 
 impl fmt::Display for Spread {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(
-            f,
-            "{:.0} ({:.0}..{:.0})",
-            self.median, self.least, self.most
-        )
+        write!(f, "{:.0} ({:.0}..{:.0})", self.median, self.min, self.max)
     }
 }
 
@@ -96,19 +93,20 @@
     }
 }
 
-/// The figures of one fleet size.
+/// The results for one fleet size.
 pub struct Row {
     pub size: usize,
     pub joined: f64,
-    pub rest: Cost,
-    /// Connections that a daemon opened, and that it accepted, on average.
+    pub idle: Cost,
+    /// Average number of outgoing and incoming connections of a daemon.
     pub connections: (f64, f64),
     pub watchers: usize,
     /// Age of a report of a VM of the same domain, in milliseconds.
     pub report_age: Spread,
     pub change: f64,
+    /// Time until a change is in force on all daemons, in milliseconds.
     pub in_force: Spread,
-    /// The same while one domain can't reach the store.
+    /// The same while one domain cannot reach the store.
     pub cut_off: Spread,
     pub killed_suspect: Spread,
     pub killed_gone: Spread,
@@ -125,7 +123,7 @@
 
 impl fmt::Display for Row {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "| {} | {:.0} | {} ", self.size, self.joined, self.rest)?;
+        write!(f, "| {} | {:.0} | {} ", self.size, self.joined, self.idle)?;
         write!(f, "| {:.1}, {:.1} ", self.connections.0, self.connections.1)?;
         write!(f, "| {} ", self.report_age)?;
         write!(
@@ -138,14 +136,18 @@
     }
 }
 
-/// Gives the slope and the intercept of the line through the points by least squares.
-pub fn slope(points: impl Iterator<Item = (f64, f64)>) -> (f64, f64) {
+/// Returns the slope and the intercept of the least-squares line through the points.
+pub fn fit_line(points: impl Iterator<Item = (f64, f64)>) -> (f64, f64) {
     let points: Vec<_> = points.collect();
     let n = points.len() as f64;
     let mean_x = points.iter().map(|p| p.0).sum::<f64>() / n;
     let mean_y = points.iter().map(|p| p.1).sum::<f64>() / n;
-    let above: f64 = points.iter().map(|p| (p.0 - mean_x) * (p.1 - mean_y)).sum();
-    let below: f64 = points.iter().map(|p| (p.0 - mean_x).powi(2)).sum();
-    let grows = if below > 0.0 { above / below } else { 0.0 };
-    (grows, mean_y - grows * mean_x)
+    let numerator: f64 = points.iter().map(|p| (p.0 - mean_x) * (p.1 - mean_y)).sum();
+    let denominator: f64 = points.iter().map(|p| (p.0 - mean_x).powi(2)).sum();
+    let slope = if denominator > 0.0 {
+        numerator / denominator
+    } else {
+        0.0
+    };
+    (slope, mean_y - slope * mean_x)
 }
--- a/crates/peer/examples/peer_fleet/main.rs
+++ b/crates/peer/examples/peer_fleet/main.rs
@@ -1,11 +1,12 @@
-//! Measures a fleet of daemons in one process on loopback, with the real clock: what
-//! heartbeats and the relay of settings cost at rest, how soon a lost VM is found, how soon a
-//! change is in force, and the same heartbeats as a full mesh.
+//! Measures a fleet of daemons in one process on loopback, with the real clock: the cost of
+//! heartbeats and the relay of settings while nothing changes, the time until a lost VM is
+//! detected, the time until a change is in force, and for comparison the cost of heartbeats in a
+//! full mesh.
 //!
 //! `cargo run --release -p heatherknot-peer --example peer_fleet -- 32 64 128 192`
 //!
-//! Each size takes about two minutes, and the run ends by itself. Both ends of each
-//! connection count against one process's limit of open files, which bounds the sizes.
+//! Each fleet size takes about two minutes. The size is limited by the number of open files of a
+//! process, because both ends of each connection are in this process.
 
 mod baseline;
 mod daemons;
@@ -15,17 +16,20 @@
 
 use baseline::full_mesh;
 use daemons::{DOMAINS, Fleet};
-use figures::{Cost, Row, Spread, slope};
+use figures::{Cost, Row, Spread, fit_line};
 
-/// The daemons that the system is built for.
+/// Number of daemons that the system is designed for.
 const FULL_SIZE: f64 = 570.0;
+/// Time for the updates of the start to spread.
 const SETTLING: Duration = Duration::from_secs(30);
-const REST: Duration = Duration::from_secs(15);
+/// Duration of the measurement without changes.
+const IDLE: Duration = Duration::from_secs(15);
 const LOSSES: usize = 4;
 const CHANGES: usize = 10;
-/// The full mesh opens a connection for each pair and direction, so it is measured at sizes
-/// of its own.
+/// Fleet sizes of the full mesh, which opens a connection for each pair and direction and therefore
+/// cannot be measured at the same sizes.
 const MESH_SIZES: [usize; 4] = [16, 32, 48, 64];
+/// Time after which waiting for a condition gives up.
 const LIMIT: Duration = Duration::from_secs(60);
 
 fn main() {
@@ -41,8 +45,8 @@
     let fit = |name, value: fn(&Row) -> f64| {
         print_slope(name, rows.iter().map(|row| (row.size as f64, value(row))));
     };
-    fit("bytes/s at rest", |row| row.rest.bytes);
-    fit("CPU % at rest", |row| row.rest.cpu);
+    fit("bytes/s at rest", |row| row.idle.bytes);
+    fit("CPU % at rest", |row| row.idle.cpu);
     fit("ms to in force", |row| row.in_force.median);
     fit("ms to gone everywhere, process killed", |row| {
         row.killed_gone.median
@@ -67,9 +71,9 @@
 }
 
 fn print_slope(name: &str, points: impl Iterator<Item = (f64, f64)>) {
-    let (grows, base) = slope(points);
-    let at = base + grows * FULL_SIZE;
-    println!("{name}: {base:.3} + {grows:.5} a daemon; at {FULL_SIZE}: {at:.3}");
+    let (slope, base) = fit_line(points);
+    let at = base + slope * FULL_SIZE;
+    println!("{name}: {base:.3} + {slope:.5} a daemon; at {FULL_SIZE}: {at:.3}");
 }
 
 fn runtime() -> monoio::Runtime<monoio::time::TimeDriver<monoio::LegacyDriver>> {
@@ -88,9 +92,8 @@
 async fn measure_fleet(size: usize) -> Row {
     let mut fleet = Fleet::start(size);
     let joined = until(|| fleet.all_know_all()).await;
-    // The news of the start are old by then.
     monoio::time::sleep(SETTLING).await;
-    let rest = cost(&fleet, REST).await;
+    let idle = cost(&fleet, IDLE).await;
     let connections = fleet.connections();
     let watchers = fleet.watchers();
     let report_age = Spread::of(fleet.report_ages());
@@ -105,11 +108,11 @@
         vanished.measure(&mut fleet, true).await;
     }
     fleet.stop();
-    monoio::time::sleep(baseline::CLOSING).await;
+    monoio::time::sleep(baseline::SHUTDOWN).await;
     Row {
         size,
         joined,
-        rest,
+        idle,
         connections,
         watchers,
         report_age,
@@ -123,26 +126,27 @@
     }
 }
 
-/// Waits until something holds, and gives how long it took in milliseconds.
+/// Waits until `done` returns true. Returns the elapsed time in milliseconds, or NaN after
+/// [`LIMIT`].
 async fn until(mut done: impl FnMut() -> bool) -> f64 {
-    let begun = Instant::now();
+    let started_at = Instant::now();
     while !done() {
-        if begun.elapsed() > LIMIT {
+        if started_at.elapsed() > LIMIT {
             return f64::NAN;
         }
         monoio::time::sleep(Duration::from_millis(5)).await;
     }
-    begun.elapsed().as_secs_f64() * 1_000.0
+    started_at.elapsed().as_secs_f64() * 1_000.0
 }
 
 async fn cost(fleet: &Fleet, span: Duration) -> Cost {
-    let before = Cost::mark(fleet.traffic());
+    let before = Cost::start_measuring(fleet.traffic());
     monoio::time::sleep(span).await;
-    before.until_now(fleet.traffic(), fleet.len())
+    before.finish(fleet.traffic(), fleet.len())
 }
 
-/// Gives the milliseconds until a change is in force everywhere, and the bytes that a daemon
-/// sent and received for one beyond those at rest.
+/// Returns the time in milliseconds until a change is in force on all daemons, and the bytes that a
+/// daemon sent and received in that time, as the median over all changes.
 async fn measure_changes(fleet: &Fleet) -> (Spread, f64) {
     let mut times = Vec::new();
     let mut bytes = Vec::new();
@@ -164,10 +168,11 @@
 }
 
 impl Losses {
-    /// Takes one daemon away and waits until somebody suspects it and all count it gone.
+    /// Stops one daemon and measures the time until any other suspects it and until all consider it
+    /// gone.
     async fn measure(&mut self, fleet: &mut Fleet, silently: bool) {
         let begun = Instant::now();
-        let vm = fleet.lose_one(silently);
+        let vm = fleet.stop_one(silently);
         until(|| fleet.anybody_suspects(&vm)).await;
         self.suspect.push(begun.elapsed().as_secs_f64() * 1_000.0);
         until(|| fleet.all_count_gone(&vm)).await;
--- a/crates/peer/src/auth.rs
+++ b/crates/peer/src/auth.rs
@@ -1,9 +1,9 @@
-//! Proof between two daemons that both belong to the deployment.
+//! Mutual authentication of two daemons by the deployment's shared secret.
 //!
-//! The client says who it is and sends a nonce; the server answers with its own identity,
-//! its own nonce and a code over both; the client answers with a code over the same. The
-//! codes are HMAC-SHA256 under the deployment's secret. Each nonce is fresh, so nothing
-//! recorded from an earlier connection proves anything on a later one.
+//! The client sends its identity and a nonce. The server answers with its own identity, its own
+//! nonce and a proof; the client answers with its proof. Each proof is an HMAC-SHA256 code, keyed
+//! with the deployment's secret, over both identities and nonces. The nonces are fresh, so a
+//! handshake recorded on one connection cannot be replayed on another.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -17,25 +17,26 @@
 
 /// The version of the handshake and of the messages after it.
 pub const WIRE_VERSION: u8 = 1;
-/// The largest message of the handshake, in bytes.
+/// Maximum length of a handshake message, in bytes.
 pub const HANDSHAKE_LIMIT: usize = 1024;
 
 const NONCE_BYTES: usize = 16;
-/// Bytes of a token: 128 bits, as in a message's code.
+/// Length of a token in bytes: 128 bits, as for a message's MAC.
 const TOKEN_BYTES: usize = 16;
 
-/// The secret that all daemons of one deployment share; never logged.
+/// The secret shared by all daemons of a deployment; never logged.
 #[derive(Clone)]
 pub struct Secret(Vec<u8>);
 
 impl Secret {
-    /// Makes a secret from its bytes.
+    /// Creates a secret from its bytes.
     pub fn new(bytes: impl Into<Vec<u8>>) -> Self {
         Self(bytes.into())
     }
 
-    /// Gives a word that only holders of the secret can make, one for each `purpose`. Whoever reads
-    /// it on the way can use it as well, so it proves less than the handshake does.
+    /// Returns a bearer token for `purpose`, which only holders of the secret can compute.
+    ///
+    /// Anyone who intercepts the token can use it, so it is weaker than the handshake.
     pub fn token(&self, purpose: &str) -> String {
         let mut mac = self.mac();
         push_mac(&mut mac, b"token");
@@ -56,7 +57,7 @@
     }
 }
 
-/// Who a daemon is, as it proves it to its peers.
+/// The identity of a daemon, which the handshake authenticates.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PeerId {
     /// The VM.
@@ -65,38 +66,38 @@
     /// The VM's failure domain.
     #[serde(rename = "d")]
     pub domain: DomainName,
-    /// The run of the daemon.
+    /// The incarnation of the daemon process.
     #[serde(rename = "i")]
     pub incarnation: Incarnation,
-    /// Orders the incarnations of one VM: the later one has the higher epoch.
+    /// Orders the incarnations of one VM: a later one has a higher epoch.
     #[serde(rename = "e")]
     pub epoch: u64,
-    /// Where the daemon listens for its peers.
+    /// Address on which the daemon listens for its peers.
     #[serde(rename = "a")]
     pub address: SocketAddr,
-    /// Where the daemon listens for callers, if it takes any.
+    /// Address on which the daemon listens for callers, if it does.
     #[serde(rename = "c", default, skip_serializing_if = "Option::is_none")]
     pub callers: Option<SocketAddr>,
 }
 
-/// Why one end refused the other.
+/// Reason why one end of a connection refused the other.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum HandshakeRefusal {
-    /// The other end does not hold the deployment's secret.
+    /// The other end did not prove that it holds the deployment's secret.
     #[snafu(display("the peer did not prove that it holds the deployment's secret"))]
     BadProof,
     /// The other end belongs to another deployment.
     #[snafu(display("the peer belongs to another deployment"))]
     WrongDeployment,
-    /// The other end speaks another version.
-    #[snafu(display("the peer speaks another version of the messages"))]
+    /// The other end uses another protocol version.
+    #[snafu(display("the peer uses another protocol version"))]
     WrongVersion,
     /// Another VM answered at the address.
     #[snafu(display("another VM answered at the address"))]
     WrongVm,
     /// A later incarnation of the same VM is known.
-    #[snafu(display("incarnation {} of VM {} has taken over", by.incarnation, by.vm))]
+    #[snafu(display("superseded by incarnation {} of VM {}", by.incarnation, by.vm))]
     Superseded {
         /// The later incarnation.
         by: Box<PeerId>,
@@ -104,22 +105,22 @@
     /// Too many connections are open.
     #[snafu(display("the peer has too many connections"))]
     Busy,
-    /// A message of the handshake could not be read.
-    #[snafu(display("a message of the handshake could not be read"))]
+    /// A handshake message could not be decoded.
+    #[snafu(display("a handshake message could not be decoded"))]
     Malformed,
 }
 
-/// One end's fresh random number.
+/// A random number that one end generates for each handshake.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Nonce([u8; NONCE_BYTES]);
 
 impl Nonce {
-    /// Draws a number from the operating system.
+    /// Generates a nonce with the operating system's random number generator.
     ///
     /// # Panics
     ///
-    /// Panics where the operating system gives no random bytes.
+    /// Panics if the operating system provides no random bytes.
     pub fn random() -> Self {
         let mut bytes = [0; NONCE_BYTES];
         getrandom::fill(&mut bytes).expect("the operating system gives random bytes");
@@ -127,19 +128,19 @@
     }
 }
 
-/// A code over the transcript of a handshake, in hexadecimal digits.
+/// HMAC over the transcript of a handshake, in hexadecimal digits.
 pub type ProofCode = String;
 
 /// The client's first message.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Hello {
-    /// The version of the messages.
+    /// The protocol version.
     #[serde(rename = "w")]
     pub version: u8,
     /// The deployment.
     #[serde(rename = "n")]
     pub deployment: String,
-    /// Who the client is.
+    /// The client's identity.
     #[serde(rename = "c")]
     pub client: PeerId,
     /// The client's nonce.
@@ -153,33 +154,34 @@
     /// The server proves its identity.
     #[serde(rename = "w")]
     Proof {
-        /// Who the server is.
+        /// The server's identity.
         #[serde(rename = "s")]
         server: PeerId,
         /// The server's nonce.
         #[serde(rename = "r")]
         nonce: Nonce,
-        /// The server's code.
+        /// The server's proof.
         #[serde(rename = "m")]
         code: ProofCode,
     },
-    /// The server refuses; not authenticated, so the client learns nothing else from it.
+    /// The server refuses the client. The refusal is not authenticated, so the client must not
+    /// rely on it beyond closing the connection.
     #[serde(rename = "x")]
     Refused(HandshakeRefusal),
 }
 
-/// The client's proof.
+/// The client's answer to [`Welcome::Proof`].
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Proof {
-    /// The client's code.
+    /// The client's proof.
     #[serde(rename = "m")]
     pub code: ProofCode,
 }
 
-/// The server's last word, sent under the connection's keys.
+/// The server's decision on the client, authenticated with the connection's keys.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum Verdict {
-    /// The connection is open.
+    /// The client's identity is accepted.
     #[serde(rename = "y")]
     Accepted,
     /// The client's identity is refused.
@@ -187,7 +189,7 @@
     Refused(HandshakeRefusal),
 }
 
-/// The keys of one connection, one for each direction.
+/// The MAC keys of one connection, one for each direction.
 #[derive(Clone)]
 pub struct SessionKeys {
     /// For messages from the client.
@@ -196,14 +198,14 @@
     pub server: MacState,
 }
 
-/// Everything that both ends bind their proof to.
+/// The handshake data that both proofs cover.
 pub struct Transcript {
     bytes: Vec<u8>,
 }
 
 impl Transcript {
-    /// Joins both identities and nonces, each field with its length in front so that no two
-    /// transcripts have the same bytes.
+    /// Encodes both identities and nonces. Each field is prefixed with its length, so different
+    /// transcripts never have the same encoding.
     pub fn new(deployment: &str, client: (&PeerId, Nonce), server: (&PeerId, Nonce)) -> Self {
         let mut bytes = vec![WIRE_VERSION];
         push_field(&mut bytes, deployment.as_bytes());
@@ -227,13 +229,14 @@
         mac
     }
 
-    /// Gives the code that an end in `role` proves itself with.
+    /// Returns the proof of the end with the given role.
     pub fn code(&self, secret: &Secret, role: Role) -> ProofCode {
         let full = self.mac(secret, role.label()).finalize().into_bytes();
         full.iter().map(|byte| format!("{byte:02x}")).collect()
     }
 
-    /// Tells whether `code` is that of an end in `role`, in constant time.
+    /// Returns whether `code` is the proof of the end with the given role. Compares in constant
+    /// time.
     pub fn verify(&self, secret: &Secret, role: Role, code: &str) -> bool {
         let Some(raw) = from_hex(code) else {
             return false;
@@ -241,7 +244,7 @@
         self.mac(secret, role.label()).verify_slice(&raw).is_ok()
     }
 
-    /// Derives the keys of the connection.
+    /// Derives the MAC keys of the connection.
     pub fn keys(&self, secret: &Secret) -> SessionKeys {
         SessionKeys {
             client: self.key(secret, "key of the client"),
@@ -255,8 +258,8 @@
     }
 }
 
-/// The two ends of a connection. A code of one never passes as that of the other, so a
-/// message sent back to its author proves nothing.
+/// The role of one end of a connection. The two roles have different proofs, so an attacker
+/// cannot authenticate by reflecting an end's own proof.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
     /// The end that opened the connection.
--- a/crates/peer/src/change_log.rs
+++ b/crates/peer/src/change_log.rs
@@ -1,4 +1,4 @@
-//! The last changes in force, kept to answer peers that are a little behind.
+//! Log of the most recent changes, from which peers that lag behind are served.
 
 use std::collections::VecDeque;
 
@@ -6,7 +6,7 @@
 
 use crate::settings_port::RelayedChange;
 
-/// The last changes in force, bounded in bytes.
+/// The most recent changes with consecutive revisions, limited in total size.
 pub(crate) struct ChangeLog {
     changes: VecDeque<RelayedChange>,
     bytes: usize,
@@ -22,7 +22,7 @@
         }
     }
 
-    /// Adds a change that follows the last one, or starts anew where it does not.
+    /// Appends a change. If its revision does not follow the last one, the log is cleared first.
     pub(crate) fn push(&mut self, change: RelayedChange) {
         let follows = |last: &RelayedChange| last.revision.next() == change.revision;
         if !self.changes.back().is_none_or(follows) {
@@ -43,8 +43,8 @@
         self.bytes = 0;
     }
 
-    /// Gives the changes that follow `since`, as many as fit in `max_bytes`, or nothing where
-    /// the first of them is not here or does not fit.
+    /// Returns the changes that follow `since`, as many as fit in `max_bytes`. Returns `None` if
+    /// the first of them is not in the log or does not fit.
     pub(crate) fn since(&self, since: Revision, max_bytes: usize) -> Option<Vec<RelayedChange>> {
         let first = self.changes.front()?.revision;
         let skip = since.next().0.checked_sub(first.0)?;
--- a/crates/peer/src/change_log/tests.rs
+++ b/crates/peer/src/change_log/tests.rs
@@ -22,15 +22,16 @@
 }
 
 #[test]
-fn changes_that_follow_are_given_in_order() {
+fn later_changes_are_returned_in_order() {
     let log = log(1..=5);
 
     assert_eq!(since(&log, 2, 1_000), Some(vec![3, 4, 5]));
     assert_eq!(since(&log, 0, 250), Some(vec![1, 2]));
 }
 
+/// Guards against answering with changes that do not directly follow the requested revision.
 #[test]
-fn a_gap_is_told_from_nothing_new() {
+fn nothing_is_returned_if_the_next_change_is_missing() {
     let log = log(4..=5);
 
     assert_eq!(since(&log, 2, 1_000), None);
@@ -40,7 +41,7 @@
 }
 
 #[test]
-fn the_oldest_changes_make_room() {
+fn the_oldest_changes_are_evicted_first() {
     let log = log(1..=30);
 
     assert_eq!(since(&log, 19, 10_000), None);
@@ -48,7 +49,7 @@
 }
 
 #[test]
-fn a_change_that_does_not_follow_starts_anew() {
+fn a_change_after_a_gap_clears_the_log() {
     let mut log = log(1..=5);
 
     log.push(change(9, 100));
--- a/crates/peer/src/error.rs
+++ b/crates/peer/src/error.rs
@@ -1,4 +1,4 @@
-//! Errors of calls between daemons: the step, the peer, and whether the call may have run.
+//! Errors of calls between daemons: the failed step, the peer, and whether the call may have run.
 
 use std::fmt;
 
@@ -8,18 +8,18 @@
 use crate::auth::HandshakeRefusal;
 use crate::frame::FrameError;
 
-/// The step of a call at which an error arose.
+/// The step of a call that failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Step {
-    /// Finding the address of a VM.
+    /// Looking up the address of a VM.
     Resolve,
-    /// Waiting for the connection's turn.
+    /// Waiting in the peer's call queue.
     Queue,
     /// Opening the TCP connection.
     Connect,
-    /// Proving both ends' identity.
+    /// Authenticating both ends.
     Handshake,
-    /// Writing the message.
+    /// Writing the request.
     Send,
     /// Waiting for the answer.
     Answer,
@@ -42,9 +42,9 @@
 /// Whether the peer may have run a call that failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Handled {
-    /// No byte of the call reached the peer, or the peer said that it did not run it.
+    /// The call was not written, or the peer reported that it did not run it.
     No,
-    /// The call was written and its answer was lost.
+    /// The call was written and no answer was received.
     Maybe,
     /// The peer ran the call and answered with an error.
     Yes,
@@ -59,43 +59,43 @@
     /// The operating system reported an error.
     #[snafu(display("{message}"))]
     Io {
-        /// The operating system's text.
+        /// The operating system's error message.
         message: String,
     },
-    /// Either end refused the other's identity.
+    /// One end rejected the other's identity.
     #[snafu(display("{refusal}"))]
     Refused {
-        /// What was refused.
+        /// The reason for the refusal.
         refusal: HandshakeRefusal,
     },
-    /// The connection ended or broke its framing.
+    /// The connection ended or received an invalid frame.
     #[snafu(display("{frame}"))]
     Frame {
-        /// What the connection reported.
+        /// The framing error.
         frame: FrameError,
     },
-    /// The time for the call ran out.
+    /// The timeout of the call, the connect or the handshake expired.
     #[snafu(display("no answer within {timeout}"))]
     Timeout {
-        /// The time allowed.
+        /// The timeout.
         timeout: Millis,
     },
-    /// The connection stayed open and carried nothing more.
-    #[snafu(display("the connection went silent for {span}"))]
+    /// The connection is open, but nothing was received, or a write did not finish in time.
+    #[snafu(display("the connection made no progress for {span}"))]
     Silent {
-        /// How long no byte arrived.
+        /// Time without progress.
         span: Millis,
     },
-    /// Too many calls wait for this peer.
+    /// Too many calls to this peer are outstanding.
     #[snafu(display("{waiting} calls already wait for this peer"))]
     QueueFull {
-        /// Calls that wait.
+        /// Number of outstanding calls.
         waiting: usize,
     },
-    /// The process at the address is another incarnation than the call was meant for.
+    /// The process at the address is not the incarnation that the call requires.
     #[snafu(display("expected incarnation {expected}, found {found}"))]
     WrongIncarnation {
-        /// The incarnation that the call names.
+        /// The incarnation that the call requires.
         expected: Incarnation,
         /// The incarnation that answered.
         found: Incarnation,
@@ -105,17 +105,17 @@
     Answered {
         /// The JSON-RPC error code.
         code: i32,
-        /// The peer's text.
+        /// The peer's error message.
         message: String,
     },
-    /// A value could not be written as JSON, or the answer not read from it.
+    /// A value could not be encoded as JSON, or an answer could not be decoded.
     #[snafu(display("{message}"))]
     Json {
-        /// What the codec reported.
+        /// The error message of the codec.
         message: String,
     },
-    /// This daemon's connections are being closed.
-    #[snafu(display("this daemon closes its connections"))]
+    /// This daemon is closing its connections.
+    #[snafu(display("this daemon is closing its connections"))]
     Closing,
 }
 
@@ -123,13 +123,13 @@
 #[derive(Clone, Debug, Snafu)]
 #[snafu(display("{step} failed for peer {peer}: {source}"))]
 pub struct PeerError {
-    /// Where it failed.
+    /// The step that failed.
     pub step: Step,
-    /// The VM's name, or its address where the name is not known.
+    /// The VM's name, or the address if the name is not known.
     pub peer: String,
     /// Whether the peer may have run the call.
     pub handled: Handled,
-    /// Why it failed.
+    /// The cause of the failure.
     pub source: Cause,
 }
 
--- a/crates/peer/src/frame.rs
+++ b/crates/peer/src/frame.rs
@@ -1,5 +1,7 @@
-//! Length-delimited messages on a TCP connection, each with a sequence number and a
-//! message authentication code once the handshake has agreed on keys.
+//! Length-delimited messages on a TCP connection.
+//!
+//! After the handshake, each message has a sequence number and a message authentication code
+//! (MAC).
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -12,13 +14,13 @@
 use sha2::Sha256;
 use snafu::Snafu;
 
-/// The keyed hash of messages and of the handshake.
+/// HMAC state used for messages and the handshake.
 pub type MacState = Hmac<Sha256>;
 
 const LEN_BYTES: usize = 4;
 const SEQ_BYTES: usize = 8;
 const MAC_BYTES: usize = 16;
-/// Bytes in front of each message of an authenticated connection.
+/// Length of the header of each message of an authenticated connection, in bytes.
 pub const HEADER_BYTES: usize = LEN_BYTES + SEQ_BYTES + MAC_BYTES;
 
 /// Why a message could not be read or written.
@@ -30,36 +32,36 @@
     /// The operating system reported an error.
     #[snafu(display("{message}"))]
     Socket {
-        /// The operating system's text.
+        /// The operating system's error message.
         message: String,
     },
     /// The message is larger than the limit.
-    #[snafu(display("a message of {len} bytes is over the limit of {limit}"))]
+    #[snafu(display("message of {len} bytes exceeds the limit of {limit}"))]
     Oversized {
-        /// Bytes of the message.
+        /// Length of the message in bytes.
         len: usize,
-        /// The most allowed.
+        /// The limit in bytes.
         limit: usize,
     },
-    /// The message does not follow the one before.
-    #[snafu(display("sequence number {found} where {expected} was due"))]
+    /// The sequence number is not that of the next message.
+    #[snafu(display("expected sequence number {expected}, found {found}"))]
     Sequence {
-        /// The number due.
+        /// The expected number.
         expected: u64,
-        /// The number found.
+        /// The received number.
         found: u64,
     },
-    /// The message's code does not match its content.
+    /// The message's MAC does not match its content.
     #[snafu(display("the message authentication code does not match"))]
     Forged,
 }
 
-/// Counts what crossed all connections of one daemon.
+/// Traffic counters over all connections of one daemon.
 #[derive(Debug, Default)]
 pub struct Traffic {
-    /// Bytes received, headers of messages included.
+    /// Bytes received, including message headers.
     pub bytes_in: Cell<u64>,
-    /// Bytes sent, headers of messages included.
+    /// Bytes sent, including message headers.
     pub bytes_out: Cell<u64>,
     /// Messages received.
     pub frames_in: Cell<u64>,
@@ -111,11 +113,11 @@
     Ok(len)
 }
 
-/// Reads one message of the handshake, which carries no code yet.
+/// Reads one handshake message, which has no MAC.
 ///
 /// # Errors
 ///
-/// Returns an error where the connection ends or the message is over `limit` bytes.
+/// Returns an error if the connection ends or the message is longer than `limit` bytes.
 pub async fn read_plain(
     rd: &mut TcpStream,
     limit: usize,
@@ -128,11 +130,11 @@
     Ok(payload)
 }
 
-/// Writes one message of the handshake, which carries no code yet.
+/// Writes one handshake message, which has no MAC.
 ///
 /// # Errors
 ///
-/// Returns an error where the connection is broken.
+/// Returns an error if the connection is broken.
 pub async fn write_plain(
     wr: &mut TcpStream,
     payload: &[u8],
@@ -156,7 +158,7 @@
     code
 }
 
-/// Gives the bytes of one authenticated message.
+/// Encodes one authenticated message.
 pub fn encode(key: &MacState, seq: u64, payload: &[u8]) -> Vec<u8> {
     let mut buf = Vec::with_capacity(HEADER_BYTES + payload.len());
     buf.extend_from_slice(&(payload.len() as u32).to_be_bytes());
@@ -176,7 +178,7 @@
 }
 
 impl FrameReader {
-    /// Makes a reader whose first message has sequence number zero.
+    /// Creates a reader that expects sequence number zero first.
     pub fn new(
         rd: OwnedReadHalf<TcpStream>,
         key: MacState,
@@ -192,12 +194,12 @@
         }
     }
 
-    /// Reads one message. An empty one is a heartbeat of the connection.
+    /// Reads one message. An empty message is a heartbeat of the connection.
     ///
     /// # Errors
     ///
-    /// Returns an error where the connection ends, or the message is too large, out of
-    /// sequence or forged; the connection can't be used after any of these.
+    /// Returns an error if the connection ends, or if the message is too large, out of sequence
+    /// or has a wrong MAC. The connection must not be used after any of these errors.
     pub async fn read(&mut self) -> Result<Box<[u8]>, FrameError> {
         let header = fill(&mut self.rd, zeroed(HEADER_BYTES)).await?;
         let len = checked_len(&header, self.limit)?;
@@ -232,7 +234,7 @@
 }
 
 impl FrameWriter {
-    /// Makes a writer whose first message has sequence number zero.
+    /// Creates a writer that starts with sequence number zero.
     pub fn new(
         wr: OwnedWriteHalf<TcpStream>,
         key: MacState,
@@ -252,8 +254,8 @@
     ///
     /// # Errors
     ///
-    /// Returns an error where the message is too large, of which no byte is then written, or
-    /// the connection is broken.
+    /// Returns an error if the connection is broken or the message is too large. No byte of a
+    /// message that is too large is written.
     pub async fn write(&mut self, payload: &[u8]) -> Result<(), FrameError> {
         if payload.len() > self.limit {
             return Err(FrameError::Oversized {
--- a/crates/peer/src/handshake.rs
+++ b/crates/peer/src/handshake.rs
@@ -1,4 +1,4 @@
-//! The two ends of a handshake, written straight down.
+//! The client side ([`open`]) and the server side ([`accept`]) of the handshake.
 
 use std::rc::Rc;
 
@@ -50,7 +50,8 @@
     Cause::Refused { refusal }
 }
 
-/// Proves this daemon to the one that accepted `stream` and checks that one's proof.
+/// Performs the client side of the handshake: verifies the server's proof and sends this daemon's
+/// own.
 pub(crate) async fn open(net: &NetState, mut stream: TcpStream) -> Result<Connection, Cause> {
     let me = net.me();
     let own_nonce = Nonce::random();
@@ -95,7 +96,7 @@
     Ok(connection)
 }
 
-/// Checks the proof of the daemon that opened `stream` and proves this one.
+/// Performs the server side of the handshake: sends this daemon's proof and verifies the client's.
 pub(crate) async fn accept(net: &NetState, mut stream: TcpStream) -> Result<Connection, Cause> {
     let hello = match receive::<Hello>(net, &mut stream).await {
         Err(Cause::Refused { refusal }) => return refuse_client(net, &mut stream, refusal).await,
@@ -134,7 +135,7 @@
     Err(refused(refusal))
 }
 
-/// Tells the proven client whether its identity is accepted.
+/// Sends the authenticated client the verdict on its identity.
 async fn send_verdict(net: &NetState, mut connection: Connection) -> Result<Connection, Cause> {
     let learned = net.learn(&connection.remote);
     let verdict = match &learned {
@@ -159,8 +160,8 @@
         Role::Client => (keys.client, keys.server),
         Role::Server => (keys.server, keys.client),
     };
-    // Calls are small and wait for their answers; delaying them to fill segments only adds
-    // latency. The connection works without the option too.
+    // Calls are small and callers wait for the answers, so Nagle's algorithm would only add
+    // latency. The connection also works if setting the option fails.
     let _ = stream.set_nodelay(true);
     let (rd, wr) = stream.into_split();
     let limit = net.options.max_message;
--- a/crates/peer/src/heartbeat.rs
+++ b/crates/peer/src/heartbeat.rs
@@ -1,4 +1,4 @@
-//! One heartbeat and what follows from its answer, or from none.
+//! Sending and answering heartbeats, and suspecting VMs that do not answer.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -14,16 +14,16 @@
 use crate::options::CallOptions;
 use crate::reports::Scope;
 
-/// Peers that are asked to try a VM that did not answer.
+/// Number of peers that are asked to probe a VM that did not answer.
 const MAX_HELPERS: usize = 2;
 
-/// What a heartbeat and its answer carry.
+/// Payload of a heartbeat and of its answer.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub(crate) struct Gossip {
-    /// The revision in force.
+    /// The revision of the settings in force.
     #[serde(rename = "r", default, skip_serializing_if = "is_zero")]
     revision: u64,
-    /// The digest of all beliefs.
+    /// Digest of the sender's membership state.
     #[serde(rename = "h")]
     digest: u64,
     #[serde(rename = "u", default, skip_serializing_if = "Vec::is_empty")]
@@ -60,7 +60,7 @@
         self.gossip(Some(&caller.vm))
     }
 
-    /// Takes in what a VM sent, and tells whether it believes the same as this daemon.
+    /// Merges a VM's gossip and returns whether its digest matches this daemon's.
     pub(crate) fn merge_gossip(&self, from: &PeerId, gossip: Gossip) -> bool {
         let now = self.timer.now();
         self.record_alive(from, now);
@@ -79,22 +79,23 @@
         Scope::OtherDomain
     }
 
-    /// Exchanges one heartbeat with a VM, and tells whether it believes the same as this
-    /// daemon.
+    /// Exchanges a heartbeat with a VM and returns whether the digests match.
     pub(crate) async fn exchange_heartbeat(&self, vm: &VmName) -> Result<bool, PeerError> {
         let net = self.net().expect("heartbeats run after the connections");
         let opts = CallOptions::quick(self.options.answer_timeout);
         let gossip = self.gossip(Some(vm));
         let answer: Gossip = net.call_with(vm, HEARTBEAT, &gossip, opts).await?;
-        // The connection has just proven the VM's identity to the book.
+        // The handshake of the connection has recorded the VM's identity.
         let id = net
             .identity_of(vm)
             .ok_or_else(|| PeerError::new(Step::Resolve, vm, Handled::Yes, Cause::UnknownVm))?;
         Ok(self.merge_gossip(&id, answer))
     }
 
-    /// Draws the next VM of the domain: each one once before any comes again, in an order of
-    /// its own for each round, so that a dead VM is tried within one round at the latest.
+    /// Returns the next VM of the domain to probe.
+    ///
+    /// Probes go through all VMs of the domain in random order, which is shuffled anew for each
+    /// pass, so that every pass finds each VM that was already dead when it began.
     pub(crate) fn next_probe_target(&self) -> Option<VmName> {
         let members = self.members.borrow();
         let mut queue = self.probe_queue.borrow_mut();
@@ -119,8 +120,8 @@
         monoio::spawn(async move { state.probe(vm).await });
     }
 
-    /// Sends a heartbeat to a VM; where it does not answer, asks others to try it, since
-    /// the fault may lie between the two; where they can't either, suspects it.
+    /// Sends a heartbeat to a VM and suspects the VM if neither this daemon nor the helpers get an
+    /// answer. Helpers are asked because only the path from this daemon may be broken.
     pub(crate) async fn probe(self: Rc<Self>, vm: VmName) {
         let incarnation_before = self
             .members
@@ -138,7 +139,7 @@
         let now = self.timer.now();
         let known = members.get(&vm);
         if known.map(|m| m.claim.id.incarnation) != incarnation_before {
-            // A new run of the VM has announced itself meanwhile.
+            // A new incarnation of the VM has been learned in the meantime.
             return;
         }
         let outcome = members.claim_state(&vm, MemberState::Suspect, Source::Heartbeat, now);
@@ -178,9 +179,11 @@
         self.rng.borrow_mut().choose_multiple(names, MAX_HELPERS)
     }
 
-    /// Draws a domain first and a VM of it then, so that each domain is heard from equally
-    /// often. A VM that does not answer is not suspected: the link between the domains may
-    /// be cut, and its own domain knows better.
+    /// Sends a heartbeat to a random VM of a random other domain, so that all domains are contacted
+    /// equally often.
+    ///
+    /// A VM that does not answer is not suspected: the network between the domains may be
+    /// partitioned, and the VM's own domain detects its failure.
     pub(crate) fn heartbeat_other_domain(self: &Rc<Self>) {
         let chosen = {
             let members = self.members.borrow();
--- a/crates/peer/src/incoming.rs
+++ b/crates/peer/src/incoming.rs
@@ -1,4 +1,4 @@
-//! Connections that other daemons opened: one task each.
+//! Incoming connections, each served by its own task.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -16,7 +16,7 @@
 use crate::methods::{dispatch, encode_refusal};
 use crate::net::NetState;
 
-/// Accepts connections until the daemon closes them.
+/// Accepts connections until the daemon closes its connections.
 pub(crate) async fn accept_loop(net: Rc<NetState>, listener: TcpListener) {
     let close_signal = net.close_signal();
     loop {
@@ -24,8 +24,8 @@
         match select(accepted, close_signal.clone()).await {
             Either::Left((Ok((stream, _)), _)) => spawn_connection(&net, stream),
             Either::Left((Err(e), _)) => {
-                // Out of descriptors, for one: accepting again at once would spin.
-                info!(step = "accepting", error:% = e; "a peer's connection was not accepted");
+                // For example out of file descriptors: retrying immediately would busy-loop.
+                info!(step = "accepting", error:% = e; "failed to accept a peer's connection");
                 net.timer.wait(net.options.heartbeat_period).await;
             }
             Either::Right(_) => return,
@@ -36,7 +36,7 @@
 fn spawn_connection(net: &Rc<NetState>, stream: TcpStream) {
     let open = net.incoming.get();
     if open >= net.options.max_incoming_connections {
-        debug!(open; "a peer's connection was refused: too many");
+        debug!(open; "refused a peer's connection: too many are open");
         return;
     }
     net.incoming.set(open + 1);
@@ -58,13 +58,13 @@
     };
     let connection = accepted.inspect_err(|cause| {
         if let Cause::Refused { refusal } = cause {
-            info!(step = "handshake", refusal:% = refusal; "a peer was refused");
+            info!(step = "handshake", refusal:% = refusal; "refused a peer in the handshake");
         }
     })?;
     serve(net, connection).await
 }
 
-/// What the reading half and the running calls share with the writing half.
+/// Queue of answers from the reading half and the running calls to the writing half.
 struct AnswerQueue {
     tx: UnboundedSender<Vec<u8>>,
     queued: Cell<usize>,
@@ -74,7 +74,7 @@
 impl AnswerQueue {
     fn push(&self, message: Vec<u8>) {
         self.queued.set(self.queued.get() + 1);
-        // The writing half has ended with its connection; nobody waits for the answer.
+        // Sending fails if the connection has ended; nobody waits for the answer then.
         let _ = self.tx.unbounded_send(message);
     }
 }
@@ -102,15 +102,15 @@
 ) -> Result<(), Cause> {
     let idle = net.options.incoming_idle_timeout;
     loop {
-        // A client that vanished without closing leaves its connection here for good; no
-        // message within the limit means that nothing is lost by closing it.
+        // A client that disappears without closing would leave its connection open forever. A
+        // live client that sent nothing for this long can open a new connection.
         let Some(read) = net.timer.limit(idle, rd.read()).await else {
             return Err(Cause::Silent { span: idle });
         };
         let frame = read.map_err(|frame| Cause::Frame { frame })?;
         let queued = answers.queued.get();
         if queued > 2 * net.options.max_running_calls {
-            // The client sends and does not read: its answers would fill the memory.
+            // The client sends calls without reading the answers, which would exhaust memory.
             return Err(Cause::QueueFull { waiting: queued });
         }
         if frame.is_empty() {
@@ -142,7 +142,8 @@
             }
             Ok(Some(answer)) => answers.push(String::from(Box::<str>::from(answer)).into_bytes()),
             Ok(None) => {}
-            // A proven peer that sends no JSON-RPC is broken; its connection ends.
+            // An authenticated peer that sends invalid JSON-RPC is faulty, so its connection is
+            // closed.
             Err(_) => answers.tx.close_channel(),
         }
         answers.running.set(answers.running.get() - 1);
--- a/crates/peer/src/lib.rs
+++ b/crates/peer/src/lib.rs
@@ -1,7 +1,7 @@
-//! Connections between daemons: JSON-RPC calls, membership and relay of settings.
+//! Communication between daemons: JSON-RPC calls, membership and the relay of settings.
 //!
-//! Each daemon listens for its peers and opens connections to those that it calls. Both ends
-//! of a connection prove that they belong to the deployment before any call crosses it.
+//! Each daemon listens for its peers and opens connections to the peers that it calls. Both ends
+//! of a connection prove that they belong to the deployment before any call is sent.
 
 pub mod auth;
 mod change_log;
--- a/crates/peer/src/members.rs
+++ b/crates/peer/src/members.rs
@@ -1,7 +1,7 @@
-//! What one daemon believes of the deployment's VMs, and how claims about them combine.
+//! One daemon's view of the deployment's VMs, and the rules for merging claims about them.
 //!
-//! Everything here is a hint: a claim may be late or wrong, and two daemons may believe
-//! different things for as long as they can't talk.
+//! The view is eventually consistent: a claim may be late or wrong, and the views of two daemons
+//! may differ for as long as they cannot communicate.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -12,56 +12,56 @@
 
 use crate::auth::PeerId;
 
-/// Updates that one message carries at most.
+/// Maximum number of updates in one message.
 const MAX_UPDATES_PER_MESSAGE: usize = 8;
-/// An update is sent this many times the binary logarithm of the number of members.
+/// An update is sent this many times the binary logarithm of the number of members, rounded down.
 const RETRANSMIT_FACTOR: u32 = 2;
 
-/// What is believed of a VM, from the weakest claim to the strongest: of two claims about the
-/// same run of a VM at the same count, the stronger one wins.
+/// The claimed state of a VM. Of two claims about the same incarnation with the same version, the
+/// state declared later in this enum wins.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum MemberState {
-    /// It answers.
+    /// The VM answers.
     #[serde(rename = "a")]
     Alive,
-    /// It finishes what it has and stops.
+    /// The VM finishes its current work and then stops.
     #[serde(rename = "l")]
     Leaving,
-    /// It did not answer a peer, directly or through others.
+    /// The VM did not answer a peer, neither directly nor through helpers.
     #[serde(rename = "s")]
     Suspect,
-    /// It did not answer for longer than the suspicion lasts, or the platform removed it.
+    /// The VM was suspected for longer than the suspicion timeout, or the platform removed it.
     #[serde(rename = "g")]
     Gone,
 }
 
-/// Where a belief comes from.
+/// The source of a claim.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Source {
     /// This daemon's own heartbeats.
     Heartbeat,
-    /// The word of a peer.
+    /// A peer.
     Peer,
     /// The platform's list of VMs.
     Platform,
 }
 
-/// A claim about one run of one VM, as daemons send it to each other.
+/// A claim about the state of one incarnation of a VM, as daemons exchange it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Claim {
-    /// Which run of which VM, where.
+    /// The VM, its incarnation and its addresses.
     #[serde(flatten)]
     pub id: PeerId,
-    /// Grows each time that the VM itself speaks about its state.
+    /// Incremented each time the VM itself announces its state.
     #[serde(rename = "k")]
     pub version: u32,
-    /// What is claimed.
+    /// The claimed state.
     #[serde(rename = "s")]
     pub state: MemberState,
 }
 
 impl Claim {
-    /// Tells whether this claim replaces `other` about the same VM.
+    /// Returns whether this claim takes precedence over `other` about the same VM.
     fn supersedes(&self, other: &Claim) -> bool {
         let run = (self.id.epoch, self.id.incarnation);
         let other_run = (other.id.epoch, other.id.incarnation);
@@ -69,61 +69,61 @@
     }
 }
 
-/// What this daemon believes of one VM.
+/// What this daemon knows of one VM.
 #[derive(Clone, Debug)]
 pub struct Member {
-    /// The strongest claim heard.
+    /// The claim that takes precedence over all others received.
     pub claim: Claim,
-    /// Where that claim came from.
+    /// The source of the claim.
     pub source: Source,
-    /// When this daemon took it over.
+    /// When this daemon accepted the claim.
     pub accepted_at: Millis,
-    /// When the VM last gave this daemon a sign of life.
+    /// When this daemon last heard from the incarnation, if it has.
     pub last_heard: Option<Millis>,
 }
 
-/// A belief as other packages and operators see it.
+/// What this daemon knows of one VM, as shown to other crates and operators.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MemberView {
-    /// Which run of which VM, where.
+    /// The VM, its incarnation and its addresses.
     pub id: PeerId,
-    /// What is believed.
+    /// The state of the VM.
     pub state: MemberState,
-    /// Where the belief comes from.
+    /// The source of the state.
     pub source: Source,
-    /// How long it has been believed.
+    /// Time since this daemon accepted the claim.
     pub age: Millis,
-    /// How long ago the VM gave a sign of life, or for a VM of another domain, how long ago
-    /// any VM of that domain did.
+    /// Time since this daemon last heard from the VM. For a VM of another domain, time since it
+    /// last heard from any VM of that domain.
     pub since_heard: Option<Millis>,
 }
 
-/// What came of a claim.
+/// The result of merging a claim.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MergeOutcome {
-    /// It replaced what was believed.
+    /// The claim replaced the previous one.
     Accepted,
-    /// Something at least as strong was believed already.
+    /// The known claim takes precedence or is the same.
     Stale,
-    /// It is about this daemon, which has answered by a new claim of its own.
+    /// The claim is about this daemon, which has refuted it with a new claim.
     Refuted,
-    /// It says that this daemon is leaving, which it now says itself.
+    /// The claim says that this daemon is leaving, which it now announces itself.
     LeaveRequested,
-    /// It is about another process in this VM's place.
+    /// The claim is about another process that runs as this VM.
     IdentityConflict,
 }
 
-/// All beliefs of one daemon.
+/// The membership state of one daemon.
 pub struct Members {
     me: Claim,
     others: BTreeMap<VmName, Member>,
-    /// Updates still to be sent, with how often they were.
+    /// VMs with updates still to be sent, and how often each update has been sent.
     pending: BTreeMap<VmName, u32>,
     last_contacts: BTreeMap<DomainName, Millis>,
 }
 
 impl Members {
-    /// Knows only this daemon, alive.
+    /// Creates a membership state that contains only this daemon, as alive.
     pub fn new(me: PeerId) -> Self {
         let me = Claim {
             id: me,
@@ -138,29 +138,29 @@
         }
     }
 
-    /// Gives what this daemon says about itself.
+    /// Returns this daemon's claim about itself.
     pub fn me(&self) -> &Claim {
         &self.me
     }
 
-    /// Gives what is believed of one other VM.
+    /// Returns what is known of another VM.
     pub fn get(&self, vm: &VmName) -> Option<&Member> {
         self.others.get(vm)
     }
 
-    /// Gives what is believed of all other VMs.
+    /// Returns what is known of all other VMs.
     pub fn others(&self) -> impl Iterator<Item = &Member> {
         self.others.values()
     }
 
-    /// Gives the other VMs of this daemon's domain that are not gone.
+    /// Returns the other VMs of this daemon's domain that are not gone.
     pub fn in_domain(&self) -> impl Iterator<Item = &Member> {
         let domain = &self.me.id.domain;
         self.not_gone()
             .filter(move |m| m.claim.id.domain == *domain)
     }
 
-    /// Gives the VMs of other domains that are not gone.
+    /// Returns the VMs of other domains that are not gone.
     pub fn in_other_domains(&self) -> impl Iterator<Item = &Member> {
         let domain = &self.me.id.domain;
         self.not_gone()
@@ -171,14 +171,15 @@
         self.others().filter(|m| m.claim.state != MemberState::Gone)
     }
 
-    /// Says something new about this daemon, which replaces all that others say of it.
+    /// Announces a state of this daemon with a new version, which supersedes all claims of others
+    /// about this incarnation.
     pub fn announce(&mut self, state: MemberState) {
         self.me.version += 1;
         self.me.state = state;
         self.pending.insert(self.me.id.vm.clone(), 0);
     }
 
-    /// Takes over a new epoch of this daemon.
+    /// Raises this daemon's epoch and announces it.
     pub fn raise_epoch(&mut self, epoch: u64) {
         if epoch > self.me.id.epoch {
             self.me.id.epoch = epoch;
@@ -186,7 +187,7 @@
         }
     }
 
-    /// Takes a claim in.
+    /// Merges a claim.
     pub fn merge(&mut self, claim: Claim, source: Source, now: Millis) -> MergeOutcome {
         if claim.id.vm == self.me.id.vm {
             return self.merge_own(claim);
@@ -234,8 +235,10 @@
         MergeOutcome::Refuted
     }
 
-    /// Notes a sign of life of a VM and its domain. It does not change what is claimed: a
-    /// suspected VM is told of the suspicion and answers it itself.
+    /// Records that this daemon heard from a VM, and thereby from its domain.
+    ///
+    /// This does not change the VM's claimed state: a suspected VM is told of the suspicion and
+    /// refutes it itself.
     pub fn record_contact(&mut self, id: &PeerId, now: Millis) {
         self.last_contacts.insert(id.domain.clone(), now);
         if let Some(member) = self.others.get_mut(&id.vm)
@@ -245,7 +248,7 @@
         }
     }
 
-    /// Claims another state of a VM on this daemon's own evidence.
+    /// Claims a state of another VM on this daemon's own evidence, for the known version.
     pub fn claim_state(
         &mut self,
         vm: &VmName,
@@ -263,14 +266,14 @@
         self.merge(claim, source, now)
     }
 
-    /// Leaves what is believed of some VMs out of further messages.
+    /// Discards the pending updates about some VMs, so that later messages do not carry them.
     pub fn discard_updates(&mut self, vms: &[VmName]) {
         vms.iter().for_each(|vm| {
             self.pending.remove(vm);
         });
     }
 
-    /// Gives the VMs suspected for longer than `suspicion`.
+    /// Returns the VMs that have been suspected for at least `timeout`.
     pub fn expired_suspicions(&self, timeout: Millis, now: Millis) -> Vec<VmName> {
         self.others()
             .filter(|m| m.claim.state == MemberState::Suspect)
@@ -279,23 +282,23 @@
             .collect()
     }
 
-    /// Starts every suspicion anew: a daemon that was paused heard nobody, which says nothing
-    /// about the others.
+    /// Restarts the timeout of every suspicion. A daemon that was paused could not hear any VM, so
+    /// the time it was paused must not count.
     pub fn restart_suspicions(&mut self, now: Millis) {
         for member in self.others.values_mut() {
             member.accepted_at = member.accepted_at.max(now);
         }
     }
 
-    /// Forgets VMs that have been gone for longer than `keep`.
+    /// Removes VMs that have been gone for at least `retention`.
     pub fn forget_gone(&mut self, retention: Millis, now: Millis) {
         self.others.retain(|_, m| {
             m.claim.state != MemberState::Gone || now.since(m.accepted_at) < retention
         });
     }
 
-    /// Takes the updates that the next message to `to` carries: first what is believed of
-    /// the receiver where it should answer that, then the least sent.
+    /// Returns the updates for the next message to `to`: first the claim about the receiver if it
+    /// is suspected or gone, so that it can refute the claim, then the updates sent least often.
     pub fn take_updates(&mut self, to: Option<&VmName>) -> Vec<Claim> {
         let suspected = to
             .and_then(|vm| self.others.get(vm))
@@ -327,15 +330,15 @@
         self.others.get(vm).map(|m| m.claim.clone())
     }
 
-    /// Gives every claim about the VMs of one domain.
+    /// Returns all claims about the VMs of one domain.
     pub fn claims_of_domain(&self, domain: &DomainName) -> Vec<Claim> {
         let others = self.others().map(|m| &m.claim);
         let all = std::iter::once(&self.me).chain(others);
         all.filter(|c| c.id.domain == *domain).cloned().collect()
     }
 
-    /// Gives one number for each domain, the same for two daemons that believe the same of
-    /// it. VMs that are gone don't count, since daemons forget them at different times.
+    /// Returns a digest of the claims about each domain, equal for daemons with equal claims. VMs
+    /// that are gone are left out, because daemons remove them at different times.
     pub fn digests(&self) -> BTreeMap<DomainName, u64> {
         let mut digests = BTreeMap::new();
         let others = self.not_gone().map(|m| &m.claim);
@@ -346,24 +349,24 @@
         digests
     }
 
-    /// Gives one number, the same for two daemons that believe the same.
+    /// Returns a digest of all claims, equal for daemons with equal claims.
     pub fn digest(&self) -> u64 {
         self.digests().values().fold(0, |acc, digest| acc ^ digest)
     }
 
-    /// Gives this daemon's place among the live VMs of its domain by rendezvous hash, from
-    /// zero. Daemons that believe the same agree on it without a word.
+    /// Returns this daemon's rank among the live VMs of its domain by rendezvous hash, starting at
+    /// zero. Daemons with equal claims agree on the ranks without communicating.
     pub fn rank(&self) -> usize {
         let weight = |vm: &VmName| hash::rendezvous(&[], vm.as_str());
-        let mine = weight(&self.me.id.vm);
+        let own_weight = weight(&self.me.id.vm);
         self.in_domain()
             .filter(|m| m.claim.state == MemberState::Alive)
-            .filter(|m| weight(&m.claim.id.vm) > mine)
+            .filter(|m| weight(&m.claim.id.vm) > own_weight)
             .count()
     }
 
-    /// Gives the live VMs of this daemon's domain whose [`rank`](Self::rank) is below `count`,
-    /// the first one first; this daemon may be among them.
+    /// Returns the live VMs of this daemon's domain whose [`rank`](Self::rank) is below `count`, in
+    /// ascending order of rank. This daemon may be among them.
     pub fn top_ranked(&self, count: usize) -> Vec<VmName> {
         let weight = |vm: &VmName| hash::rendezvous(&[], vm.as_str());
         let alive = self
@@ -376,12 +379,12 @@
         vms
     }
 
-    /// Gives when a VM of the domain last gave a sign of life.
+    /// Returns when this daemon last heard from a VM of the domain.
     pub fn last_contact(&self, domain: &DomainName) -> Option<Millis> {
         self.last_contacts.get(domain).copied()
     }
 
-    /// Gives every belief as others see it.
+    /// Returns a view of every other VM.
     pub fn views(&self, now: Millis) -> Vec<MemberView> {
         self.others().map(|m| self.view(m, now)).collect()
     }
@@ -401,7 +404,7 @@
         }
     }
 
-    /// Gives an address of a VM believed gone, the `nth` of them, to try again.
+    /// Returns the address of the `nth` VM believed gone, modulo their number.
     pub fn nth_gone_address(&self, nth: usize) -> Option<SocketAddr> {
         let gone: Vec<_> = self
             .others()
--- a/crates/peer/src/members/tests.rs
+++ b/crates/peer/src/members/tests.rs
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn of_two_claims_the_later_run_then_count_then_the_stronger_state_wins() {
+fn claims_are_ordered_by_incarnation_then_version_then_state() {
     let mut members = members();
     merge(&mut members, claim("x", 5, 3, MemberState::Alive));
 
@@ -48,10 +48,10 @@
     );
 }
 
-/// Two daemons hear the same claims in different orders, some of them twice. However the
-/// messages were delayed, both believe the same in the end.
+/// Guards against views that diverge for good: two daemons receive the same claims in different
+/// orders, some of them twice, and must end up with the same view.
 #[test]
-fn the_order_of_claims_does_not_matter() {
+fn merging_does_not_depend_on_the_order_of_claims() {
     heatherknot_test_support::property::check()
         .with_type::<Vec<(u8, u8, u8, u8)>>()
         .for_each(|raw| {
@@ -82,19 +82,20 @@
                 merge(&mut two, claim.clone());
             }
 
-            let believed = |m: &Members| m.others().map(|m| m.claim.clone()).collect::<Vec<_>>();
-            assert_eq!(believed(&one), believed(&two));
+            let known_claims =
+                |m: &Members| m.others().map(|m| m.claim.clone()).collect::<Vec<_>>();
+            assert_eq!(known_claims(&one), known_claims(&two));
             assert_eq!(one.digest(), two.digest());
         });
 }
 
 #[test]
-fn a_claim_about_this_daemon_is_answered_with_a_higher_count() {
+fn a_claim_that_this_daemon_is_gone_is_refuted_with_a_higher_version() {
     let mut members = members();
 
-    let refuted = merge(&mut members, claim("me", 1, 7, MemberState::Gone));
+    let outcome = merge(&mut members, claim("me", 1, 7, MemberState::Gone));
 
-    assert_eq!(refuted, MergeOutcome::Refuted);
+    assert_eq!(outcome, MergeOutcome::Refuted);
     assert_eq!(
         (members.me().version, members.me().state),
         (8, MemberState::Alive)
@@ -102,12 +103,12 @@
 }
 
 #[test]
-fn a_daemon_told_that_it_is_leaving_says_so_itself() {
+fn a_claim_that_this_daemon_is_leaving_is_announced() {
     let mut members = members();
 
-    let told = merge(&mut members, claim("me", 1, 0, MemberState::Leaving));
+    let outcome = merge(&mut members, claim("me", 1, 0, MemberState::Leaving));
 
-    assert_eq!(told, MergeOutcome::LeaveRequested);
+    assert_eq!(outcome, MergeOutcome::LeaveRequested);
     assert_eq!(
         (members.me().version, members.me().state),
         (1, MemberState::Leaving)
@@ -115,7 +116,7 @@
 }
 
 #[test]
-fn another_run_in_this_vms_place_is_not_taken_for_this_daemon() {
+fn a_claim_about_another_incarnation_of_this_vm_is_an_identity_conflict() {
     let mut members = members();
 
     let outcome = merge(&mut members, claim("me", 2, 0, MemberState::Alive));
@@ -124,8 +125,9 @@
     assert_eq!(members.me().id.epoch, 1);
 }
 
+/// Guards against too many or too few watchers: the daemons of a domain must have distinct ranks.
 #[test]
-fn each_domain_has_as_many_first_ranks_as_it_needs_whoever_looks() {
+fn the_ranks_in_a_domain_are_distinct_and_consecutive() {
     let names: Vec<_> = (0..36).map(|n| format!("vm-{n}")).collect();
 
     let ranks: Vec<_> = names
@@ -145,7 +147,7 @@
 }
 
 #[test]
-fn a_suspected_vm_moves_the_next_one_up() {
+fn a_suspected_vm_loses_its_rank() {
     let mut members = members();
     for n in 0..40 {
         merge(
@@ -162,12 +164,13 @@
         );
     }
 
-    assert!(before > 0, "the fixture has somebody in front");
+    assert!(before > 0, "another VM has rank 0 in this fixture");
     assert_eq!(members.rank(), 0);
 }
 
+/// Guards against heartbeats that carry old updates forever.
 #[test]
-fn an_update_is_sent_a_bounded_number_of_times() {
+fn an_update_is_sent_a_limited_number_of_times() {
     let mut members = members();
     for n in 0..20 {
         merge(
@@ -187,27 +190,29 @@
     assert_eq!(messages.last(), Some(&0));
 }
 
+/// Guards against a live VM that cannot refute the claim that it is gone, because the claim is no
+/// longer sent to it.
 #[test]
-fn a_doubted_vm_is_told_so_in_each_message() {
+fn a_vm_believed_gone_receives_that_claim_in_each_message() {
     let mut members = members();
     merge(&mut members, claim("x", 1, 0, MemberState::Gone));
     while !members.take_updates(None).is_empty() {}
 
-    let told = members.take_updates(Some(&VmName::from("x")));
+    let updates = members.take_updates(Some(&VmName::from("x")));
 
-    assert_eq!(told, [claim("x", 1, 0, MemberState::Gone)]);
+    assert_eq!(updates, [claim("x", 1, 0, MemberState::Gone)]);
 }
 
 #[test]
-fn the_age_of_a_belief_about_another_domain_is_that_of_the_last_contact() {
+fn contact_to_another_domain_counts_for_all_its_vms() {
     let mut members = members();
-    let far = |vm: &str| Claim {
+    let remote = |vm: &str| Claim {
         id: id(vm, "b", 1),
         version: 0,
         state: MemberState::Alive,
     };
-    merge(&mut members, far("x"));
-    merge(&mut members, far("y"));
+    merge(&mut members, remote("x"));
+    merge(&mut members, remote("y"));
 
     members.record_contact(&id("y", "b", 1), Millis(500));
 
@@ -217,7 +222,7 @@
 }
 
 #[test]
-fn a_claim_survives_its_way_over_the_wire() {
+fn a_claim_survives_serialization() {
     let mut claim = claim("x", 3, 9, MemberState::Leaving);
     claim.id.callers = Some("127.0.0.1:80".parse().expect("an address"));
 
--- a/crates/peer/src/membership.rs
+++ b/crates/peer/src/membership.rs
@@ -1,4 +1,4 @@
-//! Heartbeats between daemons, and what they carry.
+//! Membership of the deployment, maintained by heartbeats between daemons.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, VecDeque};
@@ -17,7 +17,7 @@
 use crate::net::PeerNet;
 use crate::sync::SyncAnswer;
 
-/// Claims taken over from one message that heartbeats still pass on.
+/// Maximum number of newly accepted claims of one message that are forwarded with heartbeats.
 const MAX_FORWARDED_CLAIMS: usize = 8;
 
 pub(crate) const HEARTBEAT: &str = "m";
@@ -25,36 +25,37 @@
 pub(crate) const SYNC: &str = "ms";
 pub(crate) const PUSH: &str = "mu";
 
-/// Periods of the heartbeats.
+/// Periods and timeouts of the heartbeats.
 #[derive(Clone, Debug)]
 pub struct MembershipOptions {
-    /// Between two heartbeats to VMs of this daemon's domain.
+    /// Interval between heartbeats to VMs of this daemon's domain.
     pub period: Millis,
-    /// Heartbeats inside the domain for each one to another domain.
+    /// Number of periods between heartbeats to another domain.
     pub other_domain_periods: u64,
-    /// Heartbeats inside the domain for each attempt on an address that does not answer.
+    /// Number of periods between attempts to reach a VM believed gone and a seed address.
     pub unreachable_retry_periods: u64,
-    /// Heartbeats inside the domain for each reading of the platform's list.
+    /// Number of periods between reads of the platform's VM list.
     pub vm_list_periods: u64,
-    /// Time allowed for a heartbeat's answer.
+    /// Timeout of a heartbeat's answer.
     pub answer_timeout: Millis,
-    /// How long a VM is suspected before it counts as gone.
+    /// Time for which a VM is suspected before it is considered gone.
     pub suspicion_timeout: Millis,
-    /// How long a VM that is gone is remembered.
+    /// Time for which a VM that is gone is kept in the membership state.
     pub gone_retention: Millis,
-    /// A period that took longer than this beyond its time means that the process was
+    /// Delay of a period beyond its length from which on the process is considered to have been
     /// paused.
     pub pause_threshold: Millis,
-    /// The least between two comparisons of all beliefs that one daemon begins.
+    /// Minimum interval between comparisons of the membership state that a daemon starts because of
+    /// a differing digest.
     pub sync_interval: Millis,
-    /// The same for a daemon that has just started and knows few others.
+    /// The same for a daemon that has just started and knows few other VMs.
     pub startup_sync_interval: Millis,
-    /// How long nobody of a domain was heard from before its VMs that the platform's list
-    /// does not show count as gone.
+    /// Time without contact to a domain after which its VMs that are not in the platform's list
+    /// are considered gone.
     pub unlisted_timeout: Millis,
-    /// How long a daemon counts as just started.
+    /// Time after the start during which `startup_sync_interval` applies.
     pub startup_duration: Millis,
-    /// VMs of each domain that read the platform's list and watch the store.
+    /// Number of VMs of each domain that read the platform's list and watch the store.
     pub watchers: usize,
 }
 
@@ -78,17 +79,18 @@
     }
 }
 
-/// Takes a peer and the revision that it holds.
+/// Function that receives a peer and its revision in force.
 pub type PeerRevisionHook = Rc<dyn Fn(&PeerId, Revision)>;
 
-/// What the rest of the daemon does at changes.
+/// Functions that the membership calls on events.
 #[derive(Clone)]
 pub struct MembershipHooks {
-    /// The process was paused for the span given: whatever it held by time is void.
+    /// Called after the process was paused for the given time. Everything that it held for a
+    /// limited time must be considered expired.
     pub on_resume: Rc<dyn Fn(Millis)>,
-    /// The platform says that this VM is leaving.
+    /// Called when the platform or a peer says that this VM is leaving.
     pub on_leave_request: Rc<dyn Fn()>,
-    /// A peer holds the revision given; called for each heartbeat.
+    /// Called with a peer's revision in force for each heartbeat and each answer to one.
     pub on_peer_revision: PeerRevisionHook,
 }
 
@@ -102,21 +104,21 @@
     }
 }
 
-/// What the heartbeats of one daemon are started with.
+/// Configuration and dependencies of the membership.
 pub struct MembershipContext {
-    /// Addresses of peers to begin with.
+    /// Addresses of the peers to contact first.
     pub seeds: Vec<SocketAddr>,
-    /// The platform's list, where it can be read.
+    /// The platform's VM list, if it can be read.
     pub platform: Option<VmList>,
-    /// Gives the revision in force, which heartbeats carry.
+    /// Returns the revision in force, which heartbeats carry.
     pub revision: Rc<dyn Fn() -> Revision>,
-    /// Exchanges load reports: takes in what a peer sent and gives what to send it.
+    /// Interface for exchanging load reports with heartbeats.
     pub reports: Option<crate::reports::ReportPort>,
-    /// What the rest of the daemon does at changes.
+    /// Functions to call on events.
     pub hooks: MembershipHooks,
-    /// Periods.
+    /// Periods and timeouts.
     pub options: MembershipOptions,
-    /// Draws peers.
+    /// Random number generator for the choice of peers.
     pub rng: fastrand::Rng,
 }
 
@@ -137,7 +139,7 @@
     pub(crate) started_at: Millis,
 }
 
-/// The heartbeats of one daemon and what they found out; cheap to clone.
+/// The membership as seen by one daemon; cheap to clone.
 #[derive(Clone)]
 pub struct Membership {
     state: Rc<MembershipState>,
@@ -146,8 +148,8 @@
 type Answer<T> = Result<T, ErrorObjectOwned>;
 
 impl Membership {
-    /// Registers the methods of the heartbeats. They answer once [`Membership::run`] is
-    /// called.
+    /// Creates the membership and registers its methods. Claims are merged only after
+    /// [`Membership::run`] has been called.
     pub fn new(cx: MembershipContext, me: PeerId, timer: Timer, methods: &mut MethodTable) -> Self {
         let started_at = timer.now();
         let state = Rc::new(MembershipState {
@@ -170,26 +172,26 @@
         Self { state }
     }
 
-    /// Starts the heartbeats over `net`, whose identity replaces the one given before, since
-    /// only the listener knows its port.
+    /// Starts the heartbeats over `net`. Its identity replaces the one passed to
+    /// [`Membership::new`], because the port may be known only after listening.
     pub fn run(&self, net: PeerNet) {
         *self.state.members.borrow_mut() = Members::new(net.me());
         *self.state.net.borrow_mut() = Some(net);
         monoio::spawn(run_heartbeats(Rc::clone(&self.state)));
     }
 
-    /// Gives every belief about other VMs.
+    /// Returns a view of every other VM.
     pub fn views(&self) -> Vec<MemberView> {
         let now = self.state.timer.now();
         self.state.members.borrow().views(now)
     }
 
-    /// Gives the state that this daemon announces of itself.
+    /// Returns the state that this daemon announces for itself.
     pub fn own_state(&self) -> MemberState {
         self.state.members.borrow().me().state
     }
 
-    /// Announces that this daemon is leaving, to its whole domain at once.
+    /// Announces to this daemon's whole domain that it is leaving.
     pub fn leave(&self) {
         self.state
             .members
@@ -198,32 +200,32 @@
         self.state.push_own_claim();
     }
 
-    /// Tells whether this daemon is one of its domain's few that watch the store.
+    /// Returns whether this daemon is a watcher: one of the VMs of its domain that watch the store.
     pub fn is_watcher(&self) -> bool {
         self.state.is_watcher()
     }
 
-    /// Gives the VMs of this daemon's domain that watch the store, the first one first.
+    /// Returns the watchers of this daemon's domain in ascending order of rank.
     pub fn watchers(&self) -> Vec<VmName> {
         let count = self.state.options.watchers;
         self.state.members.borrow().top_ranked(count)
     }
 
-    /// Gives the live VMs of this daemon's domain.
+    /// Returns the other VMs of this daemon's domain that are not gone.
     pub fn domain_peers(&self) -> Vec<VmName> {
         let members = self.state.members.borrow();
         members.in_domain().map(|m| m.claim.id.vm.clone()).collect()
     }
 
-    /// Draws a VM of any domain that is not gone.
+    /// Returns a random VM of any domain that is not gone.
     pub fn random_peer(&self) -> Option<VmName> {
         let members = self.state.members.borrow();
         let all: Vec<_> = members
             .in_domain()
             .chain(members.in_other_domains())
             .collect();
-        let drawn = self.state.rng.borrow_mut().choice(all)?;
-        Some(drawn.claim.id.vm.clone())
+        let peer = self.state.rng.borrow_mut().choice(all)?;
+        Some(peer.claim.id.vm.clone())
     }
 }
 
@@ -253,7 +255,7 @@
     });
 }
 
-/// Sends one heartbeat each period, whatever became of the ones before.
+/// Sends a heartbeat each period without waiting for the answers to earlier ones.
 async fn run_heartbeats(state: Rc<MembershipState>) {
     let period = state.options.period;
     let phase = state.rng.borrow_mut().u64(0..period.0.max(1));
@@ -296,10 +298,11 @@
         self.members.borrow().rank() < self.options.watchers
     }
 
-    /// A process that was stopped, or a VM that was, finds that more time passed than it
-    /// waited. Others may have counted it gone and taken its work meanwhile, so it ends its
-    /// connections with whatever waits in them, tells the rest of the daemon, and announces
-    /// itself anew.
+    /// Handles a pause of the process or its VM, which is detected by a period that took too long.
+    ///
+    /// Meanwhile peers may have considered this daemon gone and taken over its work. It therefore
+    /// closes its connections with all data buffered in them, calls the hook and announces itself
+    /// again.
     pub(crate) fn handle_pause(&self, late: Millis) {
         if late < self.options.pause_threshold {
             return;
@@ -315,7 +318,7 @@
         members.announce(state);
     }
 
-    /// Takes over the epoch where a handshake has raised it.
+    /// Adopts the epoch of the connections, which a handshake may have raised.
     fn update_epoch(&self) {
         if let Some(net) = self.net() {
             self.members.borrow_mut().raise_epoch(net.me().epoch);
@@ -331,7 +334,7 @@
         members.forget_gone(self.options.gone_retention, now);
     }
 
-    /// Notes a sign of life of a VM, and that it exists where it was not known.
+    /// Records that this daemon heard from a VM, and adds the VM if it was not known.
     pub(crate) fn record_alive(&self, id: &PeerId, now: Millis) {
         let mut members = self.members.borrow_mut();
         let claim = Claim {
@@ -351,8 +354,9 @@
                 accepted.push(vm);
             }
         }
-        // Many at once are no news but the contents of a comparison. Heartbeats would carry
-        // them for minutes; whoever lacks them finds the difference and compares as well.
+        // Many accepted claims at once come from a comparison, not from new events. Forwarding them
+        // would fill heartbeats for minutes; daemons that lack them find that their digests differ
+        // and start a comparison themselves.
         if accepted.len() > MAX_FORWARDED_CLAIMS {
             self.members.borrow_mut().discard_updates(&accepted);
         }
@@ -368,7 +372,7 @@
             .borrow_mut()
             .merge(claim, source, self.timer.now());
         match outcome {
-            // The connections' own book may know a later run and keep it.
+            // `learn` refuses the identity if the connections already know a later incarnation.
             MergeOutcome::Accepted => drop(net.learn(&id)),
             MergeOutcome::LeaveRequested => {
                 (self.hooks.on_leave_request)();
@@ -378,13 +382,15 @@
                 net.resolve_identity_conflict(&id);
                 self.members.borrow_mut().raise_epoch(net.me().epoch);
             }
-            MergeOutcome::Refuted => info!("a peer took this daemon for suspect, leaving or gone"),
+            MergeOutcome::Refuted => {
+                info!("refuted a claim that this daemon is suspect, leaving or gone")
+            }
             MergeOutcome::Stale => {}
         }
         outcome
     }
 
-    /// Sends what this daemon says of itself to its domain.
+    /// Sends this daemon's claim about itself to its domain.
     pub(crate) fn push_own_claim(&self) {
         let Some(net) = self.net() else {
             return;
@@ -392,7 +398,7 @@
         let members = self.members.borrow();
         let claim = [members.me()];
         for peer in members.in_domain() {
-            // A peer that can't be told now hears it from others.
+            // A peer that cannot be reached now will receive the claim from others.
             let _ = net.notify(&peer.claim.id.vm, PUSH, &claim);
         }
     }
--- a/crates/peer/src/methods.rs
+++ b/crates/peer/src/methods.rs
@@ -1,4 +1,4 @@
-//! The methods that a daemon answers, dispatched by `jsonrpsee`'s `RpcModule`.
+//! The JSON-RPC methods of a daemon, dispatched by `jsonrpsee`'s `RpcModule`.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -14,9 +14,10 @@
 
 use crate::auth::PeerId;
 
-/// The error code of a call that was refused before anything of it ran.
+/// Error code of a call that was refused without running any part of it.
 pub const NOT_RUN_CODE: i32 = -32050;
-/// The error code of a handler that ended without an answer.
+/// Error code of a call whose handler ended without an answer, or whose answer could not be
+/// encoded.
 const HANDLER_FAILED_CODE: i32 = -32051;
 
 type Answer = Result<Box<RawValue>, ErrorObjectOwned>;
@@ -27,18 +28,18 @@
 }
 
 thread_local! {
-    /// The handlers of this thread. `RpcModule` takes only closures that may move between
-    /// threads; a daemon is one thread and its handlers share state by `Rc`, so the module
-    /// holds keys into this table.
+    /// The handlers registered on this thread. `RpcModule` requires `Send` closures, but a daemon
+    /// runs on one thread and its handlers share state through `Rc`. The module's closures
+    /// therefore hold keys into this table.
     static HANDLERS: RefCell<SlotMap<HandlerKey, Handler>> = RefCell::new(SlotMap::with_key());
 }
 
-/// Makes the error of a call that was refused before anything of it ran.
+/// Creates the error for a call that is refused without running any part of it.
 pub fn not_run(message: impl Into<String>) -> ErrorObjectOwned {
     ErrorObjectOwned::owned(NOT_RUN_CODE, message, None::<()>)
 }
 
-/// The methods of one daemon, filled before its connections are started.
+/// The methods of one daemon, registered before its connections are started.
 pub struct MethodTable {
     module: RpcModule<()>,
     keys: Vec<HandlerKey>,
@@ -54,11 +55,11 @@
 }
 
 impl MethodTable {
-    /// Adds a method: `handler` gets the authenticated caller and the parameters.
+    /// Registers a method. `handler` receives the authenticated caller and the parameters.
     ///
     /// # Panics
     ///
-    /// Panics where the name is already taken.
+    /// Panics if the name is already registered.
     pub fn register<P, R, F>(
         &mut self,
         name: &'static str,
@@ -92,13 +93,13 @@
 
 impl Drop for MethodTable {
     fn drop(&mut self) {
-        // At the end of its thread the table may be gone already, with all handlers.
+        // While the thread ends, the thread-local table may already have been destroyed.
         let removed = HANDLERS.try_with(|handlers| {
             let mut handlers = handlers.borrow_mut();
             let keys = self.keys.drain(..);
             keys.map(|key| handlers.remove(key)).collect::<Vec<_>>()
         });
-        // Dropped outside the borrow: a handler may own another table.
+        // Dropped after the borrow ends, because a handler may own another `MethodTable`.
         drop(removed);
     }
 }
@@ -127,17 +128,17 @@
         return rx;
     };
     monoio::spawn(async move {
-        // The caller's connection may have ended; the handler has run all the same.
+        // The receiver is gone if the caller's connection has ended.
         let _ = tx.send(handler(caller, params).await);
     });
     rx
 }
 
-/// Runs one JSON-RPC message, and gives the answer where it has an identifier.
+/// Runs one JSON-RPC message and returns the answer, unless the message is a notification.
 ///
 /// # Errors
 ///
-/// Returns the codec's error where the message is not a JSON-RPC request.
+/// Returns an error if the message is not a JSON-RPC request.
 pub(crate) async fn dispatch(
     methods: &Methods,
     message: &str,
@@ -160,8 +161,8 @@
     Ok(None)
 }
 
-/// Gives the answer that refuses `message` before anything of it ran, or nothing where it is
-/// a notification.
+/// Encodes the answer that refuses `message` without running it, or returns `None` if the message
+/// is a notification.
 pub(crate) fn encode_refusal(message: &str, reason: &str) -> Option<Vec<u8>> {
     #[derive(serde::Deserialize)]
     struct MessageId<'a> {
--- a/crates/peer/src/net.rs
+++ b/crates/peer/src/net.rs
@@ -1,4 +1,4 @@
-//! All connections of one daemon with its peers.
+//! The connections of one daemon to its peers, and calls over them.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -24,42 +24,43 @@
 use crate::options::{CallOptions, PeerOptions};
 use crate::outgoing::{Peer, QueuedCall, run_peer};
 
-/// Opens a TCP connection.
+/// Function that opens a TCP connection to an address.
 pub type Dial = Rc<dyn Fn(SocketAddr) -> LocalBoxFuture<'static, std::io::Result<TcpStream>>>;
 
-/// What the connections of one daemon are started with.
+/// Configuration and dependencies of a daemon's connections.
 pub struct PeerContext {
-    /// The deployment; daemons of another one are refused.
+    /// Name of the deployment. Daemons of another deployment are refused.
     pub deployment: String,
-    /// The secret that the deployment's daemons share.
+    /// The secret shared by all daemons of the deployment.
     pub secret: Secret,
     /// This VM.
     pub vm: VmName,
     /// This VM's failure domain.
     pub domain: DomainName,
-    /// This run of the daemon.
+    /// The incarnation of this daemon process.
     pub incarnation: Incarnation,
-    /// Orders this VM's incarnations: the time of the process's start in milliseconds of the
-    /// calendar clock. A hint: a daemon that finds its predecessor ahead raises its own.
+    /// Orders this VM's incarnations: the start time of the process by the wall clock, in
+    /// milliseconds. The clock may have been set back, so a daemon raises its epoch if it finds
+    /// that a predecessor at its address had a higher one.
     pub epoch: u64,
-    /// Where to listen; port zero takes any.
+    /// Address to listen on for peers; port zero selects any free port.
     pub listen: SocketAddr,
-    /// Where peers reach this daemon, if not at the address that it listens on.
+    /// Address at which peers reach this daemon, if it differs from the listening address.
     pub advertise: Option<SocketAddr>,
-    /// Where this daemon listens for callers, if it takes any.
+    /// Address on which this daemon listens for callers, if it does.
     pub callers: Option<SocketAddr>,
-    /// The clock.
+    /// Clock and timers.
     pub timer: Timer,
-    /// Opens connections.
+    /// Opens outgoing connections.
     pub dial: Dial,
-    /// Limits and periods.
+    /// Limits and timeouts.
     pub options: PeerOptions,
     /// The methods that peers may call.
     pub methods: MethodTable,
 }
 
 impl PeerContext {
-    /// Gives a port that opens connections by the operating system.
+    /// Returns a function that opens connections through the operating system.
     pub fn system_dial() -> Dial {
         Rc::new(|address| Box::pin(TcpStream::connect(address)))
     }
@@ -68,7 +69,7 @@
 type PeerTask = (Rc<Peer>, UnboundedSender<QueuedCall>);
 type CancelSignal = Shared<oneshot::Receiver<()>>;
 
-/// Ends what waits for it when it is replaced or dropped.
+/// Cancels the tasks that wait for its signal when it is replaced or dropped.
 struct CancelHandle {
     _tx: oneshot::Sender<()>,
     signal: CancelSignal,
@@ -84,7 +85,7 @@
     }
 }
 
-/// The state that all tasks of one daemon's connections share.
+/// State shared by all connection tasks of one daemon.
 pub(crate) struct NetState {
     pub(crate) deployment: String,
     pub(crate) secret: Secret,
@@ -127,8 +128,9 @@
         }
     }
 
-    /// Notes who a VM is. The incarnation with the higher epoch wins for good, so a process
-    /// that was paused while another took its place is refused when it comes back.
+    /// Records the identity of a VM, unless an incarnation with the same or a higher epoch is
+    /// known. A process that was paused while another one replaced it is therefore refused when
+    /// it resumes.
     pub(crate) fn learn(&self, id: &PeerId) -> Result<(), HandshakeRefusal> {
         let mut identities = self.identities.borrow_mut();
         if let Some(known) = identities.get(&id.vm)
@@ -142,53 +144,58 @@
         Ok(())
     }
 
-    /// Acts on an authenticated refusal of this daemon's own identity.
+    /// Handles an authenticated refusal of this daemon's own identity.
     pub(crate) fn handle_refusal(&self, refusal: &HandshakeRefusal) {
         if let HandshakeRefusal::Superseded { by } = refusal {
             self.resolve_identity_conflict(by);
         }
     }
 
-    /// Answers the claim that another incarnation of this VM is the later one. At this
-    /// daemon's own address it can only be a predecessor, since two processes can't listen
-    /// at one address: this daemon goes ahead of it. Elsewhere it has replaced this VM.
+    /// Handles the report of another incarnation of this VM with the same or a higher epoch.
+    ///
+    /// If that incarnation has this daemon's address, it can only be a predecessor, since two
+    /// processes cannot listen on one address: this daemon raises its own epoch above it. At
+    /// another address it is a replacement of this VM, and this daemon is superseded.
     pub(crate) fn resolve_identity_conflict(&self, other: &PeerId) {
         let mut me = self.me.borrow_mut();
         if other.vm != me.vm || other.incarnation == me.incarnation || other.epoch < me.epoch {
             return;
         }
         if other.address == me.address {
-            info!(predecessor:% = other.incarnation, epoch = other.epoch; "going ahead of the VM's earlier run");
+            info!(
+                predecessor:% = other.incarnation, epoch = other.epoch;
+                "raised the epoch above that of the VM's previous incarnation"
+            );
             me.epoch = other.epoch + 1;
             return;
         }
-        error!(vm:% = me.vm, by:% = other.address; "another process has taken this VM's place");
+        error!(vm:% = me.vm, by:% = other.address; "another process has replaced this VM");
         *self.superseded.borrow_mut() = Some(other.clone());
     }
 }
 
-/// All connections of one daemon with its peers; cheap to clone.
+/// The connections of one daemon to its peers; cheap to clone.
 #[derive(Clone)]
 pub struct PeerNet {
     pub(crate) state: Rc<NetState>,
 }
 
 impl PeerNet {
-    /// Listens for peers and starts the task that accepts their connections.
+    /// Starts listening for peers and spawns the task that accepts their connections.
     ///
     /// # Errors
     ///
-    /// Returns an error where the address can't be listened on.
+    /// Returns an error if listening on the address fails.
     ///
     /// # Panics
     ///
-    /// Panics outside a `monoio` runtime.
+    /// Panics if called outside a `monoio` runtime.
     pub fn start(cx: PeerContext) -> Result<Self, PeerError> {
         let listen_error = |e: std::io::Error| {
             let message = e.to_string();
             PeerError::new(Step::Connect, cx.listen, Handled::No, Cause::Io { message })
         };
-        // One process at an address: `resolve_identity_conflict` relies on it.
+        // `resolve_identity_conflict` relies on at most one process listening on an address.
         let opts = ListenerOpts::new().reuse_port(false);
         let listener = TcpListener::bind_with_config(cx.listen, &opts).map_err(listen_error)?;
         let bound = listener.local_addr().map_err(listen_error)?;
@@ -220,59 +227,59 @@
         Ok(Self { state })
     }
 
-    /// Gives this daemon's identity as its peers see it.
+    /// Returns this daemon's own identity.
     pub fn me(&self) -> PeerId {
         self.state.me()
     }
 
-    /// Gives the process that has taken this VM's place, where there is one. This daemon
-    /// must then stop: its peers refuse it.
+    /// Returns the identity of the process that has replaced this VM, if there is one. This
+    /// daemon must then stop, because its peers refuse it.
     pub fn superseded_by(&self) -> Option<PeerId> {
         self.state.superseded.borrow().clone()
     }
 
-    /// Gives the counts of what crossed the connections.
+    /// Returns the traffic counters of all connections.
     pub fn traffic(&self) -> Rc<Traffic> {
         Rc::clone(&self.state.traffic)
     }
 
-    /// Gives the number of peers that this daemon has a task for, and of connections that
-    /// peers opened.
+    /// Returns the number of peers that this daemon calls and the number of incoming
+    /// connections.
     pub fn connections(&self) -> (usize, usize) {
         (self.state.peers.borrow().len(), self.state.incoming.get())
     }
 
-    /// Notes the identity and address of a VM.
+    /// Records the identity and address of a VM.
     ///
     /// # Errors
     ///
-    /// Returns a refusal where a later incarnation of the VM is known.
+    /// Returns a refusal if an incarnation of the VM with the same or a higher epoch is known.
     pub fn learn(&self, id: &PeerId) -> Result<(), HandshakeRefusal> {
         self.state.learn(id)
     }
 
-    /// Gives the known identity of a VM.
+    /// Returns the known identity of a VM.
     pub fn identity_of(&self, vm: &VmName) -> Option<PeerId> {
         self.state.identities.borrow().get(vm).cloned()
     }
 
-    /// Answers the claim that another process runs as this VM: see [`Self::superseded_by`].
+    /// Handles the report that another process runs as this VM. See [`Self::superseded_by`].
     pub fn resolve_identity_conflict(&self, other: &PeerId) {
         self.state.resolve_identity_conflict(other);
     }
 
-    /// Tells whether [`Self::close`] was called.
+    /// Returns whether [`Self::close`] has been called.
     pub fn is_closed(&self) -> bool {
         self.state.close.borrow().is_none()
     }
 
-    /// Ends every connection; calls open new ones. A process that was paused does this before
-    /// it acts on anything that waited in them.
+    /// Closes all connections; later calls open new ones. A process that was paused does this
+    /// first, so that it does not act on stale data buffered in its connections.
     pub fn reset_connections(&self) {
         *self.state.reset.borrow_mut() = CancelHandle::new();
     }
 
-    /// Ends every connection and accepts no more. Further calls fail.
+    /// Closes all connections and stops accepting new ones. Further calls fail.
     pub fn close(&self) {
         self.state.close.borrow_mut().take();
         self.reset_connections();
@@ -283,7 +290,7 @@
     ///
     /// # Errors
     ///
-    /// Returns an error that tells the step, the peer, and whether the call may have run.
+    /// Returns an error that states the failed step, the peer, and whether the call may have run.
     pub async fn call<P: Serialize, R: DeserializeOwned>(
         &self,
         vm: &VmName,
@@ -295,11 +302,11 @@
             .await
     }
 
-    /// Calls a method of a VM as `opts` say.
+    /// Calls a method of a VM with the given options.
     ///
     /// # Errors
     ///
-    /// Returns an error that tells the step, the peer, and whether the call may have run.
+    /// Returns an error that states the failed step, the peer, and whether the call may have run.
     pub async fn call_with<P: Serialize, R: DeserializeOwned>(
         &self,
         vm: &VmName,
@@ -311,12 +318,12 @@
         self.run(address, Some(vm), method, params, opts).await
     }
 
-    /// Calls a method of whichever VM listens at an address, such as one from the start
-    /// settings.
+    /// Calls a method of whichever VM listens at an address, such as a seed address from the
+    /// start settings.
     ///
     /// # Errors
     ///
-    /// Returns an error that tells the step, the peer, and whether the call may have run.
+    /// Returns an error that states the failed step, the peer, and whether the call may have run.
     pub async fn call_address<P: Serialize, R: DeserializeOwned>(
         &self,
         address: SocketAddr,
@@ -327,12 +334,12 @@
         self.run(address, None, method, params, opts).await
     }
 
-    /// Sends a notification to a VM, which is lost where the VM can't be reached.
+    /// Sends a notification to a VM. It is lost if the VM cannot be reached.
     ///
     /// # Errors
     ///
-    /// Returns an error where the address is not known, too many calls wait, or the
-    /// parameters can't be written as JSON.
+    /// Returns an error if the address is not known, too many calls are outstanding, or the
+    /// parameters cannot be encoded as JSON.
     pub fn notify<P: Serialize>(
         &self,
         vm: &VmName,
--- a/crates/peer/src/options.rs
+++ b/crates/peer/src/options.rs
@@ -1,32 +1,32 @@
-//! Limits and periods of the connections between daemons.
+//! Limits and timeouts of the connections between daemons.
 
 use heatherknot_types::prelude::*;
 
-/// Limits and periods of the connections between daemons.
+/// Limits and timeouts of the connections between daemons.
 #[derive(Clone, Debug)]
 pub struct PeerOptions {
-    /// Largest message either way, in bytes.
+    /// Largest message that is sent or accepted, in bytes.
     pub max_message: usize,
-    /// Time allowed to open a TCP connection.
+    /// Timeout of opening a TCP connection.
     pub connect_timeout: Millis,
-    /// Time allowed for a handshake.
+    /// Timeout of the handshake.
     pub handshake_timeout: Millis,
-    /// A connection that carried nothing for this long is tested before it is relied on, and
-    /// at this period while calls wait for answers.
+    /// Time without received data after which a connection is probed: when the next call is
+    /// sent, and repeatedly while calls wait for answers.
     pub heartbeat_period: Millis,
-    /// A connection whose test got nothing back for this long is replaced.
+    /// Time without any response to a probe after which a connection is replaced.
     pub heartbeat_timeout: Millis,
-    /// An outgoing connection without calls is closed after this.
+    /// Time after which an outgoing connection without calls is closed.
     pub idle_timeout: Millis,
-    /// An incoming connection without messages is closed after this.
+    /// Time after which an incoming connection without messages is closed.
     pub incoming_idle_timeout: Millis,
-    /// Calls that may wait for one peer.
+    /// Maximum number of calls to one peer that are queued or wait for their answers.
     pub max_outstanding_calls: usize,
-    /// Calls of one incoming connection that may run at once.
+    /// Maximum number of calls of one incoming connection that run concurrently.
     pub max_running_calls: usize,
-    /// Incoming connections at once.
+    /// Maximum number of incoming connections.
     pub max_incoming_connections: usize,
-    /// Connections on which an idempotent call is tried before it fails.
+    /// Maximum number of connections on which an idempotent call is attempted.
     pub max_attempts: u8,
 }
 
@@ -48,23 +48,23 @@
     }
 }
 
-/// How one call is made.
+/// Options of a call.
 #[derive(Clone, Debug)]
 pub struct CallOptions {
-    /// Time allowed for the whole call.
+    /// Timeout of the whole call.
     pub timeout: Millis,
-    /// Whether the call may be sent again on another connection although the peer may have
-    /// run it already.
+    /// Whether the call may be sent again on another connection although the peer may already
+    /// have run it.
     pub idempotent: bool,
-    /// Whether the method answers at once, so that the call itself tests a connection that
-    /// carried nothing for a while.
+    /// Whether the method answers immediately, so that the call itself probes an idle connection
+    /// and no separate heartbeat is sent.
     pub quick: bool,
-    /// The only incarnation that may run the call, where it matters.
+    /// The only incarnation that may run the call; any, if not set.
     pub incarnation: Option<Incarnation>,
 }
 
 impl CallOptions {
-    /// A call that runs at most once.
+    /// Returns the options of a call that runs at most once.
     pub fn once(timeout: Millis) -> Self {
         Self {
             timeout,
@@ -74,7 +74,7 @@
         }
     }
 
-    /// A call that may run more than once.
+    /// Returns the options of a call that may run more than once.
     pub fn idempotent(timeout: Millis) -> Self {
         Self {
             idempotent: true,
@@ -82,7 +82,7 @@
         }
     }
 
-    /// A call that may run more than once, of a method that answers at once.
+    /// Returns the options of a call that may run more than once and is answered immediately.
     pub fn quick(timeout: Millis) -> Self {
         Self {
             quick: true,
--- a/crates/peer/src/outgoing.rs
+++ b/crates/peer/src/outgoing.rs
@@ -1,4 +1,4 @@
-//! Connections that this daemon opened: one task for each peer that it calls.
+//! Outgoing connections: one task for each peer that this daemon calls.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, VecDeque};
@@ -23,19 +23,19 @@
 
 pub(crate) type CallResult = Result<Box<RawValue>, PeerError>;
 
-/// A call on its way.
+/// A call that is queued or waits for its answer.
 pub(crate) struct QueuedCall {
     pub(crate) method: &'static str,
     pub(crate) params: Box<RawValue>,
     pub(crate) opts: CallOptions,
-    /// The VM that must answer, where the caller named one.
+    /// The VM that must answer, if the caller named one.
     pub(crate) vm: Option<VmName>,
-    /// Where the answer goes; a notification has none.
+    /// Receives the answer; `None` for a notification.
     pub(crate) reply: Option<oneshot::Sender<CallResult>>,
-    /// Connections that the call was written to.
+    /// Number of connections that the call was written to.
     pub(crate) attempts: u8,
-    /// Set once the first byte may have been written; shared with the caller, whose timeout
-    /// must tell whether the peer may have run the call.
+    /// Set before the first byte is written. Shared with the caller, which must know after a
+    /// timeout whether the peer may have run the call.
     pub(crate) written: Rc<Cell<bool>>,
 }
 
@@ -55,19 +55,19 @@
         let name = self.vm.as_ref().map(ToString::to_string);
         let name = name.unwrap_or_else(|| peer.address.to_string());
         if let Some(reply) = self.reply {
-            // The caller has given up and nobody waits.
+            // Sending fails if the caller has stopped waiting.
             let _ = reply.send(Err(PeerError::new(step, name, handled, cause)));
         }
     }
 }
 
-/// One address that this daemon calls.
+/// An address that this daemon calls.
 pub(crate) struct Peer {
     pub(crate) address: SocketAddr,
     pub(crate) outstanding: Cell<usize>,
 }
 
-/// Why a connection ended.
+/// Why an outgoing connection ended or could not be opened.
 struct Disconnect {
     step: Step,
     cause: Cause,
@@ -83,7 +83,7 @@
     }
 }
 
-/// Serves the calls to one address until there are none for a while.
+/// Runs the calls to one address until there has been none for the idle timeout.
 pub(crate) async fn run_peer(
     net: Rc<NetState>,
     peer: Rc<Peer>,
@@ -109,15 +109,15 @@
             Ok(()) => break,
             Err(end) => debug!(
                 step:% = end.step, peer:% = peer.address, cause:% = end.cause;
-                "a connection to a peer ended"
+                "connection to a peer ended"
             ),
         }
     }
     net.remove_peer(&peer);
 }
 
-/// Fails every call that waits: while a peer can't be reached, callers learn it at once and
-/// can turn to another.
+/// Fails all queued calls, so that callers learn immediately that the peer cannot be reached and
+/// can call another one.
 fn fail_all(
     peer: &Peer,
     backlog: &mut VecDeque<QueuedCall>,
@@ -151,7 +151,7 @@
         .map_err(|cause| Disconnect::new(Step::Handshake, cause))
 }
 
-/// The state that the reading and the writing half of one connection share.
+/// State shared by the reading and the writing half of a connection.
 struct Session<'a> {
     net: &'a NetState,
     peer: &'a Peer,
@@ -160,7 +160,8 @@
     next_id: Cell<u64>,
     received: Cell<u64>,
     last_received: Cell<Millis>,
-    /// When a heartbeat was sent, and how many messages had been received by then.
+    /// Time of the last probe and the number of messages received before it. A probe is a
+    /// heartbeat or a call that is answered immediately.
     probe: Cell<Option<(Millis, u64)>>,
 }
 
@@ -225,7 +226,7 @@
             return Err(Cause::Json { message });
         }
         let Some(call) = self.pending.borrow_mut().remove(&id) else {
-            // The caller has given up on this call and its answer comes late.
+            // The caller has given up on this call, and the answer is late.
             return Ok(());
         };
         self.peer.outstanding.set(self.peer.outstanding.get() - 1);
@@ -234,7 +235,7 @@
             ResponsePayload::Error(e) => Err(self.answered_error(&e)),
         };
         if let Some(reply) = call.reply {
-            // The caller has given up and nobody waits.
+            // Sending fails if the caller has stopped waiting.
             let _ = reply.send(result);
         }
         Ok(())
@@ -338,9 +339,11 @@
         }
     }
 
-    /// A device between the two ends may have lost track of a connection that was idle:
-    /// it stays open and carries nothing more. The heartbeat with the first call finds it
-    /// within one timeout, before the call's own, longer timeout runs out.
+    /// Sends a heartbeat after a call if the connection was idle.
+    ///
+    /// A NAT or firewall may have dropped the state of an idle connection, which then stays open
+    /// but delivers nothing. The heartbeat detects this within `heartbeat_timeout`, before the
+    /// call's own, longer timeout expires.
     async fn probe_if_stale(&self, wr: &mut FrameWriter) -> Result<(), Disconnect> {
         let idle = self.net.timer.now().since(self.last_received.get());
         if self.probe_outstanding().is_some() || idle < self.net.options.heartbeat_period {
@@ -349,7 +352,7 @@
         self.send_probe(wr).await
     }
 
-    /// Gives when the heartbeat was sent that nothing has come back for.
+    /// Returns the time of the last probe if nothing has been received since.
     fn probe_outstanding(&self) -> Option<Millis> {
         let (sent, received) = self.probe.get()?;
         (received == self.received.get()).then_some(sent)
@@ -361,7 +364,7 @@
         Ok(())
     }
 
-    /// Notes that something was written that is answered at once.
+    /// Records a probe, unless one is already outstanding.
     fn expect_answer(&self) {
         if self.probe_outstanding().is_none() {
             let now = self.net.timer.now();
@@ -369,15 +372,18 @@
         }
     }
 
-    /// Tests the connection while calls wait on it. Any message back proves it alive; a slow
-    /// method does not delay the answer to a heartbeat.
+    /// Probes the connection while calls wait for their answers. Any received message counts as a
+    /// response, and a slow method does not delay the response to a heartbeat.
     async fn check_alive(&self, wr: &mut FrameWriter) -> Result<(), Disconnect> {
         let now = self.net.timer.now();
         self.drop_abandoned();
         if let Some(sent) = self.probe_outstanding() {
             if now.since(sent) >= self.net.options.heartbeat_timeout {
                 let span = now.since(self.last_received.get());
-                info!(peer:% = self.remote.vm, silent_ms = span.0; "a connection went silent");
+                info!(
+                    peer:% = self.remote.vm, silent_ms = span.0;
+                    "no response to a probe, closing the connection"
+                );
                 return Err(Disconnect::new(Step::Answer, Cause::Silent { span }));
             }
             return Ok(());
@@ -389,8 +395,8 @@
         Ok(())
     }
 
-    /// Forgets the calls whose callers stopped outstanding, so that a peer that never answers
-    /// does not fill the memory.
+    /// Drops the calls whose callers have stopped waiting, so that a peer that never answers does
+    /// not exhaust memory.
     fn drop_abandoned(&self) {
         let mut pending = self.pending.borrow_mut();
         let before = pending.len();
@@ -417,8 +423,8 @@
         self.pending.borrow().is_empty() && idle >= self.net.options.idle_timeout
     }
 
-    /// Sends idempotent calls to the next connection and fails the others: the peer may have
-    /// run them before the connection ended.
+    /// Requeues idempotent calls for the next connection and fails the others, which the peer may
+    /// have run before the connection ended.
     fn requeue_or_fail_pending(&self, end: &Disconnect, backlog: &mut VecDeque<QueuedCall>) {
         for (_, call) in self.pending.take() {
             let may_retry = call.opts.idempotent && call.attempts < self.net.options.max_attempts;
--- a/crates/peer/src/platform.rs
+++ b/crates/peer/src/platform.rs
@@ -1,4 +1,6 @@
-//! The platform's lagging list of VMs, as a second hint beside the heartbeats.
+//! Merges the platform's list of VMs into the membership.
+//!
+//! The list lags behind, so it only complements the heartbeats.
 
 use std::rc::Rc;
 
@@ -19,7 +21,10 @@
             match (list.read)().await {
                 Ok(vms) => state.merge_vm_list(&vms).await,
                 Err(error) => {
-                    info!(step = "reading the VM list", error:% = error; "the platform's list was not read")
+                    info!(
+                        step = "reading the VM list", error:% = error;
+                        "failed to read the platform's VM list"
+                    )
                 }
             }
         });
@@ -50,8 +55,8 @@
         }
     }
 
-    /// Takes in what the list says of another VM, and tells whether the VM is worth calling:
-    /// the list shows it live and this daemon knows of no run that answers.
+    /// Merges the record of another VM and returns whether this daemon should contact the VM: the
+    /// list shows it as live, and this daemon does not know it or believes it gone.
     fn merge_record(&self, record: &VmRecord) -> bool {
         let known = self
             .members
@@ -61,7 +66,7 @@
         let new_state = match (record.state, known) {
             (VmState::Live, known) => return matches!(known, None | Some(MemberState::Gone)),
             (VmState::Leaving, Some(MemberState::Alive)) => MemberState::Leaving,
-            // The platform never gives a name again: this VM won't come back.
+            // The platform never reuses a VM name, so this VM will not come back.
             (VmState::Gone, Some(_)) => MemberState::Gone,
             _ => return false,
         };
@@ -70,8 +75,9 @@
         false
     }
 
-    /// Counts VMs of other domains gone where the list no longer has them and nobody of their
-    /// domain was heard from: its own VMs would have said so.
+    /// Marks VMs of other failure domains as gone if the list no longer contains them and no VM of
+    /// their domain has been heard from for `unlisted_timeout`. While a domain can be reached, its
+    /// own VMs report which of them are gone.
     pub(crate) fn mark_unlisted_gone(&self, vms: &[VmRecord], now: Millis) {
         let mut members = self.members.borrow_mut();
         let listed = |vm: &VmName| vms.iter().any(|record| record.name == *vm);
--- a/crates/peer/src/relay.rs
+++ b/crates/peer/src/relay.rs
@@ -1,8 +1,8 @@
-//! Relay of the settings from the few daemons that watch the store to all the others.
+//! Relay of the settings from the daemons that watch the store to all other daemons.
 //!
-//! The first two VMs of each domain by rendezvous hash watch the store and push what is new
-//! to their domain. Heartbeats carry the revision, so whoever missed the push finds out from
-//! any other daemon, also of another domain, and pulls the difference.
+//! The first two VMs of each failure domain by rendezvous hash watch the store and push new
+//! changes to their domain. Heartbeats carry the revision in force, so a daemon that missed a push
+//! learns of it from any peer, also in another domain, and pulls the missing changes.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -18,34 +18,36 @@
 use crate::relay_wire::{CachedSnapshot, register};
 use crate::settings_port::{Delivery, SettingsPort, StorePort};
 
-/// Limits and periods of the relay.
+/// Limits and timeouts of the relay.
 #[derive(Clone, Debug)]
 pub struct RelayOptions {
-    /// Changes up to this size go with the notice, in bytes.
+    /// Maximum size of the changes included in a push, in bytes.
     pub max_push_bytes: usize,
-    /// Largest answer with changes, in bytes.
+    /// Maximum size of the changes in the answer to a pull, in bytes.
     pub max_changes_bytes: usize,
-    /// Largest part of a snapshot, in bytes.
+    /// Maximum size of a part of a snapshot, in bytes.
     pub max_part_bytes: usize,
-    /// Changes kept for peers that are behind, in bytes.
+    /// Maximum size of the log of changes kept for peers that lag behind, in bytes.
     pub max_log_bytes: usize,
-    /// The most that a snapshot's revision may exceed the one held.
+    /// Maximum number of revisions that a delivery may be ahead of the revision in force.
     pub max_revision_jump: u64,
-    /// Time allowed for one call of a peer.
+    /// Timeout of a call to a peer.
     pub call_timeout: Millis,
-    /// Time allowed for one call of the store; a watch that goes quiet is renewed after it.
+    /// Timeout of a watch of the store. A watch without any answer is renewed after this time.
     pub watch_timeout: Millis,
-    /// Between two attempts while something is missing, doubled at each failure.
+    /// Delay between attempts to fetch settings; doubled after each failed watch.
     pub retry_delay: Millis,
-    /// The longest pause between two attempts.
+    /// Maximum delay between attempts.
     pub max_retry_delay: Millis,
-    /// How long a new daemon asks peers alone before it turns to the store too.
+    /// Time after the start during which a daemon without settings asks only peers, and not the
+    /// store.
     pub store_delay: Millis,
-    /// How long a revision that the holder refused is left alone.
+    /// Time during which a refused revision is not pulled again.
     pub refusal_cooldown: Millis,
-    /// How long a snapshot is kept for peers that fetch its parts.
+    /// Time for which a snapshot is kept for peers that fetch its parts.
     pub snapshot_retention: Millis,
-    /// Pulls at once, so that a peer that hangs delays no other.
+    /// Maximum number of concurrent pulls. More than one, so that a peer that hangs does not delay
+    /// pulls from other peers.
     pub max_concurrent_pulls: usize,
 }
 
@@ -69,7 +71,7 @@
     }
 }
 
-/// Where the settings in force came from.
+/// The source of the settings in force.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Origin {
     /// The platform's store.
@@ -78,22 +80,22 @@
     Peer(VmName),
 }
 
-/// What an operator sees of the relay.
+/// Status of the relay, as shown to operators.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RelayStatus {
     /// The revision in force.
     pub revision: Revision,
-    /// How long it has been in force.
+    /// Time for which the revision has been in force.
     pub age: Millis,
-    /// Where it came from.
+    /// Source of the settings in force.
     pub origin: Option<Origin>,
     /// Whether this daemon watches the store.
     pub watching: bool,
-    /// Why the store did not answer last time.
+    /// Error of the last call to the store, if it failed.
     pub store_error: Option<String>,
-    /// The revision that the holder refused last, and why.
+    /// The last refused revision and the reason, unless a later one is in force.
     pub refused: Option<(Revision, String)>,
-    /// What this daemon waits for while it has no settings.
+    /// What this daemon is waiting for, if it has no settings.
     pub waiting_for: Option<String>,
 }
 
@@ -128,7 +130,7 @@
 }
 
 impl Relay {
-    /// Registers the methods of the relay.
+    /// Creates the relay and registers its methods.
     pub fn new(
         settings: SettingsPort,
         store: Option<StorePort>,
@@ -157,14 +159,14 @@
         Self { state }
     }
 
-    /// Gives the hook that heartbeats call with a peer's revision.
+    /// Returns the hook to call with the revision that a peer's heartbeat carries.
     pub fn peer_revision_hook(&self) -> PeerRevisionHook {
         let state = Rc::clone(&self.state);
         Rc::new(move |peer, revision| state.handle_peer_revision(peer, revision))
     }
 
-    /// Starts to fetch settings from peers and, where this daemon is one of its domain's few,
-    /// to watch the store.
+    /// Starts fetching settings from peers and, while this daemon is a watcher of its domain,
+    /// watching the store.
     pub fn run(&self, net: PeerNet, membership: Membership) {
         *self.state.net.borrow_mut() = Some(net);
         *self.state.membership.borrow_mut() = Some(membership);
@@ -174,23 +176,23 @@
         }
     }
 
-    /// Gives what an operator sees of the relay.
+    /// Returns the status of the relay.
     pub fn status(&self) -> RelayStatus {
         self.state.status()
     }
 
-    /// Takes over what this daemon has just read from or written to the store, and tells its
-    /// domain.
+    /// Applies settings that this daemon has just read from or written to the store, and pushes
+    /// them to its domain.
     ///
     /// # Errors
     ///
-    /// Returns the holder's reason where it keeps what it holds.
+    /// Returns the reason if the settings are refused.
     pub fn deliver(&self, delivery: Delivery) -> Result<(), String> {
         self.state.apply(delivery, Origin::Store)
     }
 }
 
-/// Asks peers, and after a while the store, until there are settings.
+/// Asks peers, and after `store_delay` also the store, until settings are in force.
 async fn fetch_initial_settings(state: Rc<RelayState>) {
     let started_at = state.timer.now();
     while state.revision() == Revision::NONE && state.is_open() {
@@ -204,15 +206,15 @@
             && now.since(started_at) >= state.options.store_delay
             && let Some(store) = &state.store
         {
-            // The watch of a domain's watcher takes the same way; asking here as well
-            // covers a daemon that is none while the watchers have nothing either.
+            // Watchers also ask the store in `watch_store`. Asking it here covers a daemon that
+            // is not a watcher while the watchers have no settings either.
             state.fetch_from_store(store).await;
         }
         state.timer.wait(state.options.retry_delay).await;
     }
 }
 
-/// Watches the store for as long as this daemon is one of its domain's few.
+/// Watches the store while this daemon is a watcher of its domain.
 async fn watch_store(state: Rc<RelayState>, store: StorePort) {
     let mut failures = 0;
     while state.is_open() {
@@ -249,36 +251,38 @@
     fn backoff(&self, failures: u32) -> Millis {
         let doubled = self.options.retry_delay.0 << (failures - 1).min(16);
         let longest = doubled.min(self.options.max_retry_delay.0);
-        // Watchers that lost the store together come back spread out.
+        // Random jitter, so that watchers that lost the store together do not retry together.
         Millis(fastrand::u64(longest / 2..=longest))
     }
 
-    /// Waits for the store's next revision, and tells whether the store answered or was
-    /// still waiting when the limit ran out. A watch can go quiet without an error; asking
-    /// again with the revision held finds what it missed.
+    /// Waits for the store's next revision and applies it. Returns whether it was newer, or `true`
+    /// if `watch_timeout` expired first.
+    ///
+    /// A watch can stop delivering without an error. The caller then watches again from the
+    /// revision in force and receives what was missed.
     async fn fetch_from_store(&self, store: &StorePort) -> bool {
-        let asked = (store.next)(self.revision());
-        match self.timer.limit(self.options.watch_timeout, asked).await {
+        let next = (store.next)(self.revision());
+        match self.timer.limit(self.options.watch_timeout, next).await {
             None => true,
             Some(Ok(delivery)) => {
                 *self.store_error.borrow_mut() = None;
                 let held = self.revision();
-                // A refusal is noted there. Where nothing came of the delivery, refused or
-                // stale, the same one would come again at once: that counts as a failure.
+                // `apply` records a refusal. A refused or stale delivery counts as a failure,
+                // because the store would return it again immediately.
                 let _ = self.apply(delivery, Origin::Store);
                 self.revision() > held
             }
             Some(Err(error)) => {
-                warn!(step = "watching the store", error:% = error; "the store did not answer");
+                warn!(step = "watching the store", error:% = error; "failed to read the store");
                 *self.store_error.borrow_mut() = Some(error);
                 false
             }
         }
     }
 
-    /// Passes what is new to the holder. An older or the same revision is dropped here,
-    /// whoever delivers it: a domain that was cut off, a process that was paused, and a stale
-    /// read of the store all look like that.
+    /// Applies a newer revision to the holder. Older revisions and the revision in force are
+    /// ignored, whatever their origin: a failure domain that was partitioned, a process that was
+    /// paused and a stale read of the store can all deliver them.
     pub(crate) fn apply(&self, delivery: Delivery, origin: Origin) -> Result<(), String> {
         let held = self.revision();
         let given = delivery.revision();
@@ -297,8 +301,10 @@
         Ok(())
     }
 
-    /// A snapshot far ahead of what is held is more likely a damaged number than a long
-    /// absence, and taking it would make every later change look old.
+    /// Refuses a delivery that is too far ahead of the revision in force.
+    ///
+    /// Such a revision is more likely a corrupted number than the result of a long absence, and
+    /// after applying it every later change would be ignored as old.
     fn check_revision_jump(&self, delivery: &Delivery, held: Revision) -> Result<(), String> {
         let given = delivery.revision();
         let is_too_far = given.0 - held.0 > self.options.max_revision_jump;
@@ -333,9 +339,9 @@
         info!(revision = self.revision().0, origin:? = origin; "settings are in force");
     }
 
-    /// Tells whether the domain may not have this yet: what came from the store or from
-    /// another domain. Whoever has it from its own domain leaves the rest to the one that
-    /// brought it there, and to the heartbeats.
+    /// Returns whether this daemon should push settings from `origin` to its domain: only if they
+    /// came from the store or from another domain. Settings from a peer of the own domain have
+    /// already been pushed by the daemon that brought them there.
     fn should_push_to_domain(&self, origin: &Origin) -> bool {
         let Origin::Peer(vm) = origin else {
             return true;
@@ -348,8 +354,8 @@
             .is_none_or(|id| id.domain != net.me().domain)
     }
 
-    /// Tells whether a peer's revision is worth a pull: newer than the one held, and not one
-    /// that the holder has just refused.
+    /// Returns whether to pull a peer's revision: if it is newer than the one in force and has not
+    /// been refused recently.
     pub(crate) fn should_pull(&self, revision: Revision) -> bool {
         let refused = self.refused.borrow();
         let in_cooldown = refused.as_ref().is_some_and(|refused| {
--- a/crates/peer/src/relay_wire.rs
+++ b/crates/peer/src/relay_wire.rs
@@ -1,5 +1,5 @@
-//! What daemons say to each other to relay settings: notices, differences, and snapshots in
-//! bounded parts.
+//! Messages between daemons for the relay of settings: notices of new revisions, pulls of
+//! changes, and snapshots in parts of limited size.
 
 use std::rc::Rc;
 
@@ -18,10 +18,10 @@
 const PULL: &str = "sc";
 const PART: &str = "sp";
 
-/// Answers with changes that one pull takes in at most.
+/// Maximum number of consecutive requests of one pull.
 const MAX_PULL_ROUNDS: usize = 64;
 
-/// A watcher's word that there is a new revision, with the changes where they are small.
+/// Notice of a new revision. Includes the changes if they fit in `max_push_bytes`.
 #[derive(Debug, Serialize, Deserialize)]
 struct Notice {
     #[serde(rename = "r")]
@@ -30,13 +30,13 @@
     changes: Vec<RelayedChange>,
 }
 
-/// What a peer has for a daemon that is behind.
+/// Answer to a pull.
 #[derive(Debug, Serialize, Deserialize)]
 enum PullAnswer {
-    /// The changes that follow, as many as fit.
+    /// The changes that follow the requested revision, as many as fit in `max_changes_bytes`.
     #[serde(rename = "c")]
     Changes(Vec<RelayedChange>),
-    /// The changes are not kept any more; all settings come in parts.
+    /// The changes are no longer in the log; the caller fetches a snapshot in parts.
     #[serde(rename = "s")]
     Snapshot {
         #[serde(rename = "r")]
@@ -44,7 +44,7 @@
         #[serde(rename = "n")]
         parts: usize,
     },
-    /// Nothing newer.
+    /// There is no newer revision.
     #[serde(rename = "n")]
     Nothing,
 }
@@ -57,7 +57,7 @@
     part: usize,
 }
 
-/// The snapshot that peers are fetching, cut into parts.
+/// The snapshot that peers are fetching, split into parts.
 pub(crate) struct CachedSnapshot {
     revision: Revision,
     parts: Vec<String>,
@@ -72,7 +72,7 @@
     }
 }
 
-/// Cuts text into parts of at most `max_part_bytes` bytes, never inside a character.
+/// Splits text at character boundaries into parts of at most `max_part_bytes` bytes.
 fn split_text(text: &str, max_part_bytes: usize) -> Vec<String> {
     let mut parts = Vec::new();
     let mut rest = text;
@@ -88,7 +88,8 @@
     parts
 }
 
-/// Drops the cached snapshot after a while: it can be as large as all settings.
+/// Drops the cached snapshot after `snapshot_retention`, because it is as large as all settings
+/// together.
 async fn expire_cached_snapshot(state: Rc<RelayState>, revision: Revision) {
     state.timer.wait(state.options.snapshot_retention).await;
     let mut cached = state.cached_snapshot.borrow_mut();
@@ -114,7 +115,7 @@
 }
 
 impl RelayState {
-    /// Tells every VM of the domain what follows `held`.
+    /// Sends the changes that follow `held` to every VM of the domain.
     pub(crate) fn push_to_domain(&self, held: Revision) {
         let net = self.net.borrow();
         let Some(net) = net.as_ref() else {
@@ -127,8 +128,8 @@
         };
         for vm in self.domain_peers() {
             if let Err(error) = net.notify(&vm, NOTICE, &notice) {
-                // The VM finds out by a heartbeat.
-                debug!(error:% = error; "a notice of new settings was not sent");
+                // The VM will learn of the revision from a heartbeat.
+                debug!(error:% = error; "failed to send a notice of new settings");
             }
         }
     }
@@ -138,7 +139,7 @@
             return;
         }
         if self.continues_held(&notice.changes) {
-            // A refusal is noted there, and keeps this revision from being pulled again.
+            // `apply` records a refusal, which prevents pulling this revision again below.
             let _ = self.apply(
                 Delivery::Changes(notice.changes),
                 Origin::Peer(from.clone()),
@@ -187,14 +188,14 @@
         cached.parts.get(req.part).cloned()
     }
 
-    /// Fetches what a peer has beyond the revision held.
+    /// Fetches the settings that a peer has beyond the revision in force.
     pub(crate) async fn pull(self: Rc<Self>, vm: VmName) {
         if self.pulls.get() >= self.options.max_concurrent_pulls {
             return;
         }
         self.pulls.set(self.pulls.get() + 1);
         if let Err(error) = self.pull_rounds(&vm).await {
-            debug!(error:% = error; "settings were not fetched");
+            debug!(error:% = error; "failed to fetch settings from a peer");
             self.record_peer_error(&error.to_string());
         }
         self.pulls.set(self.pulls.get() - 1);
@@ -241,7 +242,7 @@
             let req = PartRequest { revision, part };
             text += &self.call::<_, String>(vm, PART, &req).await?;
             if !self.should_pull(revision) {
-                // Another peer was faster.
+                // The revision has meanwhile been received from elsewhere.
                 return Ok(None);
             }
         }
--- a/crates/peer/src/relay_wire/tests.rs
+++ b/crates/peer/src/relay_wire/tests.rs
@@ -1,7 +1,8 @@
 use super::*;
 
+/// Guards against a split that loses bytes or exceeds the size limit of a part.
 #[test]
-fn parts_join_to_the_whole_and_keep_to_the_bound() {
+fn parts_join_to_the_text_and_are_within_the_limit() {
     heatherknot_test_support::property::check()
         .with_type::<(String, u8)>()
         .for_each(|(text, max)| {
--- a/crates/peer/src/reports.rs
+++ b/crates/peer/src/reports.rs
@@ -1,4 +1,4 @@
-//! Load reports between daemons: differences with their age, batched within a bound.
+//! Load reports between daemons, sent as deltas with their age in batches of limited size.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -8,25 +8,25 @@
 use heatherknot_types::prelude::*;
 use serde::{Deserialize, Serialize};
 
-/// One VM's load, each value under a short name that the reporting packages agree on.
+/// The load values of one VM by name. The crates that report and read loads define the names.
 pub type Loads = BTreeMap<Arc<str>, u32>;
 
-/// A part of one VM's report: the values that changed since the version it follows.
+/// One VM's report as sent to peers: all values, or those that changed since report `base`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReportDelta {
     /// The VM that reports.
     #[serde(rename = "v")]
     vm: VmName,
-    /// The run of the VM that reports.
+    /// The incarnation of the VM that reports.
     #[serde(rename = "i")]
     incarnation: Incarnation,
-    /// Orders the reports of one run.
+    /// Orders the reports of one incarnation.
     #[serde(rename = "n")]
     number: u64,
-    /// How long ago the values were measured, when this message was written.
+    /// Age of the values when the message was created.
     #[serde(rename = "g")]
     age: Millis,
-    /// The number of the report that the values are a delta from; zero for all values.
+    /// Number of the report that the delta applies to; zero if `loads` holds all values.
     #[serde(rename = "b", default, skip_serializing_if = "is_zero")]
     base: u64,
     #[serde(rename = "l")]
@@ -37,26 +37,26 @@
     *value == 0
 }
 
-/// What one message carries.
+/// The reports in one message.
 pub type Batch = Vec<ReportDelta>;
 
-/// How far a message goes.
+/// The recipients of a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Scope {
-    /// To a VM of the same domain, which gets reports of all VMs.
+    /// A VM of the same domain, which receives the reports of all VMs and forwards them.
     Domain,
-    /// To a VM of another domain, which gets this VM's own report and keeps it to itself.
+    /// A VM of another domain, which receives only this VM's own report and does not forward it.
     OtherDomain,
 }
 
 type NextBatch = Rc<dyn Fn(Scope) -> Option<Batch>>;
 
-/// How heartbeats exchange reports.
+/// Interface through which heartbeats exchange reports.
 #[derive(Clone)]
 pub struct ReportPort {
-    /// Takes what to send to a VM, where there is anything.
+    /// Returns the batch to send in the next message, if there is anything to send.
     pub next_batch: NextBatch,
-    /// Takes in what a VM sent.
+    /// Merges a received batch.
     pub merge: Rc<dyn Fn(Scope, Batch)>,
 }
 
@@ -67,34 +67,34 @@
     number: u64,
     measured_at: Millis,
     loads: Loads,
-    /// The values that the latest report changed, and the report that they changed.
+    /// The values that changed since report `base`.
     changed: Loads,
     base: u64,
-    /// Messages that carried the report.
+    /// Number of messages that carried the report.
     send_count: u32,
 }
 
-/// A report as decisions read it.
+/// A snapshot of a VM's latest report.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ReportView {
-    /// The run of the VM that reports.
+    /// The incarnation of the VM that reports.
     pub incarnation: Incarnation,
-    /// How long ago the values were measured, at least.
+    /// Minimum age of the values; time in transit is not included.
     pub age: Millis,
     /// The values.
     pub loads: Loads,
 }
 
-/// Limits of the reports.
+/// Limits of the exchange of reports.
 #[derive(Clone, Debug)]
 pub struct ReportOptions {
-    /// Values that one message carries at most.
+    /// Maximum number of values in a message. Each report counts as one more value.
     pub max_values_per_message: usize,
-    /// Messages in which a daemon sends one report of its own.
+    /// Number of messages in which a daemon sends each of its own reports.
     pub max_own_sends: u32,
-    /// Messages in which a daemon passes one report of another VM on.
+    /// Number of messages in which a daemon forwards each report of another VM.
     pub max_forwards: u32,
-    /// Reports older than this are forgotten.
+    /// Age at which reports are dropped.
     pub max_age: Millis,
 }
 
@@ -109,7 +109,7 @@
     }
 }
 
-/// The latest reports of all VMs that one daemon has heard.
+/// The latest known report of each VM.
 #[derive(Clone)]
 pub struct ReportTable {
     me: VmName,
@@ -119,7 +119,7 @@
 }
 
 impl ReportTable {
-    /// Makes an empty board.
+    /// Creates an empty table.
     pub fn new(me: VmName, timer: Timer, options: ReportOptions) -> Self {
         Self {
             me,
@@ -129,14 +129,14 @@
         }
     }
 
-    /// Reports this daemon's own loads. Values that did not change are not sent again.
+    /// Publishes this daemon's own loads. Unchanged values are left out of deltas.
     pub fn publish(&self, incarnation: Incarnation, loads: Loads) {
         let mut reports = self.reports.borrow_mut();
         let last = reports
             .get(&self.me)
             .filter(|r| r.incarnation == incarnation);
         let (number, changed, base) = match last {
-            // A value that disappeared can't be told by a delta.
+            // A delta cannot express that a value was removed.
             Some(last) if last.loads.keys().all(|name| loads.contains_key(name)) => {
                 let differs =
                     |(name, load): &(&Arc<str>, &u32)| last.loads.get(*name) != Some(load);
@@ -161,7 +161,7 @@
         reports.insert(self.me.clone(), report);
     }
 
-    /// Gives the latest report of a VM.
+    /// Returns the latest report of a VM.
     pub fn view(&self, vm: &VmName) -> Option<ReportView> {
         let now = self.timer.now();
         let reports = self.reports.borrow();
@@ -172,7 +172,8 @@
         })
     }
 
-    /// Takes what the next message carries: the least sent reports first, then the freshest.
+    /// Returns the batch for the next message: the reports sent least often come first, and of
+    /// those the most recent.
     pub fn next_batch(&self, scope: Scope) -> Option<Batch> {
         let now = self.timer.now();
         if scope == Scope::OtherDomain {
@@ -205,8 +206,8 @@
         (!batch.is_empty()).then_some(batch)
     }
 
-    /// Takes in what a VM sent. A delta from a report that this daemon does not have
-    /// is left out; the full values come with a later message.
+    /// Merges a received batch. A delta whose base report this daemon does not have is ignored; a
+    /// later message carries all values.
     pub fn merge(&self, scope: Scope, batch: Batch) {
         let now = self.timer.now();
         let mut reports = self.reports.borrow_mut();
@@ -217,7 +218,7 @@
             let known = reports.get(&delta.vm);
             if let Some(mut report) = Report::from_delta(known, &delta, now) {
                 if scope == Scope::OtherDomain {
-                    // Reports of all domains would crowd out those of this one.
+                    // Not forwarded: reports of other domains would crowd out those of this one.
                     report.send_count = u32::MAX;
                 }
                 reports.insert(delta.vm, report);
@@ -225,7 +226,7 @@
         }
     }
 
-    /// Gives the port that heartbeats use.
+    /// Returns the interface for heartbeats.
     pub fn port(&self) -> ReportPort {
         let (sender, receiver) = (self.clone(), self.clone());
         ReportPort {
@@ -236,8 +237,8 @@
 }
 
 impl Report {
-    /// Gives the values that changed, and every other time all of them, for those who
-    /// missed the report before.
+    /// Returns the changed values, or in every other message all values, for VMs that missed the
+    /// base report.
     fn delta(&self, vm: &VmName, now: Millis) -> ReportDelta {
         let full = self.full(vm, now);
         if self.base == 0 || self.send_count % 2 == 1 {
--- a/crates/peer/src/settings_port.rs
+++ b/crates/peer/src/settings_port.rs
@@ -1,5 +1,6 @@
-//! The ports between the relay and whatever holds the settings: the relay carries changes and
-//! snapshots without reading them.
+//! Interfaces between the relay and the holder and store of the settings.
+//!
+//! The relay forwards changes and snapshots without interpreting them.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -11,37 +12,37 @@
 use serde::{Deserialize, Serialize};
 use serde_json::value::RawValue;
 
-/// One accepted change on its way.
+/// An accepted change in serialized form.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct RelayedChange {
-    /// The revision that the change made.
+    /// The revision that the change created.
     #[serde(rename = "r")]
     pub revision: Revision,
-    /// The change as the holder reads it.
+    /// The change as JSON, in the holder's format.
     #[serde(rename = "b")]
     pub body: Box<RawValue>,
 }
 
-/// All settings at one revision on their way.
+/// All settings at one revision in serialized form.
 #[derive(Clone, Debug)]
 pub struct RelayedSnapshot {
     /// The revision.
     pub revision: Revision,
-    /// The settings as the holder reads them.
+    /// The settings as JSON, in the holder's format.
     pub body: Box<RawValue>,
 }
 
-/// What a store or a peer delivers.
+/// Settings received from the store or a peer.
 #[derive(Clone, Debug)]
 pub enum Delivery {
-    /// Changes in order of revision.
+    /// Changes in ascending order of revision.
     Changes(Vec<RelayedChange>),
     /// All settings.
     Snapshot(RelayedSnapshot),
 }
 
 impl Delivery {
-    /// Gives the newest revision delivered.
+    /// Returns the newest revision of the delivery.
     pub fn revision(&self) -> Revision {
         match self {
             Delivery::Changes(changes) => changes.last().map_or(Revision::NONE, |c| c.revision),
@@ -52,28 +53,28 @@
 
 type Apply = Rc<dyn Fn(&Delivery) -> Result<(), String>>;
 
-/// The holder of the settings in force.
+/// Interface to the holder of the settings in force.
 #[derive(Clone)]
 pub struct SettingsPort {
-    /// Gives the revision in force.
+    /// Returns the revision in force.
     pub revision: Rc<dyn Fn() -> Revision>,
-    /// Takes a delivery over, or says why it keeps what it holds.
+    /// Applies a delivery, or returns the reason why the current settings are kept.
     pub apply: Apply,
-    /// Gives all settings in force, where there are any.
+    /// Returns a snapshot of the settings in force, if there are any.
     pub snapshot: Rc<dyn Fn() -> Option<RelayedSnapshot>>,
 }
 
 type NextDelivery = Rc<dyn Fn(Revision) -> LocalBoxFuture<'static, Result<Delivery, String>>>;
 
-/// The platform's store, as the relay's watchers use it.
+/// Interface to the platform's store, used by the daemons that watch it.
 #[derive(Clone)]
 pub struct StorePort {
-    /// Waits until the store holds a later revision than the one given, and delivers it.
+    /// Waits until the store holds a later revision than the given one, and returns what is new.
     pub next: NextDelivery,
 }
 
 impl SettingsPort {
-    /// Makes the port of a holder; `changed` is called after each new revision.
+    /// Creates the interface to a holder. `changed` is called with each new revision.
     pub fn for_holder(holder: Rc<RefCell<Holder>>, changed: Rc<dyn Fn(Revision)>) -> Self {
         let (revision, snapshot) = (Rc::clone(&holder), Rc::clone(&holder));
         Self {
--- a/crates/peer/src/sync.rs
+++ b/crates/peer/src/sync.rs
@@ -1,4 +1,6 @@
-//! Comparison of all beliefs of two daemons, which repairs what heartbeats missed.
+//! Anti-entropy: two daemons compare their whole membership state and exchange what differs.
+//!
+//! This repairs updates that heartbeats did not deliver.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -12,11 +14,11 @@
 use crate::membership::{MembershipState, PUSH, SYNC};
 use crate::options::CallOptions;
 
-/// Claims that one message of a comparison carries at most.
+/// Maximum number of claims in a message of the comparison.
 const MAX_CLAIMS_PER_MESSAGE: usize = 512;
 
-/// A comparison of all beliefs: the caller's digests, and the answer's claims about the
-/// domains where they differ.
+/// The answer to a comparison: the answering daemon's digests, and its claims about the domains
+/// whose digests differ from the caller's.
 #[derive(Debug, Serialize, Deserialize)]
 pub(crate) struct SyncAnswer {
     #[serde(rename = "d")]
@@ -26,8 +28,9 @@
 }
 
 impl MembershipState {
-    /// Compares all beliefs with a VM that was just found to believe something else. While a
-    /// change is on its way most exchanges find that, so a pause lies between two comparisons.
+    /// Compares the membership state with a VM whose digest in a heartbeat differed.
+    ///
+    /// While an update spreads, most digests differ, so comparisons are rate-limited.
     pub(crate) async fn sync_if_different(&self, vm: &VmName, digests_match: bool) {
         let now = self.timer.now();
         let interval = if now.since(self.started_at) < self.options.startup_duration {
@@ -46,7 +49,8 @@
         }
     }
 
-    /// Compares all beliefs with the daemon at an address and takes over each other's.
+    /// Compares the membership state with that of the daemon at an address; both merge the claims
+    /// that differ.
     pub(crate) async fn sync(&self, address: SocketAddr) {
         let Some(net) = self.net() else {
             return;
@@ -66,7 +70,7 @@
         let own_claims = self.differing_claims(&answer.digests);
         self.merge_claims(answer.claims);
         let opts = CallOptions::quick(self.options.answer_timeout);
-        // The next comparison repairs a push that was lost.
+        // The next comparison repairs a lost push.
         let _ = net
             .call_address::<_, ()>(address, PUSH, &own_claims, opts)
             .await;
@@ -102,7 +106,7 @@
         claims
     }
 
-    /// Introduces this daemon to the peers that its start settings name.
+    /// Compares the membership state with the seed peers, which makes this daemon known to them.
     pub(crate) fn join(self: &Rc<Self>) {
         let state = Rc::clone(self);
         monoio::spawn(async move {
@@ -112,8 +116,8 @@
         });
     }
 
-    /// Tries an address that does not answer: a VM believed gone, or one of the start
-    /// settings. Both sides of a cut that has healed find each other by it.
+    /// Tries to reach a VM believed gone and one of the seed addresses, so that both sides of a
+    /// network partition find each other after it has healed.
     pub(crate) fn retry_unreachable(self: &Rc<Self>, period_count: u64) {
         let nth = (period_count / self.options.unreachable_retry_periods) as usize;
         let gone = self.members.borrow().nth_gone_address(nth);
--- a/crates/peer/tests/authentication.rs
+++ b/crates/peer/tests/authentication.rs
@@ -1,4 +1,4 @@
-//! What a daemon refuses from those who connect to it, and from those it connects to.
+//! Authentication of connections: what a daemon refuses as a server and as a client.
 
 mod support;
 
@@ -54,7 +54,7 @@
     }
 }
 
-/// A connection under the test's own control.
+/// A connection whose messages the test writes itself.
 struct RawConnection {
     stream: TcpStream,
     traffic: Traffic,
@@ -82,7 +82,7 @@
         serde_json::from_slice(&payload.expect("an answer")).expect("a welcome")
     }
 
-    /// Goes through the handshake as `client` with `secret`.
+    /// Performs the handshake as `client` with `secret`.
     async fn authenticate(&mut self, client: PeerId, secret: &Secret) -> SessionKeys {
         let hello = hello(client);
         self.send(&hello).await;
@@ -96,8 +96,8 @@
         transcript.keys(secret)
     }
 
-    /// Writes raw bytes and reads until the server closes, giving what came after the
-    /// verdict.
+    /// Writes raw bytes and returns all messages received until the server closes the connection,
+    /// starting with the verdict.
     async fn exchange(self, bytes: Vec<u8>, keys: SessionKeys) -> Vec<Box<[u8]>> {
         let (rd, mut wr) = self.stream.into_split();
         let _ = wr.write_all(bytes).await;
@@ -110,8 +110,8 @@
     }
 }
 
-/// Sends `bytes` on a proven connection, and gives how many messages the server sent after
-/// its verdict before it closed.
+/// Sends `bytes` on an authenticated connection and returns how many messages the server sends
+/// between its verdict and closing the connection.
 async fn count_messages_after_verdict(
     to: &PeerNet,
     bytes: impl FnOnce(&SessionKeys) -> Vec<u8>,
@@ -122,8 +122,8 @@
     raw.exchange(bytes, keys).await.len() - 1
 }
 
-/// Somebody on the network without the secret sends a well-formed handshake and a call. The
-/// connection is closed without a verdict and the method does not run.
+/// Guards against running calls of clients without the secret: such a client performs a well-formed
+/// handshake and sends a call.
 #[test]
 fn a_client_without_the_secret_is_refused() {
     run(async {
@@ -143,8 +143,8 @@
     });
 }
 
-/// Somebody recorded a daemon's handshake and plays it again. The server's nonce differs, so
-/// the recorded proof does not match and nothing runs.
+/// Guards against replay attacks: a recorded handshake is sent again, and must fail because the
+/// server's nonce differs.
 #[test]
 fn a_replayed_handshake_is_refused() {
     run(async {
@@ -175,7 +175,7 @@
 }
 
 #[test]
-fn another_deployment_is_refused_by_name() {
+fn a_client_of_another_deployment_is_refused() {
     run(async {
         let time = TestTime::default();
         let (net, _) = target(&time);
@@ -195,8 +195,8 @@
     });
 }
 
-/// A process takes a VM's address without holding the secret. The caller finds that out
-/// before it sends its call.
+/// Guards against sending calls to an impostor: a process without the secret listens on a VM's
+/// address.
 #[test]
 fn a_server_without_the_secret_gets_no_call() {
     run(async {
@@ -218,6 +218,7 @@
     });
 }
 
+/// Guards against sending a call to another VM than the one it is meant for.
 #[test]
 fn another_vm_at_the_address_gets_no_call() {
     run(async {
@@ -240,10 +241,10 @@
     });
 }
 
-/// A VM was replaced while its process was paused. The process wakes up and calls a peer that
-/// knows the later incarnation: it is refused, and learns that it must stop.
+/// Guards against two active processes for one VM: a process was paused while the VM was replaced,
+/// and calls a peer that knows the later incarnation. It must be refused and learn why.
 #[test]
-fn an_earlier_incarnation_is_refused_and_told() {
+fn an_earlier_incarnation_is_refused_and_learns_its_successor() {
     run(async {
         let time = TestTime::default();
         let (net, touch_count) = target(&time);
@@ -266,10 +267,10 @@
     });
 }
 
-/// A daemon restarts at its address after its VM's calendar clock was set back, so that its
-/// peers know an incarnation with a higher epoch. It goes ahead of its dead predecessor.
+/// Guards against a daemon that stays refused after a restart: its VM's clock was set back, so its
+/// peers know a predecessor with a higher epoch at the same address.
 #[test]
-fn a_restarted_daemon_goes_ahead_of_its_predecessor_at_the_same_address() {
+fn a_restarted_daemon_raises_its_epoch_above_its_predecessor() {
     run(async {
         let time = TestTime::default();
         let (net, touch_count) = target(&time);
@@ -297,7 +298,7 @@
 }
 
 #[test]
-fn a_message_in_sequence_is_answered() {
+fn a_valid_call_is_answered() {
     run(async {
         let time = TestTime::default();
         let (net, touch_count) = target(&time);
@@ -320,10 +321,10 @@
     });
 }
 
-/// A message is taken out of, or put into, a connection: the sequence number jumps. The
-/// connection ends and the message is not run, however valid its code.
+/// Guards against messages removed from or inserted into a connection: a gap in the sequence
+/// numbers must end the connection, even if the message's MAC is valid.
 #[test]
-fn a_jump_of_the_sequence_number_ends_the_connection() {
+fn a_gap_in_the_sequence_numbers_ends_the_connection() {
     run(async {
         let time = TestTime::default();
         let (net, touch_count) = target(&time);
@@ -354,7 +355,7 @@
 }
 
 #[test]
-fn a_changed_byte_ends_the_connection() {
+fn a_modified_message_ends_the_connection() {
     run(async {
         let time = TestTime::default();
         let (net, touch_count) = target(&time);
@@ -373,7 +374,7 @@
 }
 
 #[test]
-fn a_message_that_is_no_call_ends_the_connection() {
+fn a_message_with_invalid_json_ends_the_connection() {
     run(async {
         let time = TestTime::default();
         let (net, touch_count) = target(&time);
@@ -386,10 +387,10 @@
     });
 }
 
-/// A client connects and sends nothing. It holds a place among the incoming connections for
-/// the time of a handshake at most.
+/// Guards against idle clients using up the incoming connections: a client that sends nothing is
+/// disconnected after the handshake timeout.
 #[test]
-fn a_client_that_says_nothing_is_closed() {
+fn a_client_that_sends_nothing_is_disconnected() {
     run(async {
         let time = TestTime::default();
         let (net, _) = target(&time);
@@ -405,9 +406,9 @@
     });
 }
 
-/// Whatever bytes a stranger sends, no method runs and daemons are still answered.
+/// Guards against unauthenticated bytes that run a method or stop the daemon from answering peers.
 #[test]
-fn random_bytes_run_nothing() {
+fn random_bytes_run_no_method() {
     heatherknot_test_support::property::check()
         .with_iterations(300)
         .for_each(|bytes| {
--- a/crates/peer/tests/calls.rs
+++ b/crates/peer/tests/calls.rs
@@ -1,4 +1,4 @@
-//! Calls between daemons over loopback.
+//! Calls between daemons on loopback.
 
 mod support;
 
@@ -117,7 +117,7 @@
 }
 
 #[test]
-fn errors_tell_the_step_the_peer_and_whether_the_call_ran() {
+fn errors_state_the_step_the_peer_and_whether_the_call_ran() {
     run(async {
         let time = TestTime::default();
         let callee = callee(&time);
@@ -213,11 +213,11 @@
     });
 }
 
-/// A device between two daemons loses track of their open connection. A user sees one slow
-/// request: the call's bytes vanish, the heartbeat sent with it gets nothing back, the
-/// connection is replaced, and the idempotent call is answered on the new one.
+/// Guards against calls that fail after a NAT or firewall drops the state of an idle connection.
+/// The heartbeat sent with the call gets no response, so the connection is replaced and the
+/// idempotent call is answered on the new one.
 #[test]
-fn a_silent_connection_is_replaced_and_an_idempotent_call_answered() {
+fn an_idempotent_call_is_retried_after_its_connection_goes_silent() {
     run(async {
         let time = TestTime::default();
         let network = Network::default();
@@ -242,11 +242,11 @@
     });
 }
 
-/// The same silent connection carries a call that must not run twice. The caller is told
-/// that it may have run, before the call's own timeout, and it is not sent again; the next
-/// call goes over a new connection.
+/// Guards against running a call twice that must run at most once. After its connection goes silent
+/// the call fails before its own timeout, with the information that it may have run, and the next
+/// call uses a new connection.
 #[test]
-fn a_call_that_runs_at_most_once_is_not_repeated_after_silence() {
+fn a_non_idempotent_call_is_not_retried_after_its_connection_goes_silent() {
     run(async {
         let time = TestTime::default();
         let network = Network::default();
@@ -278,10 +278,10 @@
     });
 }
 
-/// One peer accepts connections and never says a word. Calls to it fail, and calls to other
-/// peers are answered meanwhile without any time passing.
+/// Guards against a peer that cannot be reached delaying calls to other peers: all bytes to it are
+/// dropped, and a call to another peer must be answered without any time passing.
 #[test]
-fn a_hanging_peer_delays_no_call_to_another() {
+fn a_hanging_peer_does_not_delay_calls_to_others() {
     run(async {
         let time = TestTime::default();
         let network = Network::default();
--- a/crates/peer/tests/membership.rs
+++ b/crates/peer/tests/membership.rs
@@ -1,4 +1,4 @@
-//! Heartbeats over loopback: what daemons find out about each other, and when they err.
+//! Membership over loopback: detection of failures, partitions, pauses and restarts.
 
 mod support;
 
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn daemons_of_all_domains_find_each_other_from_one_address() {
+fn daemons_of_all_domains_find_each_other_through_one_seed() {
     run(async {
         let (time, network) = (TestTime::default(), Network::default());
 
@@ -29,8 +29,7 @@
     });
 }
 
-/// A process dies. Its peers find nobody at the address, suspect it, and after the suspicion
-/// every daemon of both domains counts it gone.
+/// Guards against a dead daemon that stays in the membership of its own or another domain.
 #[test]
 fn a_dead_daemon_is_suspect_first_and_then_gone_everywhere() {
     run(async {
@@ -62,8 +61,8 @@
     });
 }
 
-/// A VM's process dies and another starts at once at the same address, with its calendar
-/// clock set back. Its peers recognise a new run, and nobody takes it for the old one.
+/// Guards against confusing a restarted daemon with its previous incarnation: a daemon dies and
+/// restarts immediately at the same address, with its clock set back.
 #[test]
 fn a_restarted_daemon_is_a_new_incarnation() {
     run(async {
@@ -93,8 +92,8 @@
     });
 }
 
-/// The path from one daemon to another is cut in one direction. The one that gets no answer
-/// asks others, who reach the VM, so it is not suspected for longer than it takes to object.
+/// Guards against removing a VM that only one peer cannot reach. Helpers reach the VM, so it is not
+/// suspected, or refutes the suspicion in time.
 #[test]
 fn a_vm_that_one_peer_cannot_reach_is_not_gone() {
     run(async {
@@ -116,11 +115,11 @@
     });
 }
 
-/// A domain is cut off from all others. Inside it and outside, daemons go on seeing their own
-/// domain's; nobody is declared gone for the cut, but the age of what is believed of the
-/// other side grows. After the cut heals the beliefs agree again.
+/// Guards against considering a partitioned domain's VMs gone. Daemons keep track of their own
+/// domain, `since_heard` of the other domain's VMs grows, and the views agree again after the
+/// partition heals.
 #[test]
-fn a_domain_that_is_cut_off_is_not_gone_but_its_news_grow_old() {
+fn a_partitioned_domain_is_not_gone_but_its_age_grows() {
     run(async {
         let (time, network) = (TestTime::default(), Network::default());
         let nodes = settled_fleet(&[("a", 3), ("b", 3)], &time, &network).await;
@@ -154,11 +153,11 @@
     });
 }
 
-/// A process is stopped for a minute, longer than its peers wait. They count it gone. When it
-/// goes on it sees by its own clock that it was away, voids what it held, ends its
-/// connections and announces itself anew; then all count it alive again.
+/// Guards against a paused process that continues as if nothing had happened, or that stays gone.
+/// It is paused until its peers consider it gone and for 30 seconds more; when it resumes, it must
+/// detect the pause, call the hook and announce itself again.
 #[test]
-fn a_paused_daemon_notices_and_announces_itself_anew() {
+fn a_paused_daemon_detects_the_pause_and_announces_itself_again() {
     run(async {
         let (time, network) = (TestTime::default(), Network::default());
         let nodes = settled_fleet(&[("a", 4)], &time, &network).await;
@@ -182,10 +181,10 @@
     });
 }
 
-/// Two daemons can't talk at all and each would be believed if it called the other gone: both
-/// are heard by the rest, and stay alive everywhere.
+/// Guards against two daemons that cannot reach each other declaring each other gone while the
+/// others reach both.
 #[test]
-fn a_cut_between_two_daemons_costs_neither_its_place() {
+fn a_cut_between_two_daemons_makes_neither_gone() {
     run(async {
         let (time, network) = (TestTime::default(), Network::default());
         let nodes = settled_fleet(&[("a", 4)], &time, &network).await;
@@ -202,7 +201,7 @@
 }
 
 #[test]
-fn a_daemon_that_leaves_says_so() {
+fn a_leaving_daemon_announces_it() {
     run(async {
         let (time, network) = (TestTime::default(), Network::default());
         let nodes = settled_fleet(&[("a", 3), ("b", 2)], &time, &network).await;
@@ -246,7 +245,7 @@
 }
 
 #[test]
-fn a_vm_that_the_platform_lists_as_leaving_is_told_and_says_so_itself() {
+fn a_vm_that_the_platform_lists_as_leaving_announces_it() {
     run(async {
         let (time, network) = (TestTime::default(), Network::default());
         let (nodes, list) = fleet_with_list(&time, &network).await;
@@ -266,10 +265,10 @@
     });
 }
 
-/// The platform's list lags: it still shows a dead VM as live, and does not show a live one
-/// yet. Neither brings the dead one back nor removes the live one.
+/// Guards against trusting the platform's list, which lags behind: it shows a dead VM as live and
+/// does not yet show a live one. Neither state may change.
 #[test]
-fn a_lagging_list_neither_revives_nor_removes() {
+fn a_lagging_list_neither_revives_nor_removes_a_vm() {
     run(async {
         let (time, network) = (TestTime::default(), Network::default());
         let (nodes, list) = fleet_with_list(&time, &network).await;
@@ -293,10 +292,10 @@
     });
 }
 
-/// All VMs of a domain vanish at once, so that none is left to report the others. The other
-/// domain hears nobody there, and the platform's list no longer shows them: they are gone.
+/// Guards against a lost domain whose VMs stay alive in the view of others, because none of its VMs
+/// is left to detect the failure. They are gone once the platform's list no longer shows them.
 #[test]
-fn a_domain_lost_whole_is_gone_once_the_platform_says_so() {
+fn a_lost_domain_is_gone_once_the_platform_no_longer_lists_it() {
     run(async {
         let (time, network) = (TestTime::default(), Network::default());
         let (nodes, list) = fleet_with_list(&time, &network).await;
@@ -316,9 +315,10 @@
     });
 }
 
-/// A daemon begins with no peer that answers. The platform's list names one, and it is found.
+/// Guards against a daemon that stays alone because it has no seed: it finds its peers through the
+/// platform's list.
 #[test]
-fn a_daemon_without_seeds_finds_its_peers_by_the_platforms_list() {
+fn a_daemon_without_seeds_finds_its_peers_through_the_platforms_list() {
     run(async {
         let (time, network) = (TestTime::default(), Network::default());
         let old = TestDaemonSetup::new("a0", "a", &time, &network).start();
@@ -332,10 +332,10 @@
     });
 }
 
-/// A VM hangs without closing its connections and the platform takes it away. Its list says
-/// so; daemons that had not noticed yet count it gone.
+/// Guards against keeping a VM that the platform has removed: it hangs without closing its
+/// connections, and the platform's list shows it as gone.
 #[test]
-fn a_vm_that_the_platform_took_away_is_gone() {
+fn a_vm_that_the_platform_removed_is_gone() {
     run(async {
         let (time, network) = (TestTime::default(), Network::default());
         let (nodes, list) = fleet_with_list(&time, &network).await;
@@ -358,14 +358,15 @@
     });
 }
 
-/// News that its carriers lost: two domains each agree among themselves and believe different
-/// things of a VM. The first heartbeat between them finds that and they compare everything.
+/// Guards against views of two domains that differ for good after a partition in which an update
+/// was sent as often as updates are. The first heartbeat between the domains must detect the
+/// difference and start a comparison.
 #[test]
-fn domains_that_agree_only_among_themselves_are_brought_together() {
+fn domains_with_different_views_converge_after_a_partition() {
     run(async {
         let (time, network) = (TestTime::default(), Network::default());
         let nodes = settled_fleet(&[("a", 3), ("b", 3)], &time, &network).await;
-        // Without the address that all began with, only heartbeats bring the two together.
+        // Without the common seed, only heartbeats connect the two domains.
         nodes[0].net.close();
         let (a, b) = nodes[1..].split_at(2);
         let (a, b): (Vec<_>, Vec<_>) = (a.iter().collect(), b.iter().collect());
@@ -375,7 +376,7 @@
         })
         .await;
         set_path_between(&network, &a, &b, Path::Cut);
-        // By the end of the cut the change has been sent as often as updates are.
+        // When the partition ends, the update has been sent the maximum number of times.
         b[0].membership.leave();
         time.run_for(60_000).await;
         let unaware = all_believe(&a, &vm, MemberState::Alive);
@@ -390,10 +391,10 @@
     });
 }
 
-/// A fleet where nothing happens costs its heartbeats and no more: were any belief to differ
-/// for good, daemons would compare all of them again and again.
+/// Guards against views that never converge: daemons would then compare their whole membership
+/// state again and again, and the average message would be larger than a heartbeat.
 #[test]
-fn a_fleet_at_rest_exchanges_small_heartbeats_only() {
+fn an_idle_fleet_exchanges_only_small_heartbeats() {
     run(async {
         let (time, network) = (TestTime::default(), Network::default());
         let nodes = settled_fleet(&[("a", 6), ("b", 6), ("c", 6)], &time, &network).await;
--- a/crates/peer/tests/relay.rs
+++ b/crates/peer/tests/relay.rs
@@ -1,4 +1,5 @@
-//! Relay of settings over loopback: who gets what, and that nothing goes back.
+//! Relay of settings over loopback: every daemon receives new revisions and none reverts to an
+//! older one.
 
 mod support;
 
@@ -15,7 +16,7 @@
 };
 use support::{Network, Path, TestTime, run};
 
-/// Everything that a test of the relay stands on.
+/// Clock, network and store shared by the daemons of a test.
 #[derive(Default)]
 struct Fixture {
     time: TestTime,
@@ -50,6 +51,8 @@
     nodes.iter().any(|node| node.settings.reverted.get())
 }
 
+/// Guards against load on the store that grows with the number of VMs: only two VMs of each domain
+/// watch it, and a change still reaches all.
 #[test]
 fn a_change_reaches_all_while_two_vms_of_each_domain_watch() {
     run(async {
@@ -71,10 +74,10 @@
     });
 }
 
-/// A domain can't reach the platform, but its peers in another domain. A change accepted
-/// meanwhile is in force there too, without any of its VMs having heard the store.
+/// Guards against a domain that misses changes because it cannot reach the store: it must receive
+/// them from another domain.
 #[test]
-fn a_domain_cut_off_from_the_store_hears_from_other_domains() {
+fn a_domain_cut_off_from_the_store_is_updated_by_other_domains() {
     run(async {
         let fixture = Fixture::default();
         let nodes = fixture.fleet(&[("a", 3), ("b", 3)]).await;
@@ -90,10 +93,10 @@
     });
 }
 
-/// A domain is cut off from everything while settings change twice. It keeps what it has.
-/// When the cut heals it catches up, and the others never take its older settings.
+/// Guards against a partitioned domain that brings back older settings. The settings change twice
+/// during the partition; the domain keeps its own, and catches up after the partition heals.
 #[test]
-fn a_domain_that_comes_back_with_older_settings_catches_up() {
+fn a_partitioned_domain_catches_up_without_reverting_others() {
     run(async {
         let fixture = Fixture::default();
         let nodes = fixture.fleet(&[("a", 3), ("b", 3)]).await;
@@ -117,8 +120,8 @@
     });
 }
 
-/// The store answers a watch with an older revision than it gave before, as a lagging replica
-/// would. No daemon goes back, and the store isn't asked again and again at once.
+/// Guards against a lagging replica of the store that answers a watch with an older revision: no
+/// daemon may revert to it, or call the store again without a delay.
 #[test]
 fn a_stale_read_of_the_store_changes_nothing() {
     run(async {
@@ -139,10 +142,10 @@
     });
 }
 
-/// All VMs of a domain are replaced at once while the store is down. The new ones hold
-/// nothing; they start from the peers of the other domain.
+/// Guards against daemons that cannot start while the store is down: all VMs of a domain are
+/// replaced at once, and the new ones must get the settings from another domain.
 #[test]
-fn a_domain_replaced_whole_while_the_store_is_down_starts_from_other_domains() {
+fn a_replaced_domain_starts_from_other_domains_while_the_store_is_down() {
     run(async {
         let fixture = Fixture::default();
         let mut nodes = fixture.fleet(&[("a", 3), ("b", 3)]).await;
@@ -165,10 +168,10 @@
     });
 }
 
-/// A daemon starts with no peer that answers and a store that is down. It has no settings and
-/// says what it waits for; when the store comes back it has them.
+/// Guards against a daemon that waits for settings without reporting why: it starts with no peer
+/// and a store that is down, and gets the settings once the store is back.
 #[test]
-fn a_daemon_with_no_peer_and_no_store_says_what_it_waits_for() {
+fn a_daemon_with_no_peer_and_no_store_reports_what_it_waits_for() {
     run(async {
         let fixture = Fixture::default();
         fixture.store.commit("first");
@@ -182,13 +185,13 @@
 
         let waiting = waiting.expect("it waits");
         assert!(waiting.contains("no peer is known"), "{waiting}");
-        assert!(waiting.contains("the store is away"), "{waiting}");
+        assert!(waiting.contains("the store is unreachable"), "{waiting}");
         assert_eq!(node.relay.status().waiting_for, None);
     });
 }
 
-/// A new VM joins after more changes than its peers keep. It gets all settings in parts, each
-/// below the bound of a message.
+/// Guards against a new VM that cannot catch up because its peers no longer have all changes: it
+/// must receive a snapshot, in parts that fit in a message.
 #[test]
 fn a_daemon_far_behind_gets_a_snapshot_in_parts() {
     run(async {
@@ -219,10 +222,11 @@
     });
 }
 
-/// One daemon can't read a revision, as after a downgrade. It keeps the last good one, says
-/// so, and does not fetch the same thing from its peers at every heartbeat.
+/// Guards against a daemon that loses its settings, or pulls again at every heartbeat, because it
+/// cannot read the newest revision, for example after a downgrade. It must keep the last readable
+/// revision and report the refusal.
 #[test]
-fn a_revision_that_cannot_be_read_keeps_the_last_good_one() {
+fn an_unreadable_revision_leaves_the_previous_one_in_force() {
     run(async {
         let fixture = Fixture::default();
         let nodes = fixture.fleet(&[("a", 4)]).await;
@@ -249,10 +253,9 @@
     });
 }
 
-/// A process is stopped while settings change, and goes on with what it held. It takes the
-/// newer settings and gives its older ones to nobody.
+/// Guards against a paused process that spreads its older settings when it resumes after a change.
 #[test]
-fn a_paused_daemon_comes_back_without_reverting_anybody() {
+fn a_paused_daemon_resumes_without_reverting_others() {
     run(async {
         let fixture = Fixture::default();
         let nodes = fixture.fleet(&[("a", 4)]).await;
@@ -277,8 +280,8 @@
     });
 }
 
-/// Both VMs that watch the store die, and the next change comes right after. Others of the
-/// domain take the watch over without a word between them.
+/// Guards against a domain without watchers: both of its watchers die just before a change, and
+/// other VMs of the domain must take over.
 #[test]
 fn watchers_that_die_are_replaced() {
     run(async {
@@ -286,7 +289,7 @@
         let mut nodes = fixture.fleet(&[("a", 6)]).await;
         let first = fixture.store.commit("first");
         fixture.until_in_force(&nodes, first).await;
-        // The watches that every daemon begins with, while it knows nobody, end by then.
+        // Every daemon watches the store until it knows its peers; these watches end by then.
         fixture.time.run_for(5_000).await;
 
         nodes.retain(|node| {
@@ -305,10 +308,10 @@
     });
 }
 
-/// A damaged message names a revision far ahead. Taking it would make every later change look
-/// old, so it is refused and reported.
+/// Guards against a corrupted message with a revision far ahead: after applying it, every later
+/// change would be ignored as old.
 #[test]
-fn a_huge_jump_of_the_revision_is_refused() {
+fn a_revision_too_far_ahead_is_refused() {
     run(async {
         let fixture = Fixture::default();
         let nodes = fixture.fleet(&[("a", 2)]).await;
@@ -329,7 +332,7 @@
 }
 
 #[test]
-fn a_holder_takes_newer_snapshots_only_and_tells_of_each_new_revision() {
+fn a_holder_applies_only_newer_snapshots_and_notifies_of_each() {
     let snapshot = |revision: u64| {
         let empty = Holder::new().snapshot();
         let at = ChainPoint {
@@ -346,22 +349,21 @@
     let holder = Rc::new(RefCell::new(Holder::new()));
     let port =
         SettingsPort::for_holder(holder, Rc::new(move |rev| recorder.borrow_mut().push(rev)));
-    let nothing = (port.snapshot)();
+    let initial = (port.snapshot)();
 
     for revision in [5, 3, 7] {
         (port.apply)(&snapshot(revision)).expect("read");
     }
 
-    assert!(nothing.is_none());
+    assert!(initial.is_none());
     assert_eq!((port.revision)(), Revision(7));
     assert_eq!(*notified.borrow(), [Revision(5), Revision(7)]);
     assert_eq!((port.snapshot)().map(|s| s.revision), Some(Revision(7)));
 }
 
-/// The store comes and goes while the fleet watches it. Its daemons ask it again at growing
-/// pauses, not all the time.
+/// Guards against overloading a store that is down: its watchers must retry with growing delays.
 #[test]
-fn a_store_that_is_down_is_asked_rarely() {
+fn a_store_that_is_down_is_called_rarely() {
     run(async {
         let fixture = Fixture::default();
         let nodes = fixture.fleet(&[("a", 4)]).await;
@@ -382,10 +384,10 @@
     });
 }
 
-/// Two daemons that know each other start with nothing, and the only change is accepted after
-/// their own watch went quiet without an error: the watch is renewed.
+/// Guards against a watch that stops delivering without an error: a daemon without settings must
+/// renew the watch to receive a later change.
 #[test]
-fn a_quiet_watch_is_renewed() {
+fn a_watch_that_stops_delivering_is_renewed() {
     run(async {
         let fixture = Fixture::default();
         let quiet = Rc::new(Cell::new(true));
--- a/crates/peer/tests/reports.rs
+++ b/crates/peer/tests/reports.rs
@@ -1,4 +1,4 @@
-//! Load reports on their way between tables, and over heartbeats.
+//! Exchange of load reports between tables and over heartbeats.
 
 mod support;
 
@@ -10,7 +10,7 @@
 use support::fleet::{TestDaemon, TestDaemonSetup, all_alive};
 use support::{Network, TestTime, run};
 
-const RUN: Incarnation = Incarnation(1);
+const INCARNATION: Incarnation = Incarnation(1);
 
 fn table(vm: &str, time: &TestTime) -> ReportTable {
     ReportTable::new(VmName::from(vm), time.timer(), ReportOptions::default())
@@ -32,11 +32,11 @@
 }
 
 #[test]
-fn a_report_arrives_with_its_age() {
+fn a_report_arrives_with_its_total_age() {
     let time = TestTime::default();
     let (a, b, c) = (table("a", &time), table("b", &time), table("c", &time));
 
-    a.publish(RUN, loads(&[("x", 3), ("y", 4)]));
+    a.publish(INCARNATION, loads(&[("x", 3), ("y", 4)]));
     time.advance(700);
     transfer(&a, &b);
     time.advance(500);
@@ -49,14 +49,14 @@
 }
 
 #[test]
-fn only_what_changed_is_sent_to_who_has_the_report_before() {
+fn a_delta_carries_only_changed_values() {
     let time = TestTime::default();
     let (a, b) = (table("a", &time), table("b", &time));
-    a.publish(RUN, loads(&[("x", 3), ("y", 4)]));
+    a.publish(INCARNATION, loads(&[("x", 3), ("y", 4)]));
     transfer(&a, &b);
 
-    a.publish(RUN, loads(&[("x", 3), ("y", 9)]));
-    let batch = a.next_batch(Scope::Domain).expect("a difference");
+    a.publish(INCARNATION, loads(&[("x", 3), ("y", 9)]));
+    let batch = a.next_batch(Scope::Domain).expect("a delta");
     let text = serde_json::to_string(&batch).expect("JSON");
     b.merge(Scope::Domain, batch);
 
@@ -64,24 +64,23 @@
     assert_eq!(seen(&b, "a"), Some(loads(&[("x", 3), ("y", 9)])));
 }
 
-/// A daemon missed a report, since a message was lost. The next difference does not fit what
-/// it has, and it must not mix the two: it keeps the old values with their age until the
-/// whole values come.
+/// Guards against mixing values of different reports: a message was lost, so the next delta does
+/// not apply to the known report. The old values are kept until a message with all values arrives.
 #[test]
-fn a_difference_from_a_report_that_was_missed_is_left_out() {
+fn a_delta_to_a_report_that_was_missed_is_ignored() {
     let time = TestTime::default();
     let (a, b) = (table("a", &time), table("b", &time));
-    a.publish(RUN, loads(&[("x", 1), ("y", 1)]));
+    a.publish(INCARNATION, loads(&[("x", 1), ("y", 1)]));
     transfer(&a, &b);
-    a.publish(RUN, loads(&[("x", 2), ("y", 1)]));
+    a.publish(INCARNATION, loads(&[("x", 2), ("y", 1)]));
     a.next_batch(Scope::Domain).expect("lost on the way");
-    a.publish(RUN, loads(&[("x", 2), ("y", 2)]));
+    a.publish(INCARNATION, loads(&[("x", 2), ("y", 2)]));
 
     transfer(&a, &b);
-    let after_difference = seen(&b, "a");
+    let after_delta = seen(&b, "a");
     transfer(&a, &b);
 
-    assert_eq!(after_difference, Some(loads(&[("x", 1), ("y", 1)])));
+    assert_eq!(after_delta, Some(loads(&[("x", 1), ("y", 1)])));
     assert_eq!(seen(&b, "a"), Some(loads(&[("x", 2), ("y", 2)])));
 }
 
@@ -89,10 +88,10 @@
 fn an_older_report_does_not_replace_a_newer_one() {
     let time = TestTime::default();
     let (a, b) = (table("a", &time), table("b", &time));
-    a.publish(RUN, loads(&[("x", 1)]));
+    a.publish(INCARNATION, loads(&[("x", 1)]));
     let late = a.next_batch(Scope::Domain).expect("a report");
-    a.publish(RUN, loads(&[("x", 2), ("z", 5)]));
-    a.next_batch(Scope::Domain).expect("a difference");
+    a.publish(INCARNATION, loads(&[("x", 2), ("z", 5)]));
+    a.next_batch(Scope::Domain).expect("a delta");
     transfer(&a, &b);
 
     b.merge(Scope::Domain, late);
@@ -100,15 +99,14 @@
     assert_eq!(seen(&b, "a"), Some(loads(&[("x", 2), ("z", 5)])));
 }
 
-/// A VM restarts and reports from the beginning. Its report replaces that of the run before,
-/// though its number is lower.
+/// Guards against ignoring the reports of a restarted VM, whose numbers start again from one.
 #[test]
-fn a_new_run_replaces_the_reports_of_the_one_before() {
+fn a_report_of_a_new_incarnation_replaces_the_previous_one() {
     let time = TestTime::default();
     let b = table("b", &time);
     let old = table("a", &time);
     for n in 0..5 {
-        old.publish(RUN, loads(&[("x", n)]));
+        old.publish(INCARNATION, loads(&[("x", n)]));
     }
     transfer(&old, &b);
     transfer(&old, &b);
@@ -124,26 +122,28 @@
     );
 }
 
+/// Guards against a removed value that stays in the reports at other VMs, as a delta cannot remove
+/// it.
 #[test]
-fn a_value_that_disappears_is_gone_at_the_others() {
+fn a_removed_value_is_removed_from_the_report_at_others() {
     let time = TestTime::default();
     let (a, b) = (table("a", &time), table("b", &time));
-    a.publish(RUN, loads(&[("x", 1), ("y", 1)]));
+    a.publish(INCARNATION, loads(&[("x", 1), ("y", 1)]));
     transfer(&a, &b);
 
-    a.publish(RUN, loads(&[("y", 1)]));
+    a.publish(INCARNATION, loads(&[("y", 1)]));
     transfer(&a, &b);
 
     assert_eq!(seen(&b, "a"), Some(loads(&[("y", 1)])));
 }
 
 #[test]
-fn a_message_keeps_to_its_bound_and_each_report_is_sent_a_few_times() {
+fn messages_are_limited_in_size_and_each_report_is_forwarded_twice() {
     let time = TestTime::default();
     let (a, b) = (table("a", &time), table("b", &time));
     for n in 0..40 {
         let other = table(&format!("vm{n}"), &time);
-        other.publish(RUN, loads(&[("x", n), ("y", n), ("z", n)]));
+        other.publish(INCARNATION, loads(&[("x", n), ("y", n), ("z", n)]));
         transfer(&other, &a);
     }
 
@@ -159,10 +159,10 @@
 }
 
 #[test]
-fn old_reports_are_forgotten_and_not_taken_in() {
+fn old_reports_are_dropped_and_not_merged() {
     let time = TestTime::default();
     let (a, b) = (table("a", &time), table("b", &time));
-    a.publish(RUN, loads(&[("x", 1)]));
+    a.publish(INCARNATION, loads(&[("x", 1)]));
     transfer(&a, &b);
     let batch = a.next_batch(Scope::OtherDomain).expect("its own report");
     let text = serde_json::to_string(&batch).expect("JSON");
@@ -176,10 +176,10 @@
 }
 
 #[test]
-fn a_report_of_another_domain_is_kept_and_not_passed_on() {
+fn a_report_of_another_domain_is_kept_and_not_forwarded() {
     let time = TestTime::default();
     let (a, b) = (table("a", &time), table("b", &time));
-    a.publish(RUN, loads(&[("x", 1)]));
+    a.publish(INCARNATION, loads(&[("x", 1)]));
 
     b.merge(
         Scope::OtherDomain,
@@ -206,9 +206,9 @@
         }
         time.wait_until("all know all", || all_alive(&nodes)).await;
 
-        // A message that comes too late for one report carries the next one.
+        // A VM that no message brings one report receives a later one.
         for n in 0..5 {
-            tables[0].publish(RUN, loads(&[("x", n)]));
+            tables[0].publish(INCARNATION, loads(&[("x", n)]));
             time.run_for(3_000).await;
         }
 
--- a/crates/peer/tests/support/fleet.rs
+++ b/crates/peer/tests/support/fleet.rs
@@ -15,21 +15,21 @@
 
 use super::{Network, Path, TestTime, context};
 
-/// A stand-in for the platform's list.
+/// A fake of the platform's VM list.
 pub type ListedVms = Rc<RefCell<Vec<VmRecord>>>;
 
-/// A stand-in for the holder of settings: the changes of each revision, from the first.
+/// A fake of the holder of settings, which keeps the changes of all revisions.
 #[derive(Clone, Default)]
 pub struct FakeSettings {
     pub changes: Rc<RefCell<Vec<RelayedChange>>>,
-    /// The only revision that this holder can't read.
+    /// A revision that this holder cannot read.
     pub unreadable: Rc<Cell<Option<Revision>>>,
     pub refusals: Rc<Cell<u32>>,
-    /// Set where a revision was ever replaced by an older one.
+    /// Set once a revision has been replaced by an older one.
     pub reverted: Rc<Cell<bool>>,
 }
 
-/// Makes the change of one revision.
+/// Creates the change of one revision.
 pub fn change(revision: u64, text: &str) -> RelayedChange {
     RelayedChange {
         revision: Revision(revision),
@@ -85,19 +85,19 @@
     }
 }
 
-/// A stand-in for the platform's store.
+/// A fake of the platform's store.
 #[derive(Clone, Default)]
 pub struct FakeStore {
     pub settings: FakeSettings,
     pub down: Rc<Cell<bool>>,
-    /// Answers with this instead of what is newest.
+    /// Delivery to answer with instead of the newest changes.
     pub stale: Rc<RefCell<Option<Delivery>>>,
     pub calls: Rc<Cell<u64>>,
     pub waiting: Rc<Cell<u32>>,
 }
 
 impl FakeStore {
-    /// Accepts one more change.
+    /// Commits a change and returns its revision.
     pub fn commit(&self, text: &str) -> Revision {
         let next = self.settings.revision().next();
         self.settings
@@ -107,7 +107,7 @@
         next
     }
 
-    /// Gives the port of a daemon that reaches the store while `cut` is not set.
+    /// Returns the interface for a daemon that can reach the store while `cut` is not set.
     pub fn port(&self, time: &TestTime, cut: &Rc<Cell<bool>>) -> StorePort {
         let (store, cut, timer) = (self.clone(), Rc::clone(cut), time.timer());
         StorePort {
@@ -126,7 +126,7 @@
                         timer.wait(Millis(50)).await;
                     }
                     drop(waiting);
-                    Err(String::from("the store is away"))
+                    Err(String::from("the store is unreachable"))
                 })
             }),
         }
@@ -164,7 +164,7 @@
     pub net: PeerNet,
     pub relay: Relay,
     pub settings: FakeSettings,
-    /// Cuts this daemon off from the store.
+    /// Whether this daemon cannot reach the store.
     pub store_cut: Rc<Cell<bool>>,
     pub membership: Membership,
     pub resume_count: Rc<Cell<u32>>,
@@ -172,7 +172,7 @@
     pub paused: Rc<Cell<bool>>,
 }
 
-/// What one daemon is started with.
+/// Configuration of a daemon to start.
 pub struct TestDaemonSetup {
     pub cx: PeerContext,
     pub seeds: Vec<SocketAddr>,
@@ -204,7 +204,7 @@
         }
     }
 
-    /// Lets the daemon watch a store.
+    /// Adds a store that the daemon can watch.
     pub fn with_store(mut self, store: &FakeStore, time: &TestTime) -> Self {
         self.store = Some(store.port(time, &self.store_cut));
         self
@@ -298,7 +298,7 @@
     }
 }
 
-/// Starts daemons named after their domains, all of which begin with the first one's address.
+/// Starts daemons that are named after their domains and have the first one's address as seed.
 pub fn fleet(domains: &[(&str, usize)], time: &TestTime, network: &Network) -> Vec<TestDaemon> {
     let mut nodes: Vec<TestDaemon> = Vec::new();
     for (domain, count) in domains {
@@ -311,7 +311,7 @@
     nodes
 }
 
-/// Starts daemons that watch a store, and waits until all know all.
+/// Starts daemons that can watch a store, and waits until every daemon knows all others.
 pub async fn settled_fleet_with_store(
     domains: &[(&str, usize)],
     time: &TestTime,
@@ -331,7 +331,7 @@
     nodes
 }
 
-/// Tells whether every daemon believes every other one to be alive.
+/// Returns whether every daemon considers all others alive.
 pub fn all_alive(nodes: &[TestDaemon]) -> bool {
     nodes.iter().all(|node| {
         let alive = node.membership.views().into_iter();
@@ -342,7 +342,7 @@
     })
 }
 
-/// Starts a fleet and waits until all know all.
+/// Starts a fleet and waits until every daemon knows all others.
 pub async fn settled_fleet(
     domains: &[(&str, usize)],
     time: &TestTime,
@@ -353,13 +353,13 @@
     nodes
 }
 
-/// Sets what happens to bytes between two daemons, both ways.
+/// Sets the state of the path between two daemons in both directions.
 pub fn set_path_both_ways(network: &Network, a: &TestDaemon, b: &TestDaemon, path: Path) {
     network.set_path(a.vm().as_str(), b.address(), path);
     network.set_path(b.vm().as_str(), a.address(), path);
 }
 
-/// Sets what happens to bytes between two groups of daemons, both ways.
+/// Sets the state of the paths between two groups of daemons in both directions.
 pub fn set_path_between(
     network: &Network,
     these: &[&TestDaemon],
