--- a/crates/peer/tests/support/mod.rs
+++ b/crates/peer/tests/support/mod.rs
@@ -1,5 +1,5 @@
-//! Fixtures for the tests of this package: a clock that the test advances, daemons on
-//! loopback, and connections that can be cut.
+//! Fixtures for the tests of this package: a virtual clock, daemons on loopback, and connections
+//! that can be cut.
 #![allow(dead_code)]
 
 pub mod fleet;
@@ -16,12 +16,12 @@
 use monoio::io::{AsyncReadRent, AsyncWriteRent, AsyncWriteRentExt, Splitable};
 use monoio::net::{TcpListener, TcpStream};
 
-/// Virtual milliseconds that pass for each pause of the runtime.
+/// Virtual milliseconds by which the clock advances for each real pause of one millisecond.
 const STEP: u64 = 25;
-/// Steps after which a condition that still does not hold fails the test.
+/// Number of steps after which waiting for a condition fails the test.
 const MAX_STEPS: u64 = 60_000;
 
-/// Runs a test on the runtime that daemons use.
+/// Runs a test on the same runtime as the daemons.
 pub fn run<T>(test: impl Future<Output = T>) -> T {
     monoio::RuntimeBuilder::<monoio::LegacyDriver>::new()
         .enable_timer()
@@ -30,15 +30,15 @@
         .block_on(test)
 }
 
-/// Lets the sockets of this process make progress.
+/// Sleeps for a real millisecond, so that sockets make progress.
 pub async fn let_sockets_progress() {
     monoio::time::sleep(Duration::from_millis(1)).await;
 }
 
-/// When a sleep ends, and what ends it.
+/// The virtual time at which a sleep ends, and the channel that ends it.
 type Sleeper = (u64, oneshot::Sender<()>);
 
-/// A clock that moves only when the test says so.
+/// A virtual clock that only the test advances.
 #[derive(Clone, Default)]
 pub struct TestTime {
     now: Rc<Cell<u64>>,
@@ -58,7 +58,7 @@
         }
     }
 
-    /// Gives a timer whose sleeps do not end while `paused` holds, as in a stopped process.
+    /// Returns a timer whose sleeps do not end while `paused` is set, as in a paused process.
     pub fn pausable_timer(&self, paused: &Rc<Cell<bool>>) -> Timer {
         let (time, paused) = (self.clone(), Rc::clone(paused));
         let mut timer = self.timer();
@@ -83,7 +83,7 @@
         })
     }
 
-    /// Moves the clock and wakes what is due.
+    /// Advances the clock and ends all sleeps that are due.
     pub fn advance(&self, span: u64) {
         let now = self.now.get() + span;
         self.now.set(now);
@@ -96,7 +96,7 @@
         }
     }
 
-    /// Advances step by step until `done` holds.
+    /// Advances the clock in steps until `done` returns true.
     pub async fn wait_until(&self, what: &str, mut done: impl FnMut() -> bool) {
         for _ in 0..MAX_STEPS {
             if done() {
@@ -105,25 +105,25 @@
             let_sockets_progress().await;
             self.advance(STEP);
         }
-        panic!("never came true: {what}");
+        panic!("condition not met: {what}");
     }
 
-    /// Advances step by step while `work` runs, and gives its value.
+    /// Advances the clock in steps until `work` completes, and returns its output.
     pub async fn drive<T: 'static>(&self, work: impl Future<Output = T> + 'static) -> T {
         let (tx, mut rx) = oneshot::channel();
         monoio::spawn(async move {
             let _ = tx.send(work.await);
         });
-        let got = RefCell::new(None);
+        let output = RefCell::new(None);
         self.wait_until("the work ends", || {
-            *got.borrow_mut() = rx.try_recv().expect("the work runs");
-            got.borrow().is_some()
+            *output.borrow_mut() = rx.try_recv().expect("the work runs");
+            output.borrow().is_some()
         })
         .await;
-        got.into_inner().expect("checked above")
+        output.into_inner().expect("checked above")
     }
 
-    /// Lets `span` virtual milliseconds pass.
+    /// Advances the clock in steps by `span` milliseconds.
     pub async fn run_for(&self, span: u64) {
         let end = self.now.get() + span;
         self.wait_until("time passes", || self.now.get() >= end)
@@ -131,18 +131,18 @@
     }
 }
 
-/// What the network between two daemons does with bytes.
+/// State of the network path between two daemons.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Path {
-    /// Delivers them.
+    /// Delivers all bytes.
     Open,
-    /// Drops them without a word, on connections old and new.
+    /// Drops all bytes silently, on existing and new connections.
     Cut,
-    /// Drops them on the connections that are open now and delivers those of new ones.
+    /// Drops all bytes of existing connections silently and delivers those of new ones.
     CutExisting,
 }
 
-/// The paths from each address to each other; daemons dial through it.
+/// A simulated network through which daemons open connections.
 #[derive(Clone, Default)]
 pub struct Network {
     paths: Rc<RefCell<BTreeMap<(VmName, SocketAddr), Path>>>,
@@ -150,7 +150,7 @@
 }
 
 impl Network {
-    /// Sets what happens to bytes of connections that `from` opens to `to`.
+    /// Sets the state of the path for connections that `from` opens to `to`.
     pub fn set_path(&self, from: &str, to: SocketAddr, path: Path) {
         self.generation.set(self.generation.get() + 1);
         self.paths
@@ -166,8 +166,8 @@
         }
     }
 
-    /// Gives the dial port of `from`: each connection runs through a relay that drops bytes
-    /// as the path says.
+    /// Returns the dial function of `from`. Each connection runs through a proxy that drops bytes
+    /// according to the state of the path.
     pub fn dial(&self, from: &str) -> Dial {
         let (network, from) = (self.clone(), VmName::from(from));
         Rc::new(move |to| Box::pin(network.clone().connect(from.clone(), to)))
@@ -223,7 +223,7 @@
     Secret::new("a secret of the tests")
 }
 
-/// Gives the context of a daemon of the deployment `tests`.
+/// Returns the context of a daemon in the deployment `tests`.
 pub fn context(vm: &str, domain: &str, time: &TestTime) -> PeerContext {
     PeerContext {
         deployment: String::from("tests"),
@@ -247,7 +247,7 @@
     PeerNet::start(cx).expect("listening on loopback")
 }
 
-/// Lets `a` know where `b` is.
+/// Makes the identity and address of `b` known to `a`.
 pub fn introduce(a: &PeerNet, b: &PeerNet) {
     a.learn(&b.me()).expect("no later incarnation is known");
 }
