--- a/crates/peer/examples/peer_fleet/figures.rs
+++ b/crates/peer/examples/peer_fleet/figures.rs
@@ -115,9 +115,10 @@
 }
 
 impl Row {
-    pub const HEADER: &str = "| daemons | all know all, ms | at rest, a daemon and second | \
-        connections out, in | age of reports, ms | watches of the store | \
-        in force everywhere, ms | the same with a domain cut off from the store, ms | bytes a daemon and change | killed: suspect, gone everywhere, ms | \
+    pub const HEADER: &str = "| daemons | all know all, ms | idle, per daemon and second | \
+        connections out, in | report age, ms | store watches | \
+        in force everywhere, ms | the same with a domain cut off from the store, ms | \
+        bytes per daemon and change | killed: suspect, gone everywhere, ms | \
         vanished: suspect, gone everywhere, ms |\n|---|---|---|---|---|---|---|---|---|---|---|";
 }
 
--- a/crates/peer/examples/peer_fleet/main.rs
+++ b/crates/peer/examples/peer_fleet/main.rs
@@ -45,8 +45,8 @@
     let fit = |name, value: fn(&Row) -> f64| {
         print_slope(name, rows.iter().map(|row| (row.size as f64, value(row))));
     };
-    fit("bytes/s at rest", |row| row.idle.bytes);
-    fit("CPU % at rest", |row| row.idle.cpu);
+    fit("idle bytes/s", |row| row.idle.bytes);
+    fit("idle CPU %", |row| row.idle.cpu);
     fit("ms to in force", |row| row.in_force.median);
     fit("ms to gone everywhere, process killed", |row| {
         row.killed_gone.median
@@ -73,7 +73,7 @@
 fn print_slope(name: &str, points: impl Iterator<Item = (f64, f64)>) {
     let (slope, base) = fit_line(points);
     let at = base + slope * FULL_SIZE;
-    println!("{name}: {base:.3} + {slope:.5} a daemon; at {FULL_SIZE}: {at:.3}");
+    println!("{name}: {base:.3} + {slope:.5} per daemon; at {FULL_SIZE}: {at:.3}");
 }
 
 fn runtime() -> monoio::Runtime<monoio::time::TimeDriver<monoio::LegacyDriver>> {
--- a/crates/peer/src/heartbeat.rs
+++ b/crates/peer/src/heartbeat.rs
@@ -10,7 +10,7 @@
 use crate::auth::PeerId;
 use crate::error::{Cause, Handled, PeerError, Step};
 use crate::members::{Claim, Member, MemberState, MergeOutcome, Source};
-use crate::membership::{HEARTBEAT, MembershipState, PROBE_FOR};
+use crate::membership::{HEARTBEAT, INDIRECT_PROBE, MembershipState};
 use crate::options::CallOptions;
 use crate::reports::Scope;
 
@@ -26,8 +26,10 @@
     /// Digest of the sender's membership state.
     #[serde(rename = "h")]
     digest: u64,
+    /// Claims about VMs whose state changed recently.
     #[serde(rename = "u", default, skip_serializing_if = "Vec::is_empty")]
     updates: Vec<Claim>,
+    /// Load reports.
     #[serde(rename = "l", default, skip_serializing_if = "Option::is_none")]
     reports: Option<crate::reports::Batch>,
 }
@@ -156,7 +158,7 @@
         let timeout = self.options.answer_timeout + self.options.answer_timeout;
         let calls = helpers.iter().map(|helper| {
             let opts = CallOptions::idempotent(timeout);
-            net.call_with::<_, bool>(helper, PROBE_FOR, vm, opts)
+            net.call_with::<_, bool>(helper, INDIRECT_PROBE, vm, opts)
         });
         let answers = futures_util::future::join_all(calls).await;
         answers
--- a/crates/peer/src/incoming.rs
+++ b/crates/peer/src/incoming.rs
@@ -67,7 +67,9 @@
 /// Queue of answers from the reading half and the running calls to the writing half.
 struct AnswerQueue {
     tx: UnboundedSender<Vec<u8>>,
+    /// Number of answers that have not been written yet.
     queued: Cell<usize>,
+    /// Number of calls that are running.
     running: Cell<usize>,
 }
 
--- a/crates/peer/src/members.rs
+++ b/crates/peer/src/members.rs
@@ -63,9 +63,9 @@
 impl Claim {
     /// Returns whether this claim takes precedence over `other` about the same VM.
     fn supersedes(&self, other: &Claim) -> bool {
-        let run = (self.id.epoch, self.id.incarnation);
-        let other_run = (other.id.epoch, other.id.incarnation);
-        (run, self.version, self.state) > (other_run, other.version, other.state)
+        let incarnation = (self.id.epoch, self.id.incarnation);
+        let other_incarnation = (other.id.epoch, other.id.incarnation);
+        (incarnation, self.version, self.state) > (other_incarnation, other.version, other.state)
     }
 }
 
@@ -119,6 +119,7 @@
     others: BTreeMap<VmName, Member>,
     /// VMs with updates still to be sent, and how often each update has been sent.
     pending: BTreeMap<VmName, u32>,
+    /// When this daemon last heard from a VM of each domain.
     last_contacts: BTreeMap<DomainName, Millis>,
 }
 
--- a/crates/peer/src/membership.rs
+++ b/crates/peer/src/membership.rs
@@ -21,7 +21,7 @@
 const MAX_FORWARDED_CLAIMS: usize = 8;
 
 pub(crate) const HEARTBEAT: &str = "m";
-pub(crate) const PROBE_FOR: &str = "mq";
+pub(crate) const INDIRECT_PROBE: &str = "mq";
 pub(crate) const SYNC: &str = "ms";
 pub(crate) const PUSH: &str = "mu";
 
@@ -42,8 +42,7 @@
     pub suspicion_timeout: Millis,
     /// Time for which a VM that is gone is kept in the membership state.
     pub gone_retention: Millis,
-    /// Delay of a period beyond its length from which on the process is considered to have been
-    /// paused.
+    /// Minimum delay of a heartbeat period that indicates that the process was paused.
     pub pause_threshold: Millis,
     /// Minimum interval between comparisons of the membership state that a daemon starts because of
     /// a differing digest.
@@ -133,8 +132,11 @@
     pub(crate) hooks: MembershipHooks,
     pub(crate) options: MembershipOptions,
     pub(crate) rng: RefCell<fastrand::Rng>,
+    /// VMs of the domain that are still to be probed in the current pass.
     pub(crate) probe_queue: RefCell<VecDeque<VmName>>,
+    /// When this daemon last started a comparison because of a differing digest.
     pub(crate) last_sync: Cell<Option<Millis>>,
+    /// Whether a comparison that this daemon started is in progress.
     pub(crate) syncing: Cell<bool>,
     pub(crate) started_at: Millis,
 }
@@ -236,7 +238,7 @@
         async move { Ok(answer) }
     });
     let cx = Rc::clone(state);
-    methods.register(PROBE_FOR, move |_, vm: VmName| {
+    methods.register(INDIRECT_PROBE, move |_, vm: VmName| {
         let cx = Rc::clone(&cx);
         async move { Ok(cx.exchange_heartbeat(&vm).await.is_ok()) }
     });
--- a/crates/peer/src/net.rs
+++ b/crates/peer/src/net.rs
@@ -22,7 +22,7 @@
 use crate::incoming::accept_loop;
 use crate::methods::MethodTable;
 use crate::options::{CallOptions, PeerOptions};
-use crate::outgoing::{Peer, QueuedCall, run_peer};
+use crate::outgoing::{OutgoingCall, Peer, run_peer};
 
 /// Function that opens a TCP connection to an address.
 pub type Dial = Rc<dyn Fn(SocketAddr) -> LocalBoxFuture<'static, std::io::Result<TcpStream>>>;
@@ -66,7 +66,7 @@
     }
 }
 
-type PeerTask = (Rc<Peer>, UnboundedSender<QueuedCall>);
+type PeerTask = (Rc<Peer>, UnboundedSender<OutgoingCall>);
 type CancelSignal = Shared<oneshot::Receiver<()>>;
 
 /// Cancels the tasks that wait for its signal when it is replaced or dropped.
@@ -410,7 +410,7 @@
             return Err(refuse(Step::Queue, Cause::QueueFull { waiting }));
         }
         let written = Rc::new(Cell::new(false));
-        let call = QueuedCall {
+        let call = OutgoingCall {
             method,
             params,
             opts,
@@ -425,7 +425,7 @@
         Ok(written)
     }
 
-    fn peer_at(&self, address: SocketAddr) -> (Rc<Peer>, UnboundedSender<QueuedCall>) {
+    fn peer_at(&self, address: SocketAddr) -> (Rc<Peer>, UnboundedSender<OutgoingCall>) {
         let mut peers = self.state.peers.borrow_mut();
         let (peer, tx) = peers.entry(address).or_insert_with(|| {
             let peer = Rc::new(Peer {
--- a/crates/peer/src/outgoing.rs
+++ b/crates/peer/src/outgoing.rs
@@ -24,7 +24,7 @@
 pub(crate) type CallResult = Result<Box<RawValue>, PeerError>;
 
 /// A call that is queued or waits for its answer.
-pub(crate) struct QueuedCall {
+pub(crate) struct OutgoingCall {
     pub(crate) method: &'static str,
     pub(crate) params: Box<RawValue>,
     pub(crate) opts: CallOptions,
@@ -39,7 +39,7 @@
     pub(crate) written: Rc<Cell<bool>>,
 }
 
-impl QueuedCall {
+impl OutgoingCall {
     fn is_abandoned(&self) -> bool {
         self.reply
             .as_ref()
@@ -64,6 +64,7 @@
 /// An address that this daemon calls.
 pub(crate) struct Peer {
     pub(crate) address: SocketAddr,
+    /// Number of calls that are queued or wait for their answers.
     pub(crate) outstanding: Cell<usize>,
 }
 
@@ -87,7 +88,7 @@
 pub(crate) async fn run_peer(
     net: Rc<NetState>,
     peer: Rc<Peer>,
-    mut calls: UnboundedReceiver<QueuedCall>,
+    mut calls: UnboundedReceiver<OutgoingCall>,
 ) {
     let mut backlog = VecDeque::new();
     loop {
@@ -120,8 +121,8 @@
 /// can call another one.
 fn fail_all(
     peer: &Peer,
-    backlog: &mut VecDeque<QueuedCall>,
-    calls: &mut UnboundedReceiver<QueuedCall>,
+    backlog: &mut VecDeque<OutgoingCall>,
+    calls: &mut UnboundedReceiver<OutgoingCall>,
     end: &Disconnect,
 ) {
     while let Ok(call) = calls.try_recv() {
@@ -156,8 +157,10 @@
     net: &'a NetState,
     peer: &'a Peer,
     remote: PeerId,
-    pending: RefCell<BTreeMap<u64, QueuedCall>>,
+    /// Calls that wait for their answers, by JSON-RPC identifier.
+    pending: RefCell<BTreeMap<u64, OutgoingCall>>,
     next_id: Cell<u64>,
+    /// Number of messages received.
     received: Cell<u64>,
     last_received: Cell<Millis>,
     /// Time of the last probe and the number of messages received before it. A probe is a
@@ -169,8 +172,8 @@
     net: &NetState,
     peer: &Peer,
     connection: Connection,
-    backlog: &mut VecDeque<QueuedCall>,
-    calls: &mut UnboundedReceiver<QueuedCall>,
+    backlog: &mut VecDeque<OutgoingCall>,
+    calls: &mut UnboundedReceiver<OutgoingCall>,
 ) -> Result<(), Disconnect> {
     let session = Session {
         net,
@@ -256,8 +259,8 @@
     async fn write_calls(
         &self,
         mut wr: FrameWriter,
-        backlog: &mut VecDeque<QueuedCall>,
-        calls: &mut UnboundedReceiver<QueuedCall>,
+        backlog: &mut VecDeque<OutgoingCall>,
+        calls: &mut UnboundedReceiver<OutgoingCall>,
     ) -> Result<(), Disconnect> {
         loop {
             while let Some(call) = backlog.pop_front() {
@@ -275,7 +278,7 @@
     async fn write_call(
         &self,
         wr: &mut FrameWriter,
-        mut call: QueuedCall,
+        mut call: OutgoingCall,
     ) -> Result<(), Disconnect> {
         if call.is_abandoned() {
             self.peer.outstanding.set(self.peer.outstanding.get() - 1);
@@ -321,7 +324,7 @@
         self.probe_if_stale(wr).await
     }
 
-    fn identity_mismatch(&self, call: &QueuedCall) -> Option<Cause> {
+    fn identity_mismatch(&self, call: &OutgoingCall) -> Option<Cause> {
         if call.vm.as_ref().is_some_and(|vm| *vm != self.remote.vm) {
             let refusal = HandshakeRefusal::WrongVm;
             return Some(Cause::Refused { refusal });
@@ -425,7 +428,7 @@
 
     /// Requeues idempotent calls for the next connection and fails the others, which the peer may
     /// have run before the connection ended.
-    fn requeue_or_fail_pending(&self, end: &Disconnect, backlog: &mut VecDeque<QueuedCall>) {
+    fn requeue_or_fail_pending(&self, end: &Disconnect, backlog: &mut VecDeque<OutgoingCall>) {
         for (_, call) in self.pending.take() {
             let may_retry = call.opts.idempotent && call.attempts < self.net.options.max_attempts;
             if may_retry && !call.is_abandoned() {
@@ -438,7 +441,7 @@
     }
 }
 
-fn encode_call(call: &QueuedCall, id: u64) -> Result<String, serde_json::Error> {
+fn encode_call(call: &OutgoingCall, id: u64) -> Result<String, serde_json::Error> {
     if call.reply.is_some() {
         let params = Some(call.params.as_ref());
         return serde_json::to_string(&Request::borrowed(call.method, params, Id::Number(id)));
--- a/crates/peer/src/relay.rs
+++ b/crates/peer/src/relay.rs
@@ -101,8 +101,8 @@
 
 struct RefusedRevision {
     revision: Revision,
-    at: Millis,
-    why: String,
+    refused_at: Millis,
+    reason: String,
 }
 
 pub(crate) struct RelayState {
@@ -114,6 +114,7 @@
     pub(crate) cached_snapshot: RefCell<Option<CachedSnapshot>>,
     pub(crate) net: RefCell<Option<PeerNet>>,
     membership: RefCell<Option<Membership>>,
+    /// Number of pulls in progress.
     pub(crate) pulls: Cell<usize>,
     in_force_since: Cell<Millis>,
     origin: RefCell<Option<Origin>>,
@@ -290,9 +291,9 @@
             return Ok(());
         }
         self.check_revision_jump(&delivery, held)?;
-        if let Err(why) = (self.settings.apply)(&delivery) {
-            self.record_refusal(given, &why);
-            return Err(why);
+        if let Err(reason) = (self.settings.apply)(&delivery) {
+            self.record_refusal(given, &reason);
+            return Err(reason);
         }
         self.record_in_force(&delivery, held, &origin);
         if self.should_push_to_domain(&origin) {
@@ -309,19 +310,19 @@
         let given = delivery.revision();
         let is_too_far = given.0 - held.0 > self.options.max_revision_jump;
         if held != Revision::NONE && is_too_far {
-            let why = format!("{given} is too far ahead of {held}");
-            self.record_refusal(given, &why);
-            return Err(why);
+            let reason = format!("{given} is too far ahead of {held}");
+            self.record_refusal(given, &reason);
+            return Err(reason);
         }
         Ok(())
     }
 
-    fn record_refusal(&self, revision: Revision, why: &str) {
-        warn!(revision = revision.0, why; "settings were refused");
+    fn record_refusal(&self, revision: Revision, reason: &str) {
+        warn!(revision = revision.0, why = reason; "settings were refused");
         *self.refused.borrow_mut() = Some(RefusedRevision {
             revision,
-            at: self.timer.now(),
-            why: why.to_string(),
+            refused_at: self.timer.now(),
+            reason: reason.to_string(),
         });
     }
 
@@ -359,7 +360,7 @@
     pub(crate) fn should_pull(&self, revision: Revision) -> bool {
         let refused = self.refused.borrow();
         let in_cooldown = refused.as_ref().is_some_and(|refused| {
-            let age = self.timer.now().since(refused.at);
+            let age = self.timer.now().since(refused.refused_at);
             revision <= refused.revision && age < self.options.refusal_cooldown
         });
         revision > self.revision() && !in_cooldown
@@ -393,7 +394,7 @@
             origin: self.origin.borrow().clone(),
             watching: self.watching.get(),
             store_error: self.store_error.borrow().clone(),
-            refused: refused.map(|refused| (refused.revision, refused.why.clone())),
+            refused: refused.map(|refused| (refused.revision, refused.reason.clone())),
             waiting_for: (revision == Revision::NONE).then(|| self.waiting_for()),
         }
     }
--- a/crates/peer/tests/authentication.rs
+++ b/crates/peer/tests/authentication.rs
@@ -184,11 +184,11 @@
         let foreign = start(cx);
         introduce(&foreign, &net);
 
-        let error = foreign
+        let result = foreign
             .call::<_, ()>(&"victim".into(), "touch", &(), TIMEOUT)
             .await;
 
-        let error = error.expect_err("another deployment");
+        let error = result.expect_err("another deployment");
         assert_eq!((error.step, error.handled), (Step::Handshake, Handled::No));
         let refusal = HandshakeRefusal::WrongDeployment;
         assert_eq!(error.source, Cause::Refused { refusal });
@@ -207,11 +207,11 @@
         let net = start(context("caller", "a", &time));
         introduce(&net, &impostor);
 
-        let error = net
+        let result = net
             .call::<_, ()>(&"impostor".into(), "touch", &(), TIMEOUT)
             .await;
 
-        let error = error.expect_err("no proof");
+        let error = result.expect_err("no proof");
         assert_eq!((error.step, error.handled), (Step::Handshake, Handled::No));
         let refusal = HandshakeRefusal::BadProof;
         assert_eq!(error.source, Cause::Refused { refusal });
@@ -231,9 +231,9 @@
         };
         caller.learn(&moved).expect("news");
 
-        let error = caller.call::<_, ()>(&moved.vm, "touch", &(), TIMEOUT).await;
+        let result = caller.call::<_, ()>(&moved.vm, "touch", &(), TIMEOUT).await;
 
-        let error = error.expect_err("another VM");
+        let error = result.expect_err("another VM");
         assert_eq!(error.handled, Handled::No);
         let refusal = HandshakeRefusal::WrongVm;
         assert_eq!(error.source, Cause::Refused { refusal });
@@ -253,11 +253,11 @@
         let successor = identity("moved", 2_000);
         net.learn(&successor).expect("news");
 
-        let error = old
+        let result = old
             .call::<_, ()>(&"victim".into(), "touch", &(), TIMEOUT)
             .await;
 
-        let error = error.expect_err("superseded");
+        let error = result.expect_err("superseded");
         assert_eq!(error.handled, Handled::No);
         let by = Box::new(successor.clone());
         let refusal = HandshakeRefusal::Superseded { by };
--- a/crates/peer/tests/membership.rs
+++ b/crates/peer/tests/membership.rs
@@ -416,7 +416,7 @@
         let bytes_per_message = (byte_count() - bytes_before) / (message_count() - messages_before);
         assert!(
             bytes_per_message < 150,
-            "{bytes_per_message} bytes a message"
+            "{bytes_per_message} bytes per message"
         );
     });
 }
