--- a/crates/peer/src/incoming.rs
+++ b/crates/peer/src/incoming.rs
@@ -1,4 +1,4 @@
-//! Connections that other daemons opened: one task each.
+//! Incoming connections, each served by its own task.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -12,20 +12,20 @@
 
 use crate::error::Cause;
 use crate::frame::{FrameReader, FrameWriter};
-use crate::handshake::{Link, accept};
-use crate::methods::{dispatch, refuse};
+use crate::handshake::{Connection, accept};
+use crate::methods::{dispatch, encode_refusal};
 use crate::net::NetState;
 
-/// Accepts connections until the daemon closes them.
+/// Accepts connections until the daemon closes its connections.
 pub(crate) async fn accept_loop(net: Rc<NetState>, listener: TcpListener) {
-    let closed = net.closed();
+    let close_signal = net.close_signal();
     loop {
         let accepted = std::pin::pin!(listener.accept());
-        match select(accepted, closed.clone()).await {
+        match select(accepted, close_signal.clone()).await {
             Either::Left((Ok((stream, _)), _)) => spawn_connection(&net, stream),
             Either::Left((Err(e), _)) => {
-                // Out of descriptors, for one: accepting again at once would spin.
-                info!(step = "accepting", error:% = e; "a peer's connection was not accepted");
+                // For example out of file descriptors: retrying immediately would busy-loop.
+                info!(step = "accepting", error:% = e; "failed to accept a peer's connection");
                 net.timer.wait(net.options.heartbeat_period).await;
             }
             Either::Right(_) => return,
@@ -35,8 +35,8 @@
 
 fn spawn_connection(net: &Rc<NetState>, stream: TcpStream) {
     let open = net.incoming.get();
-    if open >= net.options.max_incoming {
-        debug!(open; "a peer's connection was refused: too many");
+    if open >= net.options.max_incoming_connections {
+        debug!(open; "refused a peer's connection: too many are open");
         return;
     }
     net.incoming.set(open + 1);
@@ -56,39 +56,41 @@
     let Some(accepted) = net.timer.limit(timeout, accept(net, stream)).await else {
         return Err(Cause::Timeout { timeout });
     };
-    let link = accepted.inspect_err(|cause| {
+    let connection = accepted.inspect_err(|cause| {
         if let Cause::Refused { refusal } = cause {
-            info!(step = "handshake", refusal:% = refusal; "a peer was refused");
+            info!(step = "handshake", refusal:% = refusal; "refused a peer in the handshake");
         }
     })?;
-    serve(net, link).await
+    serve(net, connection).await
 }
 
-/// What the reading half and the running calls share with the writing half.
-struct Answers {
+/// Queue of answers from the reading half and the running calls to the writing half.
+struct AnswerQueue {
     tx: UnboundedSender<Vec<u8>>,
+    /// Number of answers that have not been written yet.
     queued: Cell<usize>,
+    /// Number of calls that are running.
     running: Cell<usize>,
 }
 
-impl Answers {
+impl AnswerQueue {
     fn push(&self, message: Vec<u8>) {
         self.queued.set(self.queued.get() + 1);
-        // The writing half has ended with its connection; nobody waits for the answer.
+        // Sending fails if the connection has ended; nobody waits for the answer then.
         let _ = self.tx.unbounded_send(message);
     }
 }
 
-async fn serve(net: &Rc<NetState>, link: Link) -> Result<(), Cause> {
+async fn serve(net: &Rc<NetState>, connection: Connection) -> Result<(), Cause> {
     let (tx, rx) = unbounded();
-    let answers = Rc::new(Answers {
+    let answers = Rc::new(AnswerQueue {
         tx,
         queued: Cell::new(0),
         running: Cell::new(0),
     });
-    let methods = net.methods.methods_for(&link.remote);
-    let reading = read_calls(net, link.rd, methods, &answers);
-    let writing = write_answers(net, link.wr, rx, &answers);
+    let methods = net.methods.methods_for(&connection.remote);
+    let reading = read_calls(net, connection.rd, methods, &answers);
+    let writing = write_answers(net, connection.wr, rx, &answers);
     select(std::pin::pin!(reading), std::pin::pin!(writing))
         .map(|ended| ended.factor_first().0)
         .await
@@ -98,19 +100,19 @@
     net: &Rc<NetState>,
     mut rd: FrameReader,
     methods: Methods,
-    answers: &Rc<Answers>,
+    answers: &Rc<AnswerQueue>,
 ) -> Result<(), Cause> {
-    let idle = net.options.incoming_idle_close;
+    let idle = net.options.incoming_idle_timeout;
     loop {
-        // A client that vanished without closing leaves its connection here for good; no
-        // message within the limit means that nothing is lost by closing it.
+        // A client that disappears without closing would leave its connection open forever. A
+        // live client that sent nothing for this long can open a new connection.
         let Some(read) = net.timer.limit(idle, rd.read()).await else {
             return Err(Cause::Silent { span: idle });
         };
         let frame = read.map_err(|frame| Cause::Frame { frame })?;
         let queued = answers.queued.get();
-        if queued > 2 * net.options.max_running {
-            // The client sends and does not read: its answers would fill the memory.
+        if queued > 2 * net.options.max_running_calls {
+            // The client sends calls without reading the answers, which would exhaust memory.
             return Err(Cause::QueueFull { waiting: queued });
         }
         if frame.is_empty() {
@@ -124,9 +126,9 @@
     }
 }
 
-fn run_call(net: &NetState, message: String, methods: &Methods, answers: &Rc<Answers>) {
-    if answers.running.get() >= net.options.max_running {
-        if let Some(refusal) = refuse(&message, "too many calls run on this connection") {
+fn run_call(net: &NetState, message: String, methods: &Methods, answers: &Rc<AnswerQueue>) {
+    if answers.running.get() >= net.options.max_running_calls {
+        if let Some(refusal) = encode_refusal(&message, "too many calls run on this connection") {
             answers.push(refusal);
         }
         return;
@@ -142,7 +144,8 @@
             }
             Ok(Some(answer)) => answers.push(String::from(Box::<str>::from(answer)).into_bytes()),
             Ok(None) => {}
-            // A proven peer that sends no JSON-RPC is broken; its connection ends.
+            // An authenticated peer that sends invalid JSON-RPC is faulty, so its connection is
+            // closed.
             Err(_) => answers.tx.close_channel(),
         }
         answers.running.set(answers.running.get() - 1);
@@ -153,7 +156,7 @@
     net: &NetState,
     mut wr: FrameWriter,
     mut rx: UnboundedReceiver<Vec<u8>>,
-    answers: &Answers,
+    answers: &AnswerQueue,
 ) -> Result<(), Cause> {
     let timeout = net.options.heartbeat_timeout;
     while let Some(message) = rx.next().await {
--- a/crates/peer/src/membership.rs
+++ b/crates/peer/src/membership.rs
@@ -1,4 +1,4 @@
-//! Heartbeats between daemons, and what they carry.
+//! Membership of the deployment, maintained by heartbeats between daemons.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, VecDeque};
@@ -12,49 +12,49 @@
 
 use crate::auth::PeerId;
 use crate::heartbeat::Gossip;
-use crate::members::{Claim, MemberState, MemberView, Members, Merged, Source};
+use crate::members::{Claim, MemberState, MemberView, Members, MergeOutcome, Source};
 use crate::methods::MethodTable;
 use crate::net::PeerNet;
 use crate::sync::SyncAnswer;
 
-/// Claims taken over from one message that heartbeats still pass on.
-const NEWS_AT_ONCE: usize = 8;
+/// Maximum number of newly accepted claims of one message that are forwarded with heartbeats.
+const MAX_FORWARDED_CLAIMS: usize = 8;
 
 pub(crate) const HEARTBEAT: &str = "m";
-pub(crate) const ASK_FOR: &str = "mq";
+pub(crate) const INDIRECT_PROBE: &str = "mq";
 pub(crate) const SYNC: &str = "ms";
 pub(crate) const PUSH: &str = "mu";
 
-/// Periods of the heartbeats.
+/// Periods and timeouts of the heartbeats.
 #[derive(Clone, Debug)]
 pub struct MembershipOptions {
-    /// Between two heartbeats to VMs of this daemon's domain.
+    /// Interval between heartbeats to VMs of this daemon's domain.
     pub period: Millis,
-    /// Heartbeats inside the domain for each one to another domain.
+    /// Number of periods between heartbeats to another domain.
     pub other_domain_periods: u64,
-    /// Heartbeats inside the domain for each attempt on an address that does not answer.
+    /// Number of periods between attempts to reach a VM believed gone and a seed address.
     pub unreachable_retry_periods: u64,
-    /// Heartbeats inside the domain for each reading of the platform's list.
+    /// Number of periods between reads of the platform's VM list.
     pub vm_list_periods: u64,
-    /// Time allowed for a heartbeat's answer.
+    /// Timeout of a heartbeat's answer.
     pub answer_timeout: Millis,
-    /// How long a VM is suspected before it counts as gone.
+    /// Time for which a VM is suspected before it is considered gone.
     pub suspicion_timeout: Millis,
-    /// How long a VM that is gone is remembered.
+    /// Time for which a VM that is gone is kept in the membership state.
     pub gone_retention: Millis,
-    /// A period that took longer than this beyond its time means that the process was
-    /// paused.
+    /// Minimum delay of a heartbeat period that indicates that the process was paused.
     pub pause_threshold: Millis,
-    /// The least between two comparisons of all beliefs that one daemon begins.
+    /// Minimum interval between comparisons of the membership state that a daemon starts because of
+    /// a differing digest.
     pub sync_interval: Millis,
-    /// The same for a daemon that has just started and knows few others.
+    /// The same for a daemon that has just started and knows few other VMs.
     pub startup_sync_interval: Millis,
-    /// How long nobody of a domain was heard from before its VMs that the platform's list
-    /// does not show count as gone.
+    /// Time without contact to a domain after which its VMs that are not in the platform's list
+    /// are considered gone.
     pub unlisted_timeout: Millis,
-    /// How long a daemon counts as just started.
+    /// Time after the start during which `startup_sync_interval` applies.
     pub startup_duration: Millis,
-    /// VMs of each domain that read the platform's list and watch the store.
+    /// Number of VMs of each domain that read the platform's list and watch the store.
     pub watchers: usize,
 }
 
@@ -78,18 +78,19 @@
     }
 }
 
-/// Takes a peer and the revision that it holds.
-pub type PeerRevision = Rc<dyn Fn(&PeerId, Revision)>;
+/// Function that receives a peer and its revision in force.
+pub type PeerRevisionHook = Rc<dyn Fn(&PeerId, Revision)>;
 
-/// What the rest of the daemon does at changes.
+/// Functions that the membership calls on events.
 #[derive(Clone)]
 pub struct MembershipHooks {
-    /// The process was paused for the span given: whatever it held by time is void.
+    /// Called after the process was paused for the given time. Everything that it held for a
+    /// limited time must be considered expired.
     pub on_resume: Rc<dyn Fn(Millis)>,
-    /// The platform says that this VM is leaving.
+    /// Called when the platform or a peer says that this VM is leaving.
     pub on_leave_request: Rc<dyn Fn()>,
-    /// A peer holds the revision given; called for each heartbeat.
-    pub on_peer_revision: PeerRevision,
+    /// Called with a peer's revision in force for each heartbeat and each answer to one.
+    pub on_peer_revision: PeerRevisionHook,
 }
 
 impl Default for MembershipHooks {
@@ -102,25 +103,25 @@
     }
 }
 
-/// What the heartbeats of one daemon are started with.
+/// Configuration and dependencies of the membership.
 pub struct MembershipContext {
-    /// Addresses of peers to begin with.
+    /// Addresses of the peers to contact first.
     pub seeds: Vec<SocketAddr>,
-    /// The platform's list, where it can be read.
+    /// The platform's VM list, if it can be read.
     pub platform: Option<VmList>,
-    /// Gives the revision in force, which heartbeats carry.
+    /// Returns the revision in force, which heartbeats carry.
     pub revision: Rc<dyn Fn() -> Revision>,
-    /// Exchanges load reports: takes in what a peer sent and gives what to send it.
+    /// Interface for exchanging load reports with heartbeats.
     pub reports: Option<crate::reports::ReportPort>,
-    /// What the rest of the daemon does at changes.
+    /// Functions to call on events.
     pub hooks: MembershipHooks,
-    /// Periods.
+    /// Periods and timeouts.
     pub options: MembershipOptions,
-    /// Draws peers.
+    /// Random number generator for the choice of peers.
     pub rng: fastrand::Rng,
 }
 
-pub(crate) struct State {
+pub(crate) struct MembershipState {
     pub(crate) members: RefCell<Members>,
     pub(crate) timer: Timer,
     pub(crate) net: RefCell<Option<PeerNet>>,
@@ -131,26 +132,29 @@
     pub(crate) hooks: MembershipHooks,
     pub(crate) options: MembershipOptions,
     pub(crate) rng: RefCell<fastrand::Rng>,
-    pub(crate) round: RefCell<VecDeque<VmName>>,
+    /// VMs of the domain that are still to be probed in the current pass.
+    pub(crate) probe_queue: RefCell<VecDeque<VmName>>,
+    /// When this daemon last started a comparison because of a differing digest.
     pub(crate) last_sync: Cell<Option<Millis>>,
+    /// Whether a comparison that this daemon started is in progress.
     pub(crate) syncing: Cell<bool>,
-    pub(crate) begun: Millis,
+    pub(crate) started_at: Millis,
 }
 
-/// The heartbeats of one daemon and what they found out; cheap to clone.
+/// The membership as seen by one daemon; cheap to clone.
 #[derive(Clone)]
 pub struct Membership {
-    state: Rc<State>,
+    state: Rc<MembershipState>,
 }
 
 type Answer<T> = Result<T, ErrorObjectOwned>;
 
 impl Membership {
-    /// Registers the methods of the heartbeats. They answer once [`Membership::run`] is
-    /// called.
+    /// Creates the membership and registers its methods. Claims are merged only after
+    /// [`Membership::run`] has been called.
     pub fn new(cx: MembershipContext, me: PeerId, timer: Timer, methods: &mut MethodTable) -> Self {
-        let begun = timer.now();
-        let state = Rc::new(State {
+        let started_at = timer.now();
+        let state = Rc::new(MembershipState {
             members: RefCell::new(Members::new(me)),
             timer,
             net: RefCell::default(),
@@ -161,124 +165,129 @@
             hooks: cx.hooks,
             options: cx.options,
             rng: RefCell::new(cx.rng),
-            round: RefCell::default(),
+            probe_queue: RefCell::default(),
             last_sync: Cell::new(None),
             syncing: Cell::new(false),
-            begun,
+            started_at,
         });
         register(&state, methods);
         Self { state }
     }
 
-    /// Starts the heartbeats over `net`, whose identity replaces the one given before, since
-    /// only the listener knows its port.
+    /// Starts the heartbeats over `net`. Its identity replaces the one passed to
+    /// [`Membership::new`], because the port may be known only after listening.
     pub fn run(&self, net: PeerNet) {
         *self.state.members.borrow_mut() = Members::new(net.me());
         *self.state.net.borrow_mut() = Some(net);
         monoio::spawn(run_heartbeats(Rc::clone(&self.state)));
     }
 
-    /// Gives every belief about other VMs.
+    /// Returns a view of every other VM.
     pub fn views(&self) -> Vec<MemberView> {
         let now = self.state.timer.now();
         self.state.members.borrow().views(now)
     }
 
-    /// Gives the state that this daemon announces of itself.
+    /// Returns the state that this daemon announces for itself.
     pub fn own_state(&self) -> MemberState {
         self.state.members.borrow().me().state
     }
 
-    /// Announces that this daemon is leaving, to its whole domain at once.
+    /// Announces to this daemon's whole domain that it is leaving.
     pub fn leave(&self) {
         self.state
             .members
             .borrow_mut()
             .announce(MemberState::Leaving);
-        self.state.push_self();
+        self.state.push_own_claim();
     }
 
-    /// Tells whether this daemon is one of its domain's few that watch the store.
+    /// Returns whether this daemon is a watcher: one of the VMs of its domain that watch the store.
     pub fn is_watcher(&self) -> bool {
         self.state.is_watcher()
     }
 
-    /// Gives the VMs of this daemon's domain that watch the store, the first one first.
+    /// Returns the watchers of this daemon's domain in ascending order of rank.
     pub fn watchers(&self) -> Vec<VmName> {
         let count = self.state.options.watchers;
-        self.state.members.borrow().first_ranked(count)
+        self.state.members.borrow().top_ranked(count)
     }
 
-    /// Gives the live VMs of this daemon's domain.
+    /// Returns the other VMs of this daemon's domain that are not gone.
     pub fn domain_peers(&self) -> Vec<VmName> {
         let members = self.state.members.borrow();
         members.in_domain().map(|m| m.claim.id.vm.clone()).collect()
     }
 
-    /// Draws a VM of any domain that is not gone.
+    /// Returns a random VM of any domain that is not gone.
     pub fn random_peer(&self) -> Option<VmName> {
         let members = self.state.members.borrow();
-        let all: Vec<_> = members.in_domain().chain(members.elsewhere()).collect();
-        let drawn = self.state.rng.borrow_mut().choice(all)?;
-        Some(drawn.claim.id.vm.clone())
+        let all: Vec<_> = members
+            .in_domain()
+            .chain(members.in_other_domains())
+            .collect();
+        let peer = self.state.rng.borrow_mut().choice(all)?;
+        Some(peer.claim.id.vm.clone())
     }
 }
 
-fn register(state: &Rc<State>, methods: &mut MethodTable) {
+fn register(state: &Rc<MembershipState>, methods: &mut MethodTable) {
     let cx = Rc::clone(state);
     methods.register(HEARTBEAT, move |caller, gossip: Gossip| {
         let answer = cx.answer_heartbeat(&caller, gossip);
         async move { Ok(answer) }
     });
     let cx = Rc::clone(state);
-    methods.register(ASK_FOR, move |_, vm: VmName| {
+    methods.register(INDIRECT_PROBE, move |_, vm: VmName| {
         let cx = Rc::clone(&cx);
-        async move { Ok(cx.exchange(&vm).await.is_ok()) }
+        async move { Ok(cx.exchange_heartbeat(&vm).await.is_ok()) }
     });
     let cx = Rc::clone(state);
     methods.register(SYNC, move |caller, digests: BTreeMap<DomainName, u64>| {
-        cx.members.borrow_mut().note_heard(&caller, cx.timer.now());
+        cx.members
+            .borrow_mut()
+            .record_contact(&caller, cx.timer.now());
         let answer: Answer<SyncAnswer> = Ok(cx.answer_sync(&caller, &digests));
         async move { answer }
     });
     let cx = Rc::clone(state);
     methods.register(PUSH, move |_, claims: Vec<Claim>| {
-        cx.merge_all(claims);
+        cx.merge_claims(claims);
         async move { Answer::Ok(()) }
     });
 }
 
-/// Sends one heartbeat each period, whatever became of the ones before.
-async fn run_heartbeats(state: Rc<State>) {
+/// Sends a heartbeat each period without waiting for the answers to earlier ones.
+async fn run_heartbeats(state: Rc<MembershipState>) {
     let period = state.options.period;
     let phase = state.rng.borrow_mut().u64(0..period.0.max(1));
     state.join();
     state.timer.wait(Millis(phase)).await;
     let mut last = state.timer.now();
-    for round in 1_u64.. {
+    for period_count in 1_u64.. {
         state.timer.wait(period).await;
         if !state.is_open() {
             return;
         }
         let now = state.timer.now();
-        state.heed_pause(now.since(last + period));
+        state.handle_pause(now.since(last + period));
         last = now;
-        state.heed_epoch();
-        state.expire(now);
+        state.update_epoch();
+        state.expire_suspicions(now);
         state.heartbeat_in_domain();
-        if round % state.options.other_domain_periods == 0 {
-            state.heartbeat_elsewhere();
+        if period_count % state.options.other_domain_periods == 0 {
+            state.heartbeat_other_domain();
         }
-        if round % state.options.unreachable_retry_periods == 0 {
-            state.try_lost(round);
+        if period_count % state.options.unreachable_retry_periods == 0 {
+            state.retry_unreachable(period_count);
         }
-        if round % state.options.vm_list_periods == 0 && state.is_watcher() {
-            state.read_platform();
+        if period_count % state.options.vm_list_periods == 0 && state.is_watcher() {
+            state.read_vm_list();
         }
     }
 }
 
-impl State {
+impl MembershipState {
     pub(crate) fn net(&self) -> Option<PeerNet> {
         self.net.borrow().clone()
     }
@@ -291,11 +300,12 @@
         self.members.borrow().rank() < self.options.watchers
     }
 
-    /// A process that was stopped, or a VM that was, finds that more time passed than it
-    /// waited. Others may have counted it gone and taken its work meanwhile, so it ends its
-    /// connections with whatever waits in them, tells the rest of the daemon, and announces
-    /// itself anew.
-    pub(crate) fn heed_pause(&self, late: Millis) {
+    /// Handles a pause of the process or its VM, which is detected by a period that took too long.
+    ///
+    /// Meanwhile peers may have considered this daemon gone and taken over its work. It therefore
+    /// closes its connections with all data buffered in them, calls the hook and announces itself
+    /// again.
+    pub(crate) fn handle_pause(&self, late: Millis) {
         if late < self.options.pause_threshold {
             return;
         }
@@ -310,24 +320,24 @@
         members.announce(state);
     }
 
-    /// Takes over the epoch where a handshake has raised it.
-    fn heed_epoch(&self) {
+    /// Adopts the epoch of the connections, which a handshake may have raised.
+    fn update_epoch(&self) {
         if let Some(net) = self.net() {
             self.members.borrow_mut().raise_epoch(net.me().epoch);
         }
     }
 
-    pub(crate) fn expire(&self, now: Millis) {
+    pub(crate) fn expire_suspicions(&self, now: Millis) {
         let mut members = self.members.borrow_mut();
-        for vm in members.overdue(self.options.suspicion_timeout, now) {
+        for vm in members.expired_suspicions(self.options.suspicion_timeout, now) {
             info!(vm:% = vm; "a VM is gone");
             members.claim_state(&vm, MemberState::Gone, Source::Heartbeat, now);
         }
         members.forget_gone(self.options.gone_retention, now);
     }
 
-    /// Notes a sign of life of a VM, and that it exists where it was not known.
-    pub(crate) fn introduce(&self, id: &PeerId, now: Millis) {
+    /// Records that this daemon heard from a VM, and adds the VM if it was not known.
+    pub(crate) fn record_alive(&self, id: &PeerId, now: Millis) {
         let mut members = self.members.borrow_mut();
         let claim = Claim {
             id: id.clone(),
@@ -335,59 +345,62 @@
             state: MemberState::Alive,
         };
         members.merge(claim, Source::Heartbeat, now);
-        members.note_heard(id, now);
+        members.record_contact(id, now);
     }
 
-    pub(crate) fn merge_all(&self, claims: Vec<Claim>) {
-        let mut taken = Vec::new();
+    pub(crate) fn merge_claims(&self, claims: Vec<Claim>) {
+        let mut accepted = Vec::new();
         for claim in claims {
             let vm = claim.id.vm.clone();
-            if self.merge(claim, Source::Peer) == Merged::Taken {
-                taken.push(vm);
+            if self.merge(claim, Source::Peer) == MergeOutcome::Accepted {
+                accepted.push(vm);
             }
         }
-        // Many at once are no news but the contents of a comparison. Heartbeats would carry
-        // them for minutes; whoever lacks them finds the difference and compares as well.
-        if taken.len() > NEWS_AT_ONCE {
-            self.members.borrow_mut().keep_quiet(&taken);
+        // Many accepted claims at once come from a comparison, not from new events. Forwarding them
+        // would fill heartbeats for minutes; daemons that lack them find that their digests differ
+        // and start a comparison themselves.
+        if accepted.len() > MAX_FORWARDED_CLAIMS {
+            self.members.borrow_mut().discard_updates(&accepted);
         }
     }
 
-    pub(crate) fn merge(&self, claim: Claim, source: Source) -> Merged {
+    pub(crate) fn merge(&self, claim: Claim, source: Source) -> MergeOutcome {
         let Some(net) = self.net() else {
-            return Merged::Stale;
+            return MergeOutcome::Stale;
         };
         let id = claim.id.clone();
-        let merged = self
+        let outcome = self
             .members
             .borrow_mut()
             .merge(claim, source, self.timer.now());
-        match merged {
-            // The connections' own book may know a later run and keep it.
-            Merged::Taken => drop(net.learn(&id)),
-            Merged::ToldLeaving => {
+        match outcome {
+            // `learn` refuses the identity if the connections already know a later incarnation.
+            MergeOutcome::Accepted => drop(net.learn(&id)),
+            MergeOutcome::LeaveRequested => {
                 (self.hooks.on_leave_request)();
-                self.push_self();
+                self.push_own_claim();
             }
-            Merged::Namesake => {
-                net.heed_namesake(&id);
+            MergeOutcome::IdentityConflict => {
+                net.resolve_identity_conflict(&id);
                 self.members.borrow_mut().raise_epoch(net.me().epoch);
             }
-            Merged::Refuted => info!("a peer took this daemon for suspect, leaving or gone"),
-            Merged::Stale => {}
+            MergeOutcome::Refuted => {
+                info!("refuted a claim that this daemon is suspect, leaving or gone")
+            }
+            MergeOutcome::Stale => {}
         }
-        merged
+        outcome
     }
 
-    /// Sends what this daemon says of itself to its domain.
-    pub(crate) fn push_self(&self) {
+    /// Sends this daemon's claim about itself to its domain.
+    pub(crate) fn push_own_claim(&self) {
         let Some(net) = self.net() else {
             return;
         };
         let members = self.members.borrow();
         let claim = [members.me()];
         for peer in members.in_domain() {
-            // A peer that can't be told now hears it from others.
+            // A peer that cannot be reached now will receive the claim from others.
             let _ = net.notify(&peer.claim.id.vm, PUSH, &claim);
         }
     }
--- a/crates/peer/src/options.rs
+++ b/crates/peer/src/options.rs
@@ -1,33 +1,33 @@
-//! Limits and periods of the connections between daemons.
+//! Limits and timeouts of the connections between daemons.
 
 use heatherknot_types::prelude::*;
 
-/// Limits and periods of the connections between daemons.
+/// Limits and timeouts of the connections between daemons.
 #[derive(Clone, Debug)]
 pub struct PeerOptions {
-    /// Largest message either way, in bytes.
+    /// Largest message that is sent or accepted, in bytes.
     pub max_message: usize,
-    /// Time allowed to open a TCP connection.
+    /// Timeout of opening a TCP connection.
     pub connect_timeout: Millis,
-    /// Time allowed for a handshake.
+    /// Timeout of the handshake.
     pub handshake_timeout: Millis,
-    /// A connection that carried nothing for this long is tested before it is relied on, and
-    /// at this period while calls wait for answers.
+    /// Time without received data after which a connection is probed: when the next call is
+    /// sent, and repeatedly while calls wait for answers.
     pub heartbeat_period: Millis,
-    /// A connection whose test got nothing back for this long is replaced.
+    /// Time without any response to a probe after which a connection is replaced.
     pub heartbeat_timeout: Millis,
-    /// An outgoing connection without calls is closed after this.
-    pub idle_close: Millis,
-    /// An incoming connection without messages is closed after this.
-    pub incoming_idle_close: Millis,
-    /// Calls that may wait for one peer.
-    pub max_waiting: usize,
-    /// Calls of one incoming connection that may run at once.
-    pub max_running: usize,
-    /// Incoming connections at once.
-    pub max_incoming: usize,
-    /// Connections on which an idempotent call is tried before it fails.
-    pub max_tries: u8,
+    /// Time after which an outgoing connection without calls is closed.
+    pub idle_timeout: Millis,
+    /// Time after which an incoming connection without messages is closed.
+    pub incoming_idle_timeout: Millis,
+    /// Maximum number of calls to one peer that are queued or wait for their answers.
+    pub max_outstanding_calls: usize,
+    /// Maximum number of calls of one incoming connection that run concurrently.
+    pub max_running_calls: usize,
+    /// Maximum number of incoming connections.
+    pub max_incoming_connections: usize,
+    /// Maximum number of connections on which an idempotent call is attempted.
+    pub max_attempts: u8,
 }
 
 impl Default for PeerOptions {
@@ -38,33 +38,33 @@
             handshake_timeout: Millis(2_000),
             heartbeat_period: Millis(1_000),
             heartbeat_timeout: Millis(800),
-            idle_close: Millis(90_000),
-            incoming_idle_close: Millis(180_000),
-            max_waiting: 512,
-            max_running: 128,
-            max_incoming: 512,
-            max_tries: 2,
+            idle_timeout: Millis(90_000),
+            incoming_idle_timeout: Millis(180_000),
+            max_outstanding_calls: 512,
+            max_running_calls: 128,
+            max_incoming_connections: 512,
+            max_attempts: 2,
         }
     }
 }
 
-/// How one call is made.
+/// Options of a call.
 #[derive(Clone, Debug)]
 pub struct CallOptions {
-    /// Time allowed for the whole call.
+    /// Timeout of the whole call.
     pub timeout: Millis,
-    /// Whether the call may be sent again on another connection although the peer may have
-    /// run it already.
+    /// Whether the call may be sent again on another connection although the peer may already
+    /// have run it.
     pub idempotent: bool,
-    /// Whether the method answers at once, so that the call itself tests a connection that
-    /// carried nothing for a while.
+    /// Whether the method answers immediately, so that the call itself probes an idle connection
+    /// and no separate heartbeat is sent.
     pub quick: bool,
-    /// The only incarnation that may run the call, where it matters.
+    /// The only incarnation that may run the call; any, if not set.
     pub incarnation: Option<Incarnation>,
 }
 
 impl CallOptions {
-    /// A call that runs at most once.
+    /// Returns the options of a call that runs at most once.
     pub fn once(timeout: Millis) -> Self {
         Self {
             timeout,
@@ -74,7 +74,7 @@
         }
     }
 
-    /// A call that may run more than once.
+    /// Returns the options of a call that may run more than once.
     pub fn idempotent(timeout: Millis) -> Self {
         Self {
             idempotent: true,
@@ -82,7 +82,7 @@
         }
     }
 
-    /// A call that may run more than once, of a method that answers at once.
+    /// Returns the options of a call that may run more than once and is answered immediately.
     pub fn quick(timeout: Millis) -> Self {
         Self {
             quick: true,
--- a/crates/peer/src/relay.rs
+++ b/crates/peer/src/relay.rs
@@ -1,8 +1,8 @@
-//! Relay of the settings from the few daemons that watch the store to all the others.
+//! Relay of the settings from the daemons that watch the store to all other daemons.
 //!
-//! The first two VMs of each domain by rendezvous hash watch the store and push what is new
-//! to their domain. Heartbeats carry the revision, so whoever missed the push finds out from
-//! any other daemon, also of another domain, and pulls the difference.
+//! The first two VMs of each failure domain by rendezvous hash watch the store and push new
+//! changes to their domain. Heartbeats carry the revision in force, so a daemon that missed a push
+//! learns of it from any peer, also in another domain, and pulls the missing changes.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -12,64 +12,66 @@
 
 use crate::auth::PeerId;
 use crate::change_log::ChangeLog;
-use crate::membership::{Membership, PeerRevision};
+use crate::membership::{Membership, PeerRevisionHook};
 use crate::methods::MethodTable;
 use crate::net::PeerNet;
 use crate::relay_wire::{CachedSnapshot, register};
 use crate::settings_port::{Delivery, SettingsPort, StorePort};
 
-/// Limits and periods of the relay.
+/// Limits and timeouts of the relay.
 #[derive(Clone, Debug)]
 pub struct RelayOptions {
-    /// Changes up to this size go with the notice, in bytes.
-    pub max_pushed: usize,
-    /// Largest answer with changes, in bytes.
-    pub max_changes: usize,
-    /// Largest part of a snapshot, in bytes.
-    pub max_part: usize,
-    /// Changes kept for peers that are behind, in bytes.
-    pub max_log: usize,
-    /// The most that a snapshot's revision may exceed the one held.
-    pub max_jump: u64,
-    /// Time allowed for one call of a peer.
+    /// Maximum size of the changes included in a push, in bytes.
+    pub max_push_bytes: usize,
+    /// Maximum size of the changes in the answer to a pull, in bytes.
+    pub max_changes_bytes: usize,
+    /// Maximum size of a part of a snapshot, in bytes.
+    pub max_part_bytes: usize,
+    /// Maximum size of the log of changes kept for peers that lag behind, in bytes.
+    pub max_log_bytes: usize,
+    /// Maximum number of revisions that a delivery may be ahead of the revision in force.
+    pub max_revision_jump: u64,
+    /// Timeout of a call to a peer.
     pub call_timeout: Millis,
-    /// Time allowed for one call of the store; a watch that goes quiet is renewed after it.
-    pub watch_limit: Millis,
-    /// Between two attempts while something is missing, doubled at each failure.
-    pub retry: Millis,
-    /// The longest pause between two attempts.
-    pub max_retry: Millis,
-    /// How long a new daemon asks peers alone before it turns to the store too.
-    pub peers_first: Millis,
-    /// How long a revision that the holder refused is left alone.
-    pub refusal: Millis,
-    /// How long a snapshot is kept for peers that fetch its parts.
-    pub keep_snapshot: Millis,
-    /// Pulls at once, so that a peer that hangs delays no other.
-    pub max_pulls: usize,
+    /// Timeout of a watch of the store. A watch without any answer is renewed after this time.
+    pub watch_timeout: Millis,
+    /// Delay between attempts to fetch settings; doubled after each failed watch.
+    pub retry_delay: Millis,
+    /// Maximum delay between attempts.
+    pub max_retry_delay: Millis,
+    /// Time after the start during which a daemon without settings asks only peers, and not the
+    /// store.
+    pub store_delay: Millis,
+    /// Time during which a refused revision is not pulled again.
+    pub refusal_cooldown: Millis,
+    /// Time for which a snapshot is kept for peers that fetch its parts.
+    pub snapshot_retention: Millis,
+    /// Maximum number of concurrent pulls. More than one, so that a peer that hangs does not delay
+    /// pulls from other peers.
+    pub max_concurrent_pulls: usize,
 }
 
 impl Default for RelayOptions {
     fn default() -> Self {
         Self {
-            max_pushed: 2 * 1024,
-            max_changes: 64 * 1024,
-            max_part: 64 * 1024,
-            max_log: 512 * 1024,
-            max_jump: 1_000_000,
+            max_push_bytes: 2 * 1024,
+            max_changes_bytes: 64 * 1024,
+            max_part_bytes: 64 * 1024,
+            max_log_bytes: 512 * 1024,
+            max_revision_jump: 1_000_000,
             call_timeout: Millis(2_000),
-            watch_limit: Millis(30_000),
-            retry: Millis(500),
-            max_retry: Millis(8_000),
-            peers_first: Millis(2_000),
-            refusal: Millis(30_000),
-            keep_snapshot: Millis(60_000),
-            max_pulls: 3,
+            watch_timeout: Millis(30_000),
+            retry_delay: Millis(500),
+            max_retry_delay: Millis(8_000),
+            store_delay: Millis(2_000),
+            refusal_cooldown: Millis(30_000),
+            snapshot_retention: Millis(60_000),
+            max_concurrent_pulls: 3,
         }
     }
 }
 
-/// Where the settings in force came from.
+/// The source of the settings in force.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Origin {
     /// The platform's store.
@@ -78,29 +80,29 @@
     Peer(VmName),
 }
 
-/// What an operator sees of the relay.
+/// Status of the relay, as shown to operators.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RelayStatus {
     /// The revision in force.
     pub revision: Revision,
-    /// How long it has been in force.
+    /// Time for which the revision has been in force.
     pub age: Millis,
-    /// Where it came from.
+    /// Source of the settings in force.
     pub origin: Option<Origin>,
     /// Whether this daemon watches the store.
     pub watching: bool,
-    /// Why the store did not answer last time.
+    /// Error of the last call to the store, if it failed.
     pub store_error: Option<String>,
-    /// The revision that the holder refused last, and why.
+    /// The last refused revision and the reason, unless a later one is in force.
     pub refused: Option<(Revision, String)>,
-    /// What this daemon waits for while it has no settings.
+    /// What this daemon is waiting for, if it has no settings.
     pub waiting_for: Option<String>,
 }
 
-struct Refused {
+struct RefusedRevision {
     revision: Revision,
-    at: Millis,
-    why: String,
+    refused_at: Millis,
+    reason: String,
 }
 
 pub(crate) struct RelayState {
@@ -109,16 +111,17 @@
     pub(crate) timer: Timer,
     pub(crate) options: RelayOptions,
     pub(crate) log: RefCell<ChangeLog>,
-    pub(crate) cached: RefCell<Option<CachedSnapshot>>,
+    pub(crate) cached_snapshot: RefCell<Option<CachedSnapshot>>,
     pub(crate) net: RefCell<Option<PeerNet>>,
     membership: RefCell<Option<Membership>>,
+    /// Number of pulls in progress.
     pub(crate) pulls: Cell<usize>,
-    in_force: Cell<Millis>,
+    in_force_since: Cell<Millis>,
     origin: RefCell<Option<Origin>>,
     watching: Cell<bool>,
     store_error: RefCell<Option<String>>,
     peer_error: RefCell<Option<String>>,
-    refused: RefCell<Option<Refused>>,
+    refused: RefCell<Option<RefusedRevision>>,
 }
 
 /// The relay of settings of one daemon; cheap to clone.
@@ -128,7 +131,7 @@
 }
 
 impl Relay {
-    /// Registers the methods of the relay.
+    /// Creates the relay and registers its methods.
     pub fn new(
         settings: SettingsPort,
         store: Option<StorePort>,
@@ -139,11 +142,11 @@
         let state = Rc::new(RelayState {
             settings,
             store,
-            in_force: Cell::new(timer.now()),
+            in_force_since: Cell::new(timer.now()),
             timer,
-            log: RefCell::new(ChangeLog::new(options.max_log)),
+            log: RefCell::new(ChangeLog::new(options.max_log_bytes)),
             options,
-            cached: RefCell::default(),
+            cached_snapshot: RefCell::default(),
             net: RefCell::default(),
             membership: RefCell::default(),
             pulls: Cell::new(0),
@@ -157,62 +160,62 @@
         Self { state }
     }
 
-    /// Gives the hook that heartbeats call with a peer's revision.
-    pub fn peer_revision_hook(&self) -> PeerRevision {
+    /// Returns the hook to call with the revision that a peer's heartbeat carries.
+    pub fn peer_revision_hook(&self) -> PeerRevisionHook {
         let state = Rc::clone(&self.state);
-        Rc::new(move |peer, revision| state.heed_peer_revision(peer, revision))
+        Rc::new(move |peer, revision| state.handle_peer_revision(peer, revision))
     }
 
-    /// Starts to fetch settings from peers and, where this daemon is one of its domain's few,
-    /// to watch the store.
+    /// Starts fetching settings from peers and, while this daemon is a watcher of its domain,
+    /// watching the store.
     pub fn run(&self, net: PeerNet, membership: Membership) {
         *self.state.net.borrow_mut() = Some(net);
         *self.state.membership.borrow_mut() = Some(membership);
-        monoio::spawn(fetch_first(Rc::clone(&self.state)));
+        monoio::spawn(fetch_initial_settings(Rc::clone(&self.state)));
         if let Some(store) = self.state.store.clone() {
             monoio::spawn(watch_store(Rc::clone(&self.state), store));
         }
     }
 
-    /// Gives what an operator sees of the relay.
+    /// Returns the status of the relay.
     pub fn status(&self) -> RelayStatus {
         self.state.status()
     }
 
-    /// Takes over what this daemon has just read from or written to the store, and tells its
-    /// domain.
+    /// Applies settings that this daemon has just read from or written to the store, and pushes
+    /// them to its domain.
     ///
     /// # Errors
     ///
-    /// Returns the holder's reason where it keeps what it holds.
+    /// Returns the reason if the settings are refused.
     pub fn deliver(&self, delivery: Delivery) -> Result<(), String> {
-        self.state.take(delivery, Origin::Store)
+        self.state.apply(delivery, Origin::Store)
     }
 }
 
-/// Asks peers, and after a while the store, until there are settings.
-async fn fetch_first(state: Rc<RelayState>) {
-    let begun = state.timer.now();
+/// Asks peers, and after `store_delay` also the store, until settings are in force.
+async fn fetch_initial_settings(state: Rc<RelayState>) {
+    let started_at = state.timer.now();
     while state.revision() == Revision::NONE && state.is_open() {
         let peer = state.membership().and_then(|m| m.random_peer());
         match peer {
             Some(vm) => Rc::clone(&state).pull(vm).await,
-            None => state.note_peer_error("no peer is known"),
+            None => state.record_peer_error("no peer is known"),
         }
         let now = state.timer.now();
         if state.revision() == Revision::NONE
-            && now.since(begun) >= state.options.peers_first
+            && now.since(started_at) >= state.options.store_delay
             && let Some(store) = &state.store
         {
-            // The watch of a domain's watcher takes the same way; asking here as well
-            // covers a daemon that is none while the watchers have nothing either.
-            state.ask_store(store).await;
+            // Watchers also ask the store in `watch_store`. Asking it here covers a daemon that
+            // is not a watcher while the watchers have no settings either.
+            state.fetch_from_store(store).await;
         }
-        state.timer.wait(state.options.retry).await;
+        state.timer.wait(state.options.retry_delay).await;
     }
 }
 
-/// Watches the store for as long as this daemon is one of its domain's few.
+/// Watches the store while this daemon is a watcher of its domain.
 async fn watch_store(state: Rc<RelayState>, store: StorePort) {
     let mut failures = 0;
     while state.is_open() {
@@ -220,10 +223,10 @@
         state.watching.set(watching);
         if !watching {
             failures = 0;
-            state.timer.wait(state.options.retry).await;
+            state.timer.wait(state.options.retry_delay).await;
             continue;
         }
-        if state.ask_store(&store).await {
+        if state.fetch_from_store(&store).await {
             failures = 0;
             continue;
         }
@@ -247,79 +250,83 @@
     }
 
     fn backoff(&self, failures: u32) -> Millis {
-        let doubled = self.options.retry.0 << (failures - 1).min(16);
-        let longest = doubled.min(self.options.max_retry.0);
-        // Watchers that lost the store together come back spread out.
+        let doubled = self.options.retry_delay.0 << (failures - 1).min(16);
+        let longest = doubled.min(self.options.max_retry_delay.0);
+        // Random jitter, so that watchers that lost the store together do not retry together.
         Millis(fastrand::u64(longest / 2..=longest))
     }
 
-    /// Waits for the store's next revision, and tells whether the store answered or was
-    /// still waiting when the limit ran out. A watch can go quiet without an error; asking
-    /// again with the revision held finds what it missed.
-    async fn ask_store(&self, store: &StorePort) -> bool {
-        let asked = (store.next)(self.revision());
-        match self.timer.limit(self.options.watch_limit, asked).await {
+    /// Waits for the store's next revision and applies it. Returns whether it was newer, or `true`
+    /// if `watch_timeout` expired first.
+    ///
+    /// A watch can stop delivering without an error. The caller then watches again from the
+    /// revision in force and receives what was missed.
+    async fn fetch_from_store(&self, store: &StorePort) -> bool {
+        let next = (store.next)(self.revision());
+        match self.timer.limit(self.options.watch_timeout, next).await {
             None => true,
             Some(Ok(delivery)) => {
                 *self.store_error.borrow_mut() = None;
                 let held = self.revision();
-                // A refusal is noted there. Where nothing came of the delivery, refused or
-                // stale, the same one would come again at once: that counts as a failure.
-                let _ = self.take(delivery, Origin::Store);
+                // `apply` records a refusal. A refused or stale delivery counts as a failure,
+                // because the store would return it again immediately.
+                let _ = self.apply(delivery, Origin::Store);
                 self.revision() > held
             }
             Some(Err(error)) => {
-                warn!(step = "watching the store", error:% = error; "the store did not answer");
+                warn!(step = "watching the store", error:% = error; "failed to read the store");
                 *self.store_error.borrow_mut() = Some(error);
                 false
             }
         }
     }
 
-    /// Passes what is new to the holder. An older or the same revision is dropped here,
-    /// whoever delivers it: a domain that was cut off, a process that was paused, and a stale
-    /// read of the store all look like that.
-    pub(crate) fn take(&self, delivery: Delivery, origin: Origin) -> Result<(), String> {
+    /// Applies a newer revision to the holder. Older revisions and the revision in force are
+    /// ignored, whatever their origin: a failure domain that was partitioned, a process that was
+    /// paused and a stale read of the store can all deliver them.
+    pub(crate) fn apply(&self, delivery: Delivery, origin: Origin) -> Result<(), String> {
         let held = self.revision();
         let given = delivery.revision();
         if given <= held {
             return Ok(());
         }
-        self.check_jump(&delivery, held)?;
-        if let Err(why) = (self.settings.apply)(&delivery) {
-            self.note_refused(given, &why);
-            return Err(why);
+        self.check_revision_jump(&delivery, held)?;
+        if let Err(reason) = (self.settings.apply)(&delivery) {
+            self.record_refusal(given, &reason);
+            return Err(reason);
         }
-        self.note_in_force(&delivery, held, &origin);
-        if self.must_spread(&origin) {
+        self.record_in_force(&delivery, held, &origin);
+        if self.should_push_to_domain(&origin) {
             self.push_to_domain(held);
         }
         Ok(())
     }
 
-    /// A snapshot far ahead of what is held is more likely a damaged number than a long
-    /// absence, and taking it would make every later change look old.
-    fn check_jump(&self, delivery: &Delivery, held: Revision) -> Result<(), String> {
+    /// Refuses a delivery that is too far ahead of the revision in force.
+    ///
+    /// Such a revision is more likely a corrupted number than the result of a long absence, and
+    /// after applying it every later change would be ignored as old.
+    fn check_revision_jump(&self, delivery: &Delivery, held: Revision) -> Result<(), String> {
         let given = delivery.revision();
-        let far = given.0 - held.0 > self.options.max_jump;
-        if held != Revision::NONE && far {
-            let why = format!("{given} is too far ahead of {held}");
-            self.note_refused(given, &why);
-            return Err(why);
+        let is_too_far = given.0 - held.0 > self.options.max_revision_jump;
+        if held != Revision::NONE && is_too_far {
+            let reason = format!("{given} is too far ahead of {held}");
+            self.record_refusal(given, &reason);
+            return Err(reason);
         }
         Ok(())
     }
 
-    fn note_refused(&self, revision: Revision, why: &str) {
-        warn!(revision = revision.0, why; "settings were refused");
-        *self.refused.borrow_mut() = Some(Refused {
+    fn record_refusal(&self, revision: Revision, reason: &str) {
+        warn!(revision = revision.0, why = reason; "settings were refused");
+        *self.refused.borrow_mut() = Some(RefusedRevision {
             revision,
-            at: self.timer.now(),
-            why: why.to_string(),
+            refused_at: self.timer.now(),
+            reason: reason.to_string(),
         });
     }
 
-    fn note_in_force(&self, delivery: &Delivery, held: Revision, origin: &Origin) {
+    fn record_in_force(&self, delivery: &Delivery, held: Revision, origin: &Origin) {
         let mut log = self.log.borrow_mut();
         match delivery {
             Delivery::Changes(changes) => {
@@ -328,15 +335,15 @@
             }
             Delivery::Snapshot(_) => log.clear(),
         }
-        self.in_force.set(self.timer.now());
+        self.in_force_since.set(self.timer.now());
         *self.origin.borrow_mut() = Some(origin.clone());
         info!(revision = self.revision().0, origin:? = origin; "settings are in force");
     }
 
-    /// Tells whether the domain may not have this yet: what came from the store or from
-    /// another domain. Whoever has it from its own domain leaves the rest to the one that
-    /// brought it there, and to the heartbeats.
-    fn must_spread(&self, origin: &Origin) -> bool {
+    /// Returns whether this daemon should push settings from `origin` to its domain: only if they
+    /// came from the store or from another domain. Settings from a peer of the own domain have
+    /// already been pushed by the daemon that brought them there.
+    fn should_push_to_domain(&self, origin: &Origin) -> bool {
         let Origin::Peer(vm) = origin else {
             return true;
         };
@@ -348,24 +355,24 @@
             .is_none_or(|id| id.domain != net.me().domain)
     }
 
-    /// Tells whether a peer's revision is worth a pull: newer than the one held, and not one
-    /// that the holder has just refused.
-    pub(crate) fn wants(&self, revision: Revision) -> bool {
+    /// Returns whether to pull a peer's revision: if it is newer than the one in force and has not
+    /// been refused recently.
+    pub(crate) fn should_pull(&self, revision: Revision) -> bool {
         let refused = self.refused.borrow();
-        let left_alone = refused.as_ref().is_some_and(|refused| {
-            let age = self.timer.now().since(refused.at);
-            revision <= refused.revision && age < self.options.refusal
+        let in_cooldown = refused.as_ref().is_some_and(|refused| {
+            let age = self.timer.now().since(refused.refused_at);
+            revision <= refused.revision && age < self.options.refusal_cooldown
         });
-        revision > self.revision() && !left_alone
+        revision > self.revision() && !in_cooldown
     }
 
-    fn heed_peer_revision(self: &Rc<Self>, peer: &PeerId, revision: Revision) {
-        if self.wants(revision) {
+    fn handle_peer_revision(self: &Rc<Self>, peer: &PeerId, revision: Revision) {
+        if self.should_pull(revision) {
             monoio::spawn(Rc::clone(self).pull(peer.vm.clone()));
         }
     }
 
-    pub(crate) fn note_peer_error(&self, error: &str) {
+    pub(crate) fn record_peer_error(&self, error: &str) {
         *self.peer_error.borrow_mut() = Some(error.to_string());
     }
 
@@ -383,11 +390,11 @@
             .filter(|refused| refused.revision > revision);
         RelayStatus {
             revision,
-            age: self.timer.now().since(self.in_force.get()),
+            age: self.timer.now().since(self.in_force_since.get()),
             origin: self.origin.borrow().clone(),
             watching: self.watching.get(),
             store_error: self.store_error.borrow().clone(),
-            refused: refused.map(|refused| (refused.revision, refused.why.clone())),
+            refused: refused.map(|refused| (refused.revision, refused.reason.clone())),
             waiting_for: (revision == Revision::NONE).then(|| self.waiting_for()),
         }
     }
--- a/crates/peer/src/reports.rs
+++ b/crates/peer/src/reports.rs
@@ -1,4 +1,4 @@
-//! Load reports between daemons: differences with their age, batched within a bound.
+//! Load reports between daemons, sent as deltas with their age in batches of limited size.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -8,25 +8,25 @@
 use heatherknot_types::prelude::*;
 use serde::{Deserialize, Serialize};
 
-/// One VM's load, each value under a short name that the reporting packages agree on.
+/// The load values of one VM by name. The crates that report and read loads define the names.
 pub type Loads = BTreeMap<Arc<str>, u32>;
 
-/// A part of one VM's report: the values that changed since the version it follows.
+/// One VM's report as sent to peers: all values, or those that changed since report `base`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Difference {
+pub struct ReportDelta {
     /// The VM that reports.
     #[serde(rename = "v")]
     vm: VmName,
-    /// The run of the VM that reports.
+    /// The incarnation of the VM that reports.
     #[serde(rename = "i")]
     incarnation: Incarnation,
-    /// Orders the reports of one run.
+    /// Orders the reports of one incarnation.
     #[serde(rename = "n")]
     number: u64,
-    /// How long ago the values were measured, when this message was written.
+    /// Age of the values when the message was created.
     #[serde(rename = "g")]
     age: Millis,
-    /// The number of the report that the values are a difference from; zero for all values.
+    /// Number of the report that the delta applies to; zero if `loads` holds all values.
     #[serde(rename = "b", default, skip_serializing_if = "is_zero")]
     base: u64,
     #[serde(rename = "l")]
@@ -37,26 +37,26 @@
     *value == 0
 }
 
-/// What one message carries.
-pub type Batch = Vec<Difference>;
+/// The reports in one message.
+pub type Batch = Vec<ReportDelta>;
 
-/// How far a message goes.
+/// The recipients of a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Scope {
-    /// To a VM of the same domain, which gets reports of all VMs.
+    /// A VM of the same domain, which receives the reports of all VMs and forwards them.
     Domain,
-    /// To a VM of another domain, which gets this VM's own report and keeps it to itself.
-    Elsewhere,
+    /// A VM of another domain, which receives only this VM's own report and does not forward it.
+    OtherDomain,
 }
 
-type TakeBatch = Rc<dyn Fn(Scope) -> Option<Batch>>;
+type NextBatch = Rc<dyn Fn(Scope) -> Option<Batch>>;
 
-/// How heartbeats exchange reports.
+/// Interface through which heartbeats exchange reports.
 #[derive(Clone)]
 pub struct ReportPort {
-    /// Takes what to send to a VM, where there is anything.
-    pub take: TakeBatch,
-    /// Takes in what a VM sent.
+    /// Returns the batch to send in the next message, if there is anything to send.
+    pub next_batch: NextBatch,
+    /// Merges a received batch.
     pub merge: Rc<dyn Fn(Scope, Batch)>,
 }
 
@@ -65,61 +65,61 @@
 struct Report {
     incarnation: Incarnation,
     number: u64,
-    measured: Millis,
+    measured_at: Millis,
     loads: Loads,
-    /// The values that the latest report changed, and the report that they changed.
+    /// The values that changed since report `base`.
     changed: Loads,
     base: u64,
-    /// Messages that carried the report.
-    sent: u32,
+    /// Number of messages that carried the report.
+    send_count: u32,
 }
 
-/// A report as decisions read it.
+/// A snapshot of a VM's latest report.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ReportView {
-    /// The run of the VM that reports.
+    /// The incarnation of the VM that reports.
     pub incarnation: Incarnation,
-    /// How long ago the values were measured, at least.
+    /// Minimum age of the values; time in transit is not included.
     pub age: Millis,
     /// The values.
     pub loads: Loads,
 }
 
-/// Limits of the reports.
+/// Limits of the exchange of reports.
 #[derive(Clone, Debug)]
 pub struct ReportOptions {
-    /// Values that one message carries at most.
-    pub values_a_message: usize,
-    /// Messages in which a daemon sends one report of its own.
-    pub own_sends: u32,
-    /// Messages in which a daemon passes one report of another VM on.
-    pub sends: u32,
-    /// Reports older than this are forgotten.
-    pub keep: Millis,
+    /// Maximum number of values in a message. Each report counts as one more value.
+    pub max_values_per_message: usize,
+    /// Number of messages in which a daemon sends each of its own reports.
+    pub max_own_sends: u32,
+    /// Number of messages in which a daemon forwards each report of another VM.
+    pub max_forwards: u32,
+    /// Age at which reports are dropped.
+    pub max_age: Millis,
 }
 
 impl Default for ReportOptions {
     fn default() -> Self {
         Self {
-            values_a_message: 14,
-            own_sends: 6,
-            sends: 2,
-            keep: Millis(30_000),
+            max_values_per_message: 14,
+            max_own_sends: 6,
+            max_forwards: 2,
+            max_age: Millis(30_000),
         }
     }
 }
 
-/// The latest reports of all VMs that one daemon has heard.
+/// The latest known report of each VM.
 #[derive(Clone)]
-pub struct ReportBoard {
+pub struct ReportTable {
     me: VmName,
     timer: Timer,
     options: ReportOptions,
     reports: Rc<RefCell<BTreeMap<VmName, Report>>>,
 }
 
-impl ReportBoard {
-    /// Makes an empty board.
+impl ReportTable {
+    /// Creates an empty table.
     pub fn new(me: VmName, timer: Timer, options: ReportOptions) -> Self {
         Self {
             me,
@@ -129,14 +129,14 @@
         }
     }
 
-    /// Reports this daemon's own loads. Values that did not change are not sent again.
+    /// Publishes this daemon's own loads. Unchanged values are left out of deltas.
     pub fn publish(&self, incarnation: Incarnation, loads: Loads) {
         let mut reports = self.reports.borrow_mut();
         let last = reports
             .get(&self.me)
             .filter(|r| r.incarnation == incarnation);
         let (number, changed, base) = match last {
-            // A value that disappeared can't be told by a difference.
+            // A delta cannot express that a value was removed.
             Some(last) if last.loads.keys().all(|name| loads.contains_key(name)) => {
                 let differs =
                     |(name, load): &(&Arc<str>, &u32)| last.loads.get(*name) != Some(load);
@@ -152,133 +152,134 @@
         let report = Report {
             incarnation,
             number,
-            measured: self.timer.now(),
+            measured_at: self.timer.now(),
             loads,
             changed,
             base,
-            sent: 0,
+            send_count: 0,
         };
         reports.insert(self.me.clone(), report);
     }
 
-    /// Gives the latest report of a VM.
+    /// Returns the latest report of a VM.
     pub fn view(&self, vm: &VmName) -> Option<ReportView> {
         let now = self.timer.now();
         let reports = self.reports.borrow();
         reports.get(vm).map(|report| ReportView {
             incarnation: report.incarnation,
-            age: now.since(report.measured),
+            age: now.since(report.measured_at),
             loads: report.loads.clone(),
         })
     }
 
-    /// Takes what the next message carries: the least sent reports first, then the freshest.
-    pub fn take(&self, scope: Scope) -> Option<Batch> {
+    /// Returns the batch for the next message: the reports sent least often come first, and of
+    /// those the most recent.
+    pub fn next_batch(&self, scope: Scope) -> Option<Batch> {
         let now = self.timer.now();
-        if scope == Scope::Elsewhere {
+        if scope == Scope::OtherDomain {
             let reports = self.reports.borrow();
-            let mine = reports.get(&self.me)?;
-            return Some(vec![mine.whole(&self.me, now)]);
+            let own = reports.get(&self.me)?;
+            return Some(vec![own.full(&self.me, now)]);
         }
         let mut reports = self.reports.borrow_mut();
-        reports.retain(|_, r| now.since(r.measured) < self.options.keep);
-        let enough = |vm: &VmName| match *vm == self.me {
-            true => self.options.own_sends,
-            false => self.options.sends,
+        reports.retain(|_, r| now.since(r.measured_at) < self.options.max_age);
+        let max_sends = |vm: &VmName| match *vm == self.me {
+            true => self.options.max_own_sends,
+            false => self.options.max_forwards,
         };
         let mut queue: Vec<_> = reports
             .iter_mut()
-            .filter(|(vm, r)| r.sent < enough(vm))
+            .filter(|(vm, r)| r.send_count < max_sends(vm))
             .collect();
-        queue.sort_by_key(|(_, r)| (r.sent, now.since(r.measured)));
+        queue.sort_by_key(|(_, r)| (r.send_count, now.since(r.measured_at)));
         let mut batch = Vec::new();
         let mut values = 0;
         for (vm, report) in queue {
-            let difference = report.difference(vm, now);
-            values += difference.loads.len() + 1;
-            if values > self.options.values_a_message && !batch.is_empty() {
+            let delta = report.delta(vm, now);
+            values += delta.loads.len() + 1;
+            if values > self.options.max_values_per_message && !batch.is_empty() {
                 break;
             }
-            report.sent += 1;
-            batch.push(difference);
+            report.send_count += 1;
+            batch.push(delta);
         }
         (!batch.is_empty()).then_some(batch)
     }
 
-    /// Takes in what a VM sent. A difference from a report that this daemon does not have
-    /// is left out; the whole values come with a later message.
+    /// Merges a received batch. A delta whose base report this daemon does not have is ignored; a
+    /// later message carries all values.
     pub fn merge(&self, scope: Scope, batch: Batch) {
         let now = self.timer.now();
         let mut reports = self.reports.borrow_mut();
-        for difference in batch {
-            if difference.vm == self.me || difference.age >= self.options.keep {
+        for delta in batch {
+            if delta.vm == self.me || delta.age >= self.options.max_age {
                 continue;
             }
-            let known = reports.get(&difference.vm);
-            if let Some(mut report) = Report::follow(known, &difference, now) {
-                if scope == Scope::Elsewhere {
-                    // Reports of all domains would crowd out those of this one.
-                    report.sent = u32::MAX;
+            let known = reports.get(&delta.vm);
+            if let Some(mut report) = Report::from_delta(known, &delta, now) {
+                if scope == Scope::OtherDomain {
+                    // Not forwarded: reports of other domains would crowd out those of this one.
+                    report.send_count = u32::MAX;
                 }
-                reports.insert(difference.vm, report);
+                reports.insert(delta.vm, report);
             }
         }
     }
 
-    /// Gives the port that heartbeats use.
+    /// Returns the interface for heartbeats.
     pub fn port(&self) -> ReportPort {
-        let (taker, merger) = (self.clone(), self.clone());
+        let (sender, receiver) = (self.clone(), self.clone());
         ReportPort {
-            take: Rc::new(move |scope| taker.take(scope)),
-            merge: Rc::new(move |scope, batch| merger.merge(scope, batch)),
+            next_batch: Rc::new(move |scope| sender.next_batch(scope)),
+            merge: Rc::new(move |scope, batch| receiver.merge(scope, batch)),
         }
     }
 }
 
 impl Report {
-    /// Gives the values that changed, and every other time all of them, for those who
-    /// missed the report before.
-    fn difference(&self, vm: &VmName, now: Millis) -> Difference {
-        let whole = self.whole(vm, now);
-        if self.base == 0 || self.sent % 2 == 1 {
-            return whole;
+    /// Returns the changed values, or in every other message all values, for VMs that missed the
+    /// base report.
+    fn delta(&self, vm: &VmName, now: Millis) -> ReportDelta {
+        let full = self.full(vm, now);
+        if self.base == 0 || self.send_count % 2 == 1 {
+            return full;
         }
-        Difference {
+        ReportDelta {
             base: self.base,
             loads: self.changed.clone(),
-            ..whole
+            ..full
         }
     }
 
-    fn whole(&self, vm: &VmName, now: Millis) -> Difference {
-        Difference {
+    fn full(&self, vm: &VmName, now: Millis) -> ReportDelta {
+        ReportDelta {
             vm: vm.clone(),
             incarnation: self.incarnation,
             number: self.number,
-            age: now.since(self.measured),
+            age: now.since(self.measured_at),
             base: 0,
             loads: self.loads.clone(),
         }
     }
 
-    fn follow(known: Option<&Report>, difference: &Difference, now: Millis) -> Option<Report> {
-        let known = known.filter(|r| r.incarnation == difference.incarnation);
-        if known.is_some_and(|r| r.number >= difference.number) {
+    fn from_delta(known: Option<&Report>, delta: &ReportDelta, now: Millis) -> Option<Report> {
+        let known = known.filter(|r| r.incarnation == delta.incarnation);
+        if known.is_some_and(|r| r.number >= delta.number) {
             return None;
         }
         let mut loads = Loads::new();
-        if difference.base != 0 {
-            loads.clone_from(&known.filter(|r| r.number == difference.base)?.loads);
+        if delta.base != 0 {
+            loads.clone_from(&known.filter(|r| r.number == delta.base)?.loads);
         }
-        loads.extend(difference.loads.clone());
+        loads.extend(delta.loads.clone());
         Some(Report {
-            incarnation: difference.incarnation,
-            number: difference.number,
-            measured: now - difference.age,
+            incarnation: delta.incarnation,
+            number: delta.number,
+            measured_at: now - delta.age,
             loads,
-            changed: difference.loads.clone(),
-            base: difference.base,
-            sent: 0,
+            changed: delta.loads.clone(),
+            base: delta.base,
+            send_count: 0,
         })
     }
 }
--- a/crates/peer/tests/authentication.rs
+++ b/crates/peer/tests/authentication.rs
@@ -1,4 +1,4 @@
-//! What a daemon refuses from those who connect to it, and from those it connects to.
+//! Authentication of connections: what a daemon refuses as a server and as a client.
 
 mod support;
 
@@ -20,18 +20,18 @@
 const TIMEOUT: Millis = Millis(5_000);
 const CALL: &[u8] = br#"{"jsonrpc":"2.0","id":0,"method":"touch","params":null}"#;
 
-fn victim(time: &TestTime) -> (PeerNet, Rc<Cell<u32>>) {
-    let touched = Rc::new(Cell::new(0));
-    let counted = Rc::clone(&touched);
+fn target(time: &TestTime) -> (PeerNet, Rc<Cell<u32>>) {
+    let touch_count = Rc::new(Cell::new(0));
+    let counter = Rc::clone(&touch_count);
     let mut cx = context("victim", "a", time);
     cx.options.max_message = 4_096;
     let mut table = MethodTable::default();
     table.register("touch", move |_, ()| {
-        counted.set(counted.get() + 1);
+        counter.set(counter.get() + 1);
         async move { Ok(()) }
     });
     cx.methods = table;
-    (start(cx), touched)
+    (start(cx), touch_count)
 }
 
 fn identity(vm: &str, epoch: u64) -> PeerId {
@@ -54,13 +54,13 @@
     }
 }
 
-/// A connection under the test's own control.
-struct Raw {
+/// A connection whose messages the test writes itself.
+struct RawConnection {
     stream: TcpStream,
     traffic: Traffic,
 }
 
-impl Raw {
+impl RawConnection {
     async fn open(to: &PeerNet) -> Self {
         let stream = TcpStream::connect(to.me().address)
             .await
@@ -77,16 +77,16 @@
         sent.expect("an open connection");
     }
 
-    async fn welcome(&mut self) -> Welcome {
+    async fn receive_welcome(&mut self) -> Welcome {
         let payload = read_plain(&mut self.stream, 4_096, &self.traffic).await;
         serde_json::from_slice(&payload.expect("an answer")).expect("a welcome")
     }
 
-    /// Goes through the handshake as `client` with `secret`.
-    async fn prove(&mut self, client: PeerId, secret: &Secret) -> SessionKeys {
+    /// Performs the handshake as `client` with `secret`.
+    async fn authenticate(&mut self, client: PeerId, secret: &Secret) -> SessionKeys {
         let hello = hello(client);
         self.send(&hello).await;
-        let Welcome::Proof { server, nonce, .. } = self.welcome().await else {
+        let Welcome::Proof { server, nonce, .. } = self.receive_welcome().await else {
             panic!("refused");
         };
         let ends = ((&hello.client, hello.nonce), (&server, nonce));
@@ -96,9 +96,9 @@
         transcript.keys(secret)
     }
 
-    /// Writes raw bytes and reads until the server closes, giving what came after the
-    /// verdict.
-    async fn finish(self, bytes: Vec<u8>, keys: SessionKeys) -> Vec<Box<[u8]>> {
+    /// Writes raw bytes and returns all messages received until the server closes the connection,
+    /// starting with the verdict.
+    async fn exchange(self, bytes: Vec<u8>, keys: SessionKeys) -> Vec<Box<[u8]>> {
         let (rd, mut wr) = self.stream.into_split();
         let _ = wr.write_all(bytes).await;
         let mut rd = FrameReader::new(rd, keys.server, 4_096, Rc::default());
@@ -110,93 +110,93 @@
     }
 }
 
-/// Sends `bytes` on a proven connection, and gives how many messages the server sent after
-/// its verdict before it closed.
-async fn after_proof(to: &PeerNet, bytes: impl FnOnce(&SessionKeys) -> Vec<u8>) -> usize {
-    let mut raw = Raw::open(to).await;
-    let keys = raw.prove(identity("raw", 1), &secret()).await;
+/// Sends `bytes` on an authenticated connection and returns how many messages the server sends
+/// between its verdict and closing the connection.
+async fn count_messages_after_verdict(
+    to: &PeerNet,
+    bytes: impl FnOnce(&SessionKeys) -> Vec<u8>,
+) -> usize {
+    let mut raw = RawConnection::open(to).await;
+    let keys = raw.authenticate(identity("raw", 1), &secret()).await;
     let bytes = bytes(&keys);
-    raw.finish(bytes, keys).await.len() - 1
+    raw.exchange(bytes, keys).await.len() - 1
 }
 
-/// Somebody on the network without the secret sends a well-formed handshake and a call. The
-/// connection is closed without a verdict and the method does not run.
+/// Guards against running calls of clients without the secret: such a client performs a well-formed
+/// handshake and sends a call.
 #[test]
 fn a_client_without_the_secret_is_refused() {
     run(async {
         let time = TestTime::default();
-        let (net, touched) = victim(&time);
-        let mut raw = Raw::open(&net).await;
+        let (net, touch_count) = target(&time);
+        let mut raw = RawConnection::open(&net).await;
 
         let keys = raw
-            .prove(identity("stranger", 1), &Secret::new("a guess"))
+            .authenticate(identity("stranger", 1), &Secret::new("a guess"))
             .await;
         let call = encode(&keys.client, 0, CALL);
-        let frames = raw.finish(call, keys).await;
+        let frames = raw.exchange(call, keys).await;
 
         assert!(frames.is_empty());
-        assert_eq!(touched.get(), 0);
+        assert_eq!(touch_count.get(), 0);
         assert!(net.identity_of(&"stranger".into()).is_none());
     });
 }
 
-/// Somebody recorded a daemon's handshake and plays it again. The server's nonce differs, so
-/// the recorded proof does not match and nothing runs.
+/// Guards against replay attacks: a recorded handshake is sent again, and must fail because the
+/// server's nonce differs.
 #[test]
 fn a_replayed_handshake_is_refused() {
     run(async {
         let time = TestTime::default();
-        let (net, touched) = victim(&time);
-        let mut first = Raw::open(&net).await;
+        let (net, touch_count) = target(&time);
+        let mut first = RawConnection::open(&net).await;
         let hello = hello(identity("raw", 1));
         first.send(&hello).await;
-        let Welcome::Proof { server, nonce, .. } = first.welcome().await else {
+        let Welcome::Proof { server, nonce, .. } = first.receive_welcome().await else {
             panic!("refused");
         };
         let ends = ((&hello.client, hello.nonce), (&server, nonce));
         let transcript = Transcript::new("tests", ends.0, ends.1);
         let code = transcript.code(&secret(), Role::Client);
         let recorded = Proof { code };
-        let mut second = Raw::open(&net).await;
+        let mut second = RawConnection::open(&net).await;
 
         second.send(&hello).await;
-        second.welcome().await;
+        second.receive_welcome().await;
         second.send(&recorded).await;
         let keys = transcript.keys(&secret());
         let call = encode(&keys.client, 0, CALL);
-        let frames = second.finish(call, keys).await;
+        let frames = second.exchange(call, keys).await;
 
         assert!(frames.is_empty());
-        assert_eq!(touched.get(), 0);
+        assert_eq!(touch_count.get(), 0);
     });
 }
 
 #[test]
-fn another_deployment_is_refused_by_name() {
+fn a_client_of_another_deployment_is_refused() {
     run(async {
         let time = TestTime::default();
-        let (net, _) = victim(&time);
+        let (net, _) = target(&time);
         let mut cx = context("foreign", "a", &time);
         cx.deployment = String::from("elsewhere");
         let foreign = start(cx);
         introduce(&foreign, &net);
 
-        let refused = foreign
+        let result = foreign
             .call::<_, ()>(&"victim".into(), "touch", &(), TIMEOUT)
             .await;
 
-        let refused = refused.expect_err("another deployment");
-        assert_eq!(
-            (refused.step, refused.handled),
-            (Step::Handshake, Handled::No)
-        );
+        let error = result.expect_err("another deployment");
+        assert_eq!((error.step, error.handled), (Step::Handshake, Handled::No));
         let refusal = HandshakeRefusal::WrongDeployment;
-        assert_eq!(refused.source, Cause::Refused { refusal });
+        assert_eq!(error.source, Cause::Refused { refusal });
     });
 }
 
-/// A process takes a VM's address without holding the secret. The caller finds that out
-/// before it sends its call.
+/// Guards against sending calls to an impostor: a process without the secret listens on a VM's
+/// address.
 #[test]
 fn a_server_without_the_secret_gets_no_call() {
     run(async {
@@ -207,25 +207,23 @@
         let net = start(context("caller", "a", &time));
         introduce(&net, &impostor);
 
-        let refused = net
+        let result = net
             .call::<_, ()>(&"impostor".into(), "touch", &(), TIMEOUT)
             .await;
 
-        let refused = refused.expect_err("no proof");
-        assert_eq!(
-            (refused.step, refused.handled),
-            (Step::Handshake, Handled::No)
-        );
+        let error = result.expect_err("no proof");
+        assert_eq!((error.step, error.handled), (Step::Handshake, Handled::No));
         let refusal = HandshakeRefusal::BadProof;
-        assert_eq!(refused.source, Cause::Refused { refusal });
+        assert_eq!(error.source, Cause::Refused { refusal });
     });
 }
 
+/// Guards against sending a call to another VM than the one it is meant for.
 #[test]
 fn another_vm_at_the_address_gets_no_call() {
     run(async {
         let time = TestTime::default();
-        let (net, touched) = victim(&time);
+        let (net, touch_count) = target(&time);
         let caller = start(context("caller", "a", &time));
         let moved = PeerId {
             address: net.me().address,
@@ -233,49 +231,49 @@
         };
         caller.learn(&moved).expect("news");
 
-        let refused = caller.call::<_, ()>(&moved.vm, "touch", &(), TIMEOUT).await;
+        let result = caller.call::<_, ()>(&moved.vm, "touch", &(), TIMEOUT).await;
 
-        let refused = refused.expect_err("another VM");
-        assert_eq!(refused.handled, Handled::No);
+        let error = result.expect_err("another VM");
+        assert_eq!(error.handled, Handled::No);
         let refusal = HandshakeRefusal::WrongVm;
-        assert_eq!(refused.source, Cause::Refused { refusal });
-        assert_eq!(touched.get(), 0);
+        assert_eq!(error.source, Cause::Refused { refusal });
+        assert_eq!(touch_count.get(), 0);
     });
 }
 
-/// A VM was replaced while its process was paused. The process wakes up and calls a peer that
-/// knows the later incarnation: it is refused, and learns that it must stop.
+/// Guards against two active processes for one VM: a process was paused while the VM was replaced,
+/// and calls a peer that knows the later incarnation. It must be refused and learn why.
 #[test]
-fn an_earlier_incarnation_is_refused_and_told() {
+fn an_earlier_incarnation_is_refused_and_learns_its_successor() {
     run(async {
         let time = TestTime::default();
-        let (net, touched) = victim(&time);
+        let (net, touch_count) = target(&time);
         let old = start(context("moved", "a", &time));
         introduce(&old, &net);
         let successor = identity("moved", 2_000);
         net.learn(&successor).expect("news");
 
-        let refused = old
+        let result = old
             .call::<_, ()>(&"victim".into(), "touch", &(), TIMEOUT)
             .await;
 
-        let refused = refused.expect_err("superseded");
-        assert_eq!(refused.handled, Handled::No);
+        let error = result.expect_err("superseded");
+        assert_eq!(error.handled, Handled::No);
         let by = Box::new(successor.clone());
         let refusal = HandshakeRefusal::Superseded { by };
-        assert_eq!(refused.source, Cause::Refused { refusal });
+        assert_eq!(error.source, Cause::Refused { refusal });
         assert_eq!(old.superseded_by(), Some(successor));
-        assert_eq!(touched.get(), 0);
+        assert_eq!(touch_count.get(), 0);
     });
 }
 
-/// A daemon restarts at its address after its VM's calendar clock was set back, so that its
-/// peers know an incarnation with a higher epoch. It goes ahead of its dead predecessor.
+/// Guards against a daemon that stays refused after a restart: its VM's clock was set back, so its
+/// peers know a predecessor with a higher epoch at the same address.
 #[test]
-fn a_restarted_daemon_goes_ahead_of_its_predecessor_at_the_same_address() {
+fn a_restarted_daemon_raises_its_epoch_above_its_predecessor() {
     run(async {
         let time = TestTime::default();
-        let (net, touched) = victim(&time);
+        let (net, touch_count) = target(&time);
         let restarted = start(context("restarted", "a", &time));
         introduce(&restarted, &net);
         let predecessor = PeerId {
@@ -295,18 +293,18 @@
         second.expect("accepted with a higher epoch");
         assert_eq!(restarted.superseded_by(), None);
         assert_eq!(net.identity_of(&"restarted".into()), Some(restarted.me()));
-        assert_eq!(touched.get(), 1);
+        assert_eq!(touch_count.get(), 1);
     });
 }
 
 #[test]
-fn a_message_in_sequence_is_answered() {
+fn a_valid_call_is_answered() {
     run(async {
         let time = TestTime::default();
-        let (net, touched) = victim(&time);
+        let (net, touch_count) = target(&time);
 
-        let mut raw = Raw::open(&net).await;
-        let keys = raw.prove(identity("raw", 1), &secret()).await;
+        let mut raw = RawConnection::open(&net).await;
+        let keys = raw.authenticate(identity("raw", 1), &secret()).await;
         let call = encode(&keys.client, 0, CALL);
         let (rd, mut wr) = raw.stream.into_split();
         wr.write_all(call).await.0.expect("an open connection");
@@ -319,23 +317,24 @@
             Ok(Verdict::Accepted)
         ));
         assert_eq!(&*answer, br#"{"jsonrpc":"2.0","id":0,"result":null}"#);
-        assert_eq!(touched.get(), 1);
+        assert_eq!(touch_count.get(), 1);
     });
 }
 
-/// A message is taken out of, or put into, a connection: the sequence number jumps. The
-/// connection ends and the message is not run, however valid its code.
+/// Guards against messages removed from or inserted into a connection: a gap in the sequence
+/// numbers must end the connection, even if the message's MAC is valid.
 #[test]
-fn a_jump_of_the_sequence_number_ends_the_connection() {
+fn a_gap_in_the_sequence_numbers_ends_the_connection() {
     run(async {
         let time = TestTime::default();
-        let (net, touched) = victim(&time);
+        let (net, touch_count) = target(&time);
 
-        let next = after_proof(&net, |keys| encode(&keys.client, 1, CALL)).await;
-        let huge = after_proof(&net, |keys| encode(&keys.client, u64::MAX, CALL)).await;
+        let next = count_messages_after_verdict(&net, |keys| encode(&keys.client, 1, CALL)).await;
+        let huge =
+            count_messages_after_verdict(&net, |keys| encode(&keys.client, u64::MAX, CALL)).await;
 
         assert_eq!((next, huge), (0, 0));
-        assert_eq!(touched.get(), 0);
+        assert_eq!(touch_count.get(), 0);
     });
 }
 
@@ -343,24 +342,25 @@
 fn a_message_over_the_limit_ends_the_connection() {
     run(async {
         let time = TestTime::default();
-        let (net, touched) = victim(&time);
+        let (net, touch_count) = target(&time);
         let padded = [CALL, &[b' '; 4_096]].concat();
 
-        let over = after_proof(&net, |keys| encode(&keys.client, 0, &padded)).await;
-        let claimed = after_proof(&net, |_| vec![0xff; 28]).await;
+        let over =
+            count_messages_after_verdict(&net, |keys| encode(&keys.client, 0, &padded)).await;
+        let claimed = count_messages_after_verdict(&net, |_| vec![0xff; 28]).await;
 
         assert_eq!((over, claimed), (0, 0));
-        assert_eq!(touched.get(), 0);
+        assert_eq!(touch_count.get(), 0);
     });
 }
 
 #[test]
-fn a_changed_byte_ends_the_connection() {
+fn a_modified_message_ends_the_connection() {
     run(async {
         let time = TestTime::default();
-        let (net, touched) = victim(&time);
+        let (net, touch_count) = target(&time);
 
-        let frames = after_proof(&net, |keys| {
+        let frames = count_messages_after_verdict(&net, |keys| {
             let mut call = encode(&keys.client, 0, CALL);
             let last = call.len() - 1;
             call[last] ^= 1;
@@ -369,35 +369,36 @@
         .await;
 
         assert_eq!(frames, 0);
-        assert_eq!(touched.get(), 0);
+        assert_eq!(touch_count.get(), 0);
     });
 }
 
 #[test]
-fn a_message_that_is_no_call_ends_the_connection() {
+fn a_message_with_invalid_json_ends_the_connection() {
     run(async {
         let time = TestTime::default();
-        let (net, touched) = victim(&time);
+        let (net, touch_count) = target(&time);
 
-        let frames = after_proof(&net, |keys| encode(&keys.client, 0, b"[1, 2")).await;
+        let frames =
+            count_messages_after_verdict(&net, |keys| encode(&keys.client, 0, b"[1, 2")).await;
 
         assert_eq!(frames, 0);
-        assert_eq!(touched.get(), 0);
+        assert_eq!(touch_count.get(), 0);
     });
 }
 
-/// A client connects and sends nothing. It holds a place among the incoming connections for
-/// the time of a handshake at most.
+/// Guards against idle clients using up the incoming connections: a client that sends nothing is
+/// disconnected after the handshake timeout.
 #[test]
-fn a_client_that_says_nothing_is_closed() {
+fn a_client_that_sends_nothing_is_disconnected() {
     run(async {
         let time = TestTime::default();
-        let (net, _) = victim(&time);
+        let (net, _) = target(&time);
 
-        let raw = Raw::open(&net).await;
-        time.until("it is counted", || net.connections().1 == 1)
+        let raw = RawConnection::open(&net).await;
+        time.wait_until("it is counted", || net.connections().1 == 1)
             .await;
-        time.until("it is closed", || net.connections().1 == 0)
+        time.wait_until("it is closed", || net.connections().1 == 0)
             .await;
 
         drop(raw);
@@ -405,16 +406,16 @@
     });
 }
 
-/// Whatever bytes a stranger sends, no method runs and daemons are still answered.
+/// Guards against unauthenticated bytes that run a method or stop the daemon from answering peers.
 #[test]
-fn random_bytes_run_nothing() {
+fn random_bytes_run_no_method() {
     heatherknot_test_support::property::check()
         .with_iterations(300)
         .for_each(|bytes| {
             run(async {
                 let time = TestTime::default();
-                let (net, touched) = victim(&time);
-                let raw = Raw::open(&net).await;
+                let (net, touch_count) = target(&time);
+                let raw = RawConnection::open(&net).await;
                 let (rd, mut wr) = raw.stream.into_split();
                 let _ = wr.write_all(bytes.to_vec()).await;
                 drop((rd, wr));
@@ -426,7 +427,7 @@
                     .await;
 
                 answered.expect("daemons are still answered");
-                assert_eq!(touched.get(), 1);
+                assert_eq!(touch_count.get(), 1);
             });
         });
 }
@@ -435,7 +436,7 @@
 fn a_second_process_cannot_listen_at_the_same_address() {
     run(async {
         let time = TestTime::default();
-        let (net, _) = victim(&time);
+        let (net, _) = target(&time);
         let mut cx = context("second", "a", &time);
         cx.listen = net.me().address;
 
--- a/crates/peer/tests/support/fleet.rs
+++ b/crates/peer/tests/support/fleet.rs
@@ -15,21 +15,21 @@
 
 use super::{Network, Path, TestTime, context};
 
-/// A stand-in for the platform's list.
+/// A fake of the platform's VM list.
 pub type ListedVms = Rc<RefCell<Vec<VmRecord>>>;
 
-/// A stand-in for the holder of settings: the changes of each revision, from the first.
+/// A fake of the holder of settings, which keeps the changes of all revisions.
 #[derive(Clone, Default)]
 pub struct FakeSettings {
     pub changes: Rc<RefCell<Vec<RelayedChange>>>,
-    /// The only revision that this holder can't read.
+    /// A revision that this holder cannot read.
     pub unreadable: Rc<Cell<Option<Revision>>>,
     pub refusals: Rc<Cell<u32>>,
-    /// Set where a revision was ever replaced by an older one.
+    /// Set once a revision has been replaced by an older one.
     pub reverted: Rc<Cell<bool>>,
 }
 
-/// Makes the change of one revision.
+/// Creates the change of one revision.
 pub fn change(revision: u64, text: &str) -> RelayedChange {
     RelayedChange {
         revision: Revision(revision),
@@ -85,19 +85,19 @@
     }
 }
 
-/// A stand-in for the platform's store.
+/// A fake of the platform's store.
 #[derive(Clone, Default)]
 pub struct FakeStore {
     pub settings: FakeSettings,
     pub down: Rc<Cell<bool>>,
-    /// Answers with this instead of what is newest.
+    /// Delivery to answer with instead of the newest changes.
     pub stale: Rc<RefCell<Option<Delivery>>>,
     pub calls: Rc<Cell<u64>>,
     pub waiting: Rc<Cell<u32>>,
 }
 
 impl FakeStore {
-    /// Accepts one more change.
+    /// Commits a change and returns its revision.
     pub fn commit(&self, text: &str) -> Revision {
         let next = self.settings.revision().next();
         self.settings
@@ -107,7 +107,7 @@
         next
     }
 
-    /// Gives the port of a daemon that reaches the store while `cut` is not set.
+    /// Returns the interface for a daemon that can reach the store while `cut` is not set.
     pub fn port(&self, time: &TestTime, cut: &Rc<Cell<bool>>) -> StorePort {
         let (store, cut, timer) = (self.clone(), Rc::clone(cut), time.timer());
         StorePort {
@@ -115,7 +115,7 @@
                 let (store, cut, timer) = (store.clone(), Rc::clone(&cut), timer.clone());
                 store.calls.set(store.calls.get() + 1);
                 Box::pin(async move {
-                    let waiting = Waiting::begin(&store.waiting);
+                    let waiting = WaitGuard::begin(&store.waiting);
                     while !store.down.get() && !cut.get() {
                         if let Some(stale) = &*store.stale.borrow() {
                             return Ok(stale.clone());
@@ -126,7 +126,7 @@
                         timer.wait(Millis(50)).await;
                     }
                     drop(waiting);
-                    Err(String::from("the store is away"))
+                    Err(String::from("the store is unreachable"))
                 })
             }),
         }
@@ -144,36 +144,36 @@
     }
 }
 
-struct Waiting(Rc<Cell<u32>>);
+struct WaitGuard(Rc<Cell<u32>>);
 
-impl Waiting {
+impl WaitGuard {
     fn begin(count: &Rc<Cell<u32>>) -> Self {
         count.set(count.get() + 1);
         Self(Rc::clone(count))
     }
 }
 
-impl Drop for Waiting {
+impl Drop for WaitGuard {
     fn drop(&mut self) {
         self.0.set(self.0.get() - 1);
     }
 }
 
 /// One daemon of a fleet.
-pub struct Node {
+pub struct TestDaemon {
     pub net: PeerNet,
     pub relay: Relay,
     pub settings: FakeSettings,
-    /// Cuts this daemon off from the store.
+    /// Whether this daemon cannot reach the store.
     pub store_cut: Rc<Cell<bool>>,
     pub membership: Membership,
-    pub resumed: Rc<Cell<u32>>,
-    pub told_leaving: Rc<Cell<u32>>,
+    pub resume_count: Rc<Cell<u32>>,
+    pub leave_requests: Rc<Cell<u32>>,
     pub paused: Rc<Cell<bool>>,
 }
 
-/// What one daemon is started with.
-pub struct NodeSetup {
+/// Configuration of a daemon to start.
+pub struct TestDaemonSetup {
     pub cx: PeerContext,
     pub seeds: Vec<SocketAddr>,
     pub listed: Option<ListedVms>,
@@ -185,7 +185,7 @@
     pub reports: Option<heatherknot_peer::reports::ReportPort>,
 }
 
-impl NodeSetup {
+impl TestDaemonSetup {
     pub fn new(vm: &str, domain: &str, time: &TestTime, network: &Network) -> Self {
         let paused = Rc::new(Cell::new(false));
         let mut cx = context(vm, domain, time);
@@ -204,19 +204,19 @@
         }
     }
 
-    /// Lets the daemon watch a store.
+    /// Adds a store that the daemon can watch.
     pub fn with_store(mut self, store: &FakeStore, time: &TestTime) -> Self {
         self.store = Some(store.port(time, &self.store_cut));
         self
     }
 
-    pub fn start(mut self) -> Node {
-        let (resumed, told_leaving) = (Rc::new(Cell::new(0)), Rc::new(Cell::new(0)));
+    pub fn start(mut self) -> TestDaemon {
+        let (resume_count, leave_requests) = (Rc::new(Cell::new(0)), Rc::new(Cell::new(0)));
         let count = |cell: &Rc<Cell<u32>>| {
             let cell = Rc::clone(cell);
             move || cell.set(cell.get() + 1)
         };
-        let (on_resumed, on_told) = (count(&resumed), count(&told_leaving));
+        let (on_resume, on_leave_request) = (count(&resume_count), count(&leave_requests));
         let relay = Relay::new(
             self.settings.port(),
             self.store,
@@ -232,8 +232,8 @@
                 revision: Rc::new(move || held.revision()),
                 reports: self.reports,
                 hooks: MembershipHooks {
-                    on_resume: Rc::new(move |_| on_resumed()),
-                    on_leave_request: Rc::new(on_told),
+                    on_resume: Rc::new(move |_| on_resume()),
+                    on_leave_request: Rc::new(on_leave_request),
                     on_peer_revision: relay.peer_revision_hook(),
                 },
                 options: MembershipOptions::default(),
@@ -246,14 +246,14 @@
         let net = super::start(self.cx);
         membership.run(net.clone());
         relay.run(net.clone(), membership.clone());
-        Node {
+        TestDaemon {
             net,
             relay,
             settings: self.settings,
             store_cut: self.store_cut,
             membership,
-            resumed,
-            told_leaving,
+            resume_count,
+            leave_requests,
             paused: self.paused,
         }
     }
@@ -279,7 +279,7 @@
     }
 }
 
-impl Node {
+impl TestDaemon {
     pub fn address(&self) -> SocketAddr {
         self.net.me().address
     }
@@ -298,41 +298,41 @@
     }
 }
 
-/// Starts daemons named after their domains, all of which begin with the first one's address.
-pub fn fleet(domains: &[(&str, usize)], time: &TestTime, network: &Network) -> Vec<Node> {
-    let mut nodes: Vec<Node> = Vec::new();
+/// Starts daemons that are named after their domains and have the first one's address as seed.
+pub fn fleet(domains: &[(&str, usize)], time: &TestTime, network: &Network) -> Vec<TestDaemon> {
+    let mut nodes: Vec<TestDaemon> = Vec::new();
     for (domain, count) in domains {
         for n in 0..*count {
-            let mut setup = NodeSetup::new(&format!("{domain}{n}"), domain, time, network);
-            setup.seeds.extend(nodes.first().map(Node::address));
+            let mut setup = TestDaemonSetup::new(&format!("{domain}{n}"), domain, time, network);
+            setup.seeds.extend(nodes.first().map(TestDaemon::address));
             nodes.push(setup.start());
         }
     }
     nodes
 }
 
-/// Starts daemons that watch a store, and waits until all know all.
+/// Starts daemons that can watch a store, and waits until every daemon knows all others.
 pub async fn settled_fleet_with_store(
     domains: &[(&str, usize)],
     time: &TestTime,
     network: &Network,
     store: &FakeStore,
-) -> Vec<Node> {
-    let mut nodes: Vec<Node> = Vec::new();
+) -> Vec<TestDaemon> {
+    let mut nodes: Vec<TestDaemon> = Vec::new();
     for (domain, count) in domains {
         for n in 0..*count {
-            let setup = NodeSetup::new(&format!("{domain}{n}"), domain, time, network);
+            let setup = TestDaemonSetup::new(&format!("{domain}{n}"), domain, time, network);
             let mut setup = setup.with_store(store, time);
-            setup.seeds.extend(nodes.first().map(Node::address));
+            setup.seeds.extend(nodes.first().map(TestDaemon::address));
             nodes.push(setup.start());
         }
     }
-    time.until("all know all", || all_alive(&nodes)).await;
+    time.wait_until("all know all", || all_alive(&nodes)).await;
     nodes
 }
 
-/// Tells whether every daemon believes every other one to be alive.
-pub fn all_alive(nodes: &[Node]) -> bool {
+/// Returns whether every daemon considers all others alive.
+pub fn all_alive(nodes: &[TestDaemon]) -> bool {
     nodes.iter().all(|node| {
         let alive = node.membership.views().into_iter();
         alive
@@ -342,28 +342,33 @@
     })
 }
 
-/// Starts a fleet and waits until all know all.
+/// Starts a fleet and waits until every daemon knows all others.
 pub async fn settled_fleet(
     domains: &[(&str, usize)],
     time: &TestTime,
     network: &Network,
-) -> Vec<Node> {
+) -> Vec<TestDaemon> {
     let nodes = fleet(domains, time, network);
-    time.until("all know all", || all_alive(&nodes)).await;
+    time.wait_until("all know all", || all_alive(&nodes)).await;
     nodes
 }
 
-/// Sets what happens to bytes between two daemons, both ways.
-pub fn set_both(network: &Network, a: &Node, b: &Node, path: Path) {
-    network.set(a.vm().as_str(), b.address(), path);
-    network.set(b.vm().as_str(), a.address(), path);
+/// Sets the state of the path between two daemons in both directions.
+pub fn set_path_both_ways(network: &Network, a: &TestDaemon, b: &TestDaemon, path: Path) {
+    network.set_path(a.vm().as_str(), b.address(), path);
+    network.set_path(b.vm().as_str(), a.address(), path);
 }
 
-/// Sets what happens to bytes between two groups of daemons, both ways.
-pub fn set_between(network: &Network, these: &[&Node], those: &[&Node], path: Path) {
+/// Sets the state of the paths between two groups of daemons in both directions.
+pub fn set_path_between(
+    network: &Network,
+    these: &[&TestDaemon],
+    those: &[&TestDaemon],
+    path: Path,
+) {
     for a in these {
         for b in those {
-            set_both(network, a, b, path);
+            set_path_both_ways(network, a, b, path);
         }
     }
 }
