--- a/crates/edge/src/pick.rs
+++ b/crates/edge/src/call_selection.rs
@@ -1,4 +1,5 @@
-//! Picks the backend server of a request, or refuses the request immediately.
+//! Selects the backend server of a request by what this VM knows, or refuses the request
+//! immediately.
 
 use std::rc::Rc;
 
@@ -45,8 +46,12 @@
     }
 }
 
-/// Picks the server for a request that was already sent to the servers in `tried`.
-pub(crate) fn pick(
+/// Selects the server for a request that was already sent to the servers in `tried`.
+///
+/// # Errors
+///
+/// Returns a refusal if no server can be expected to answer in time.
+pub(crate) fn select_or_refuse(
     cx: &EdgeContext,
     call: &Call,
     tried: &[UpstreamName],
@@ -88,9 +93,9 @@
     Ok(best)
 }
 
-/// Returns the server that would get a request if it has room, computed identically by all VMs, or
-/// `None` if no warm server may get it.
-pub(crate) fn first(cx: &EdgeContext, call: &Call) -> Option<Rc<Upstream>> {
+/// Returns the server that gets a request while that server has capacity, or `None` if no warm
+/// server may get it. All VMs compute the same one.
+pub(crate) fn first_ranked(cx: &EdgeContext, call: &Call) -> Option<Rc<Upstream>> {
     let now = cx.now();
     let warm = warm_candidates(cx, call, &[], now);
     let is_home = |u: &Upstream| is_home(cx, u);
--- a/crates/edge/src/forward.rs
+++ b/crates/edge/src/forward.rs
@@ -7,10 +7,10 @@
 
 use crate::attempt::{self, SendOutcome};
 use crate::call::{self, AdmitError, Call};
+use crate::call_selection::{self, Refusal};
 use crate::context::EdgeContext;
 use crate::hand_over;
 use crate::identify::IdentifyError;
-use crate::pick::{self, Refusal};
 use crate::poison::guard::{self, SendDecision};
 use crate::reply;
 use crate::request_log::{self, SendRecord};
@@ -128,7 +128,7 @@
                 return give_up(cx, call, history, &refusal);
             }
         };
-        let candidate = match pick::pick(cx, call, &history.servers) {
+        let candidate = match call_selection::select_or_refuse(cx, call, &history.servers) {
             Ok(candidate) => candidate,
             Err(refusal) => return give_up(cx, call, history, &refusal),
         };
--- a/crates/edge/src/hand_over.rs
+++ b/crates/edge/src/hand_over.rs
@@ -21,10 +21,10 @@
 
 use crate::attempt;
 use crate::call::{self, AdmitError, Call};
+use crate::call_selection;
 use crate::context::EdgeContext;
 use crate::forward::{self, SendHistory};
 use crate::homes::{HomePeer, HomeVm};
-use crate::pick;
 use crate::poison::guard;
 use crate::reply;
 use crate::switches::Mechanism;
@@ -168,7 +168,7 @@
     if call.assigned_server.is_some() || !uses_home(cx, call) {
         return None;
     }
-    let first = pick::first(cx, call)?;
+    let first = call_selection::first_ranked(cx, call)?;
     let home = cx.homes.home_of(&first, &cx.vms.borrow())?;
     (home.vm != cx.cfg.vm).then_some((first, home))
 }
--- a/crates/edge/src/log_limit.rs
+++ b/crates/edge/src/log_limit.rs
@@ -9,15 +9,15 @@
 /// Token bucket for log lines.
 #[derive(Debug)]
 pub struct LogRateLimit {
-    left: f64,
-    filled: Millis,
+    tokens: f64,
+    refilled_at: Millis,
 }
 
 impl Default for LogRateLimit {
     fn default() -> Self {
         Self {
-            left: LINES_PER_SECOND,
-            filled: Millis(0),
+            tokens: LINES_PER_SECOND,
+            refilled_at: Millis(0),
         }
     }
 }
@@ -25,13 +25,13 @@
 impl LogRateLimit {
     /// Returns whether one more line may be logged, and counts it if so.
     pub fn try_take(&mut self, now: Millis) -> bool {
-        let gained = now.since(self.filled).as_secs_f64() * LINES_PER_SECOND;
-        self.left = (self.left + gained).min(LINES_PER_SECOND);
-        self.filled = now;
-        let may = self.left >= 1.0;
-        if may {
-            self.left -= 1.0;
+        let gained = now.since(self.refilled_at).as_secs_f64() * LINES_PER_SECOND;
+        self.tokens = (self.tokens + gained).min(LINES_PER_SECOND);
+        self.refilled_at = now;
+        let is_allowed = self.tokens >= 1.0;
+        if is_allowed {
+            self.tokens -= 1.0;
         }
-        may
+        is_allowed
     }
 }
