--- a/crates/store/examples/store_cost.rs
+++ b/crates/store/examples/store_cost.rs
@@ -29,9 +29,9 @@
 /// Commits in one run.
 const COMMITS: u64 = 300;
 /// Writers that race for the same settings.
-const RACERS: u64 = 4;
+const RACING_WRITERS: u64 = 4;
 /// How long claims are made at each number of callers.
-const CLAIM_TIME: Duration = Duration::from_secs(2);
+const CLAIM_DURATION: Duration = Duration::from_secs(2);
 /// Rates so high that nothing is refused.
 const UNLIMITED: Rates = Rates {
     writes: 1_000_000,
@@ -94,7 +94,7 @@
     let calls = platform.calls().total() as f64 / COMMITS as f64;
     println!(
         "commit: {COMMITS} one after the other, {calls:.2} calls each, {}",
-        spread(times)
+        percentiles(times)
     );
 }
 
@@ -102,34 +102,34 @@
     let platform = platform(delay, UNLIMITED);
     let store = store(&platform);
     let tries = Cell::new(0);
-    let each = COMMITS / RACERS / 3;
-    block_on(join_all((0..RACERS).map(|racer| {
+    let each = COMMITS / RACING_WRITERS / 3;
+    block_on(join_all((0..RACING_WRITERS).map(|writer| {
         let (store, tries) = (&store, &tries);
         async move {
             let mut base = 0;
-            for turn in 0..each {
-                base = accepted_in_the_end(store, racer, turn, base, tries).await;
+            for round in 0..each {
+                base = commit_until_accepted(store, writer, round, base, tries).await;
             }
         }
     })));
-    let accepted = RACERS * each;
+    let accepted = RACING_WRITERS * each;
     let calls = platform.calls().total() as f64 / accepted as f64;
     let tries = tries.get() as f64 / accepted as f64;
     println!(
-        "commit: {RACERS} racing writers, {accepted} accepted, {tries:.2} tries and {calls:.2} calls each"
+        "commit: {RACING_WRITERS} racing writers, {accepted} accepted, {tries:.2} tries and {calls:.2} calls each"
     );
 }
 
-async fn accepted_in_the_end(
+async fn commit_until_accepted(
     store: &Store,
-    racer: u64,
-    turn: u64,
+    writer: u64,
+    round: u64,
     mut base: u64,
     tries: &Cell<u64>,
 ) -> u64 {
     loop {
         tries.set(tries.get() + 1);
-        let next = proposal(format!("r{racer}-{turn}"), base);
+        let next = proposal(format!("r{writer}-{round}"), base);
         match commit(store, &next, &ResolvePolicy::default()).await {
             CommitOutcome::Accepted(revision) => return revision.0,
             CommitOutcome::NotAccepted(Rejection::Conflict { newest, .. }) => base = newest.0,
@@ -153,11 +153,11 @@
     block_on(join_all((0..callers).map(|caller| {
         let (claims, times, failed) = (&claims, &times, &failed);
         async move {
-            let mut turn = 0;
-            while started.elapsed() < CLAIM_TIME {
-                turn += 1;
+            let mut round = 0;
+            while started.elapsed() < CLAIM_DURATION {
+                round += 1;
                 let asked = Instant::now();
-                match claims.claim(claim_key(caller, turn), owner()).await {
+                match claims.claim(claim_key(caller, round), owner()).await {
                     Ok(ClaimResult::Won { .. }) => times.borrow_mut().push(asked.elapsed()),
                     Ok(ClaimResult::Held(_)) => panic!("every key is claimed once"),
                     Err(_) => failed.set(failed.get() + 1),
@@ -173,14 +173,14 @@
     println!(
         "claims: {callers} callers, {limit} writes/s allowed: {rate:.0}/s, {writes:.3} transactions each, {} failed, {}",
         failed.get(),
-        spread(times)
+        percentiles(times)
     );
 }
 
-fn claim_key(caller: usize, turn: u64) -> ClaimKey {
+fn claim_key(caller: usize, round: u64) -> ClaimKey {
     let account = AccountName::from("utilities/port-louis");
     let service = ServiceName::from("utilities/port-louis:publisher");
-    ClaimKey::new(&account, &service, &format!("{caller}/{turn}"))
+    ClaimKey::new(&account, &service, &format!("{caller}/{round}"))
 }
 
 fn owner() -> ClaimOwner {
@@ -195,14 +195,14 @@
     let platform = platform(delay, UNLIMITED);
     let store = store(&platform);
     let domain = DomainName::from("north-a");
-    let keepers: Vec<CapacityReconciler> = (0..vms)
+    let reconcilers: Vec<CapacityReconciler> = (0..vms)
         .map(|vm| {
-            let holder = CapacityState::new(VmName::from(format!("vm-{vm}")), Incarnation(vm + 1));
-            CapacityReconciler::new(store.clone(), &domain, holder, || 0)
+            let state = CapacityState::new(VmName::from(format!("vm-{vm}")), Incarnation(vm + 1));
+            CapacityReconciler::new(store.clone(), &domain, state, || 0)
         })
         .collect();
     let started = Instant::now();
-    let rounds = block_on(settle_all(&keepers, vms));
+    let rounds = block_on(settle_all(&reconcilers, vms));
     let elapsed = started.elapsed().as_millis();
     let calls = platform.calls().total();
     println!(
@@ -210,15 +210,18 @@
     );
 }
 
-async fn settle_all(keepers: &[CapacityReconciler], vms: u64) -> u32 {
+async fn settle_all(reconcilers: &[CapacityReconciler], vms: u64) -> u32 {
     let fair = 1000 / vms as u16;
     let mut rounds = 0;
-    while keepers.iter().any(|keeper| keeper.limit() < fair) {
+    while reconcilers
+        .iter()
+        .any(|reconciler| reconciler.limit() < fair)
+    {
         rounds += 1;
         let outcomes = join_all(
-            keepers
+            reconcilers
                 .iter()
-                .map(|keeper| async { keeper.reconcile(&Departures::default()).await }),
+                .map(|reconciler| async { reconciler.reconcile(&Departures::default()).await }),
         );
         for outcome in outcomes.await {
             let _: ReconcileOutcome = outcome.expect("the stand-in answers");
@@ -227,7 +230,7 @@
     rounds
 }
 
-fn followers(delay: Duration, quiet: bool) {
+fn followers(delay: Duration, silent: bool) {
     let platform = platform(delay, UNLIMITED);
     let store = store(&platform);
     let held = Rc::new(Cell::new(Revision::NONE));
@@ -241,7 +244,7 @@
             SettingsUpdate::Snapshot { at, .. } => write.set(at.revision),
         }),
     };
-    let commits = if quiet { 6 } else { 100 };
+    let commits = if silent { 6 } else { 100 };
     let (times, idle_calls) = block_on(async {
         let _follower = start(store.clone(), follow, FollowConfig::default());
         while platform.calls().watching == 0 {
@@ -250,7 +253,7 @@
         let before = platform.calls().total();
         monoio::time::sleep(Duration::from_secs(4)).await;
         let idle_calls = platform.calls().total() - before;
-        platform.faults(|faults| faults.watch_quiet = quiet);
+        platform.faults(|faults| faults.watch_quiet = silent);
         let mut times = Vec::new();
         for base in 0..commits {
             let next = proposal(format!("f{base}"), base);
@@ -263,15 +266,15 @@
         }
         (times, idle_calls)
     });
-    let watch = if quiet { "quiet" } else { "sound" };
+    let watch = if silent { "quiet" } else { "sound" };
     let per_second = idle_calls as f64 / 4.0;
     println!(
         "follower, {watch} watch: {per_second:.2} reads/s at rest, accepted to delivered {}",
-        spread(times)
+        percentiles(times)
     );
 }
 
-fn spread(mut times: Vec<Duration>) -> String {
+fn percentiles(mut times: Vec<Duration>) -> String {
     if times.is_empty() {
         return "no times".to_owned();
     }
--- a/crates/store/src/budget.rs
+++ b/crates/store/src/budget.rs
@@ -1,4 +1,5 @@
-//! A daemon's own limit of calls on the store, so that a fleet stays within the platform's.
+//! A client-side rate limit for calls to the store. It keeps the calls of all daemons together
+//! within the platform's rate limits.
 
 use std::cell::RefCell;
 use std::fmt;
@@ -11,32 +12,32 @@
 use crate::error::{Cause, Effect, Step, StoreError};
 use crate::port::{Op, Store, StoreFuture, Txn};
 
-/// Failures in a row after which calls are held back.
+/// The number of consecutive failures after which calls are paused.
 const FAILURES_BEFORE_PAUSE: u32 = 3;
-/// The part of the platform's rates that a fleet plans to use.
-const PLANNED_PART: f64 = 0.8;
-/// Seconds' worth of calls that may be made at once.
+/// The fraction of the platform's rates that all daemons together may use.
+const PLANNED_FRACTION: f64 = 0.8;
+/// The burst size, as the number of seconds that it takes to refill.
 const BURST_SECONDS: f64 = 10.0;
 
-/// The calls that one daemon may make.
+/// The call limits of one daemon.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct CallLimits {
-    /// Reads in a second, over a longer time.
+    /// The sustained rate of reads per second.
     pub reads_per_second: f64,
-    /// Writes in a second, over a longer time.
+    /// The sustained rate of writes per second.
     pub writes_per_second: f64,
-    /// Reads that may be made at once.
+    /// The maximum number of reads in a burst.
     pub read_burst: f64,
-    /// Writes that may be made at once.
+    /// The maximum number of writes in a burst.
     pub write_burst: f64,
 }
 
-/// The calls that the platform answers.
+/// The rate limits of the platform.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PlatformRates {
-    /// Reads in a second.
+    /// The number of reads per second.
     pub reads_per_second: f64,
-    /// Writes in a second.
+    /// The number of writes per second.
     pub writes_per_second: f64,
 }
 
@@ -50,11 +51,12 @@
 }
 
 impl CallLimits {
-    /// Gives an equal share of the platform's rates, a fifth of which stays unused.
+    /// Returns the limits of one of `daemons` equal shares of the platform's rates. A fifth of
+    /// the rates stays unused.
     pub fn share_of(rates: PlatformRates, daemons: u32) -> Self {
-        let part = PLANNED_PART / f64::from(daemons.max(1));
-        let reads = rates.reads_per_second * part;
-        let writes = rates.writes_per_second * part;
+        let fraction = PLANNED_FRACTION / f64::from(daemons.max(1));
+        let reads = rates.reads_per_second * fraction;
+        let writes = rates.writes_per_second * fraction;
         Self {
             reads_per_second: reads,
             writes_per_second: writes,
@@ -64,18 +66,18 @@
     }
 }
 
-/// Tokens for calls of one kind, of which some come back with time.
+/// A token bucket for calls of one kind.
 #[derive(Debug)]
-struct Bucket {
+struct TokenBucket {
     tokens: f64,
-    filled: Millis,
+    refilled_at: Millis,
 }
 
-impl Bucket {
-    /// Takes one token, or gives the time until there is one.
+impl TokenBucket {
+    /// Takes one token, or returns the time until one is available.
     fn take(&mut self, per_second: f64, burst: f64, now: Millis) -> Result<(), Millis> {
-        let elapsed = now.since(self.filled).as_secs_f64();
-        self.filled = now;
+        let elapsed = now.since(self.refilled_at).as_secs_f64();
+        self.refilled_at = now;
         self.tokens = (self.tokens + elapsed * per_second).min(burst);
         if self.tokens >= 1.0 {
             self.tokens -= 1.0;
@@ -87,45 +89,45 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Kind {
+enum CallKind {
     Read,
     Write,
 }
 
-/// Decides whether a call may be made now.
+/// Admits calls within the limits and pauses all calls while the platform fails.
 #[derive(Debug)]
-struct Gate {
-    reads: Bucket,
-    writes: Bucket,
+struct CallLimiter {
+    reads: TokenBucket,
+    writes: TokenBucket,
     backoff: Backoff,
     failures: u32,
-    closed_until: Millis,
+    paused_until: Millis,
 }
 
-impl Gate {
-    fn admit(&mut self, kind: Kind, limits: &CallLimits, now: Millis) -> Result<(), Millis> {
-        if now < self.closed_until {
-            return Err(self.closed_until.since(now));
+impl CallLimiter {
+    fn admit(&mut self, kind: CallKind, limits: &CallLimits, now: Millis) -> Result<(), Millis> {
+        if now < self.paused_until {
+            return Err(self.paused_until.since(now));
         }
         match kind {
-            Kind::Read => self
+            CallKind::Read => self
                 .reads
                 .take(limits.reads_per_second, limits.read_burst, now),
-            Kind::Write => self
+            CallKind::Write => self
                 .writes
                 .take(limits.writes_per_second, limits.write_burst, now),
         }
     }
 
-    /// Notes how a call ended. A platform that says "too many" is left alone at once, one
-    /// that fails otherwise after a few failures in a row, so that a fleet that comes back
-    /// to a slow platform does not keep it slow.
-    fn note(&mut self, outcome: Result<(), &StoreError>, now: Millis) {
+    /// Records the outcome of a call. Calls are paused at once when the platform's rate limit was
+    /// exceeded, and otherwise after [`FAILURES_BEFORE_PAUSE`] consecutive failures, so that the
+    /// retries of many daemons do not keep a recovering platform overloaded.
+    fn record_outcome(&mut self, outcome: Result<(), &StoreError>, now: Millis) {
         let Err(err) = outcome else {
             self.failures = 0;
             return;
         };
-        if !speaks_for_the_platform(err) {
+        if !indicates_platform_failure(err) {
             return;
         }
         self.failures += 1;
@@ -135,67 +137,67 @@
                 .delay(self.failures)
                 .as_micros()
                 .div_ceil(1_000);
-            self.closed_until = now + Millis(wait as u64);
+            self.paused_until = now + Millis(wait as u64);
         }
     }
 }
 
-/// Says whether an error shows that the platform is overloaded or out of reach.
-fn speaks_for_the_platform(err: &StoreError) -> bool {
+/// Returns whether an error shows that the platform is overloaded or unreachable.
+fn indicates_platform_failure(err: &StoreError) -> bool {
     matches!(
         err.source,
         Cause::Connection { .. } | Cause::Timeout { .. } | Cause::RateLimited
     )
 }
 
-/// Wraps a store so that no more calls than `limits` gives are made through it, and fewer
-/// while the platform fails.
+/// Wraps a store so that its calls stay within `limits`, and pauses them while the platform
+/// fails.
 ///
-/// `limits` is asked for each call, so that a daemon's share can follow the size of the fleet.
-/// A call over the limit is refused at once with [`Cause::HeldBack`], which says when to come
-/// back; it does not wait.
+/// `limits` is called for each call, so that the limits can follow the number of daemons. A call
+/// above the limits does not wait but fails immediately with [`Cause::BudgetExhausted`], which
+/// contains the time after which to retry.
 pub fn with_call_limits(
     store: Store,
     limits: impl Fn() -> CallLimits + 'static,
     clock: Clock,
     backoff: Backoff,
 ) -> Store {
-    let (filled, first) = (clock.now(), limits());
-    let gate = Gate {
-        reads: Bucket {
+    let (refilled_at, first) = (clock.now(), limits());
+    let limiter = CallLimiter {
+        reads: TokenBucket {
             tokens: first.read_burst,
-            filled,
+            refilled_at,
         },
-        writes: Bucket {
+        writes: TokenBucket {
             tokens: first.write_burst,
-            filled,
+            refilled_at,
         },
         backoff,
         failures: 0,
-        closed_until: Millis::default(),
+        paused_until: Millis::default(),
     };
     let budget = Budget {
         peer: store.peer,
         limits: Rc::new(limits),
-        gate: Rc::new(RefCell::new(gate)),
+        limiter: Rc::new(RefCell::new(limiter)),
         clock,
     };
     Store {
         peer: store.peer,
-        range: budget.wrap(store.range, |_| Kind::Read),
+        range: budget.wrap(store.range, |_| CallKind::Read),
         txn: budget.wrap(store.txn, txn_kind),
-        lease_grant: budget.wrap(store.lease_grant, |_| Kind::Write),
-        lease_keepalive: budget.wrap(store.lease_keepalive, |_| Kind::Write),
-        lease_revoke: budget.wrap(store.lease_revoke, |_| Kind::Write),
-        watch: budget.wrap(store.watch, |_| Kind::Read),
+        lease_grant: budget.wrap(store.lease_grant, |_| CallKind::Write),
+        lease_keepalive: budget.wrap(store.lease_keepalive, |_| CallKind::Write),
+        lease_revoke: budget.wrap(store.lease_revoke, |_| CallKind::Write),
+        watch: budget.wrap(store.watch, |_| CallKind::Read),
     }
 }
 
-fn txn_kind(txn: &Txn) -> Kind {
+fn txn_kind(txn: &Txn) -> CallKind {
     let mut ops = txn.success.iter().chain(&txn.failure);
     match ops.all(|op| matches!(op, Op::Range(_))) {
-        true => Kind::Read,
-        false => Kind::Write,
+        true => CallKind::Read,
+        false => CallKind::Write,
     }
 }
 
@@ -203,7 +205,7 @@
 struct Budget {
     peer: SocketAddr,
     limits: Rc<dyn Fn() -> CallLimits>,
-    gate: Rc<RefCell<Gate>>,
+    limiter: Rc<RefCell<CallLimiter>>,
     clock: Clock,
 }
 
@@ -211,7 +213,7 @@
     fn wrap<A: 'static, T: 'static>(
         &self,
         call: Rc<dyn Fn(A) -> StoreFuture<T>>,
-        kind: fn(&A) -> Kind,
+        kind: fn(&A) -> CallKind,
     ) -> Rc<dyn Fn(A) -> StoreFuture<T>> {
         let budget = self.clone();
         Rc::new(move |req| {
@@ -220,27 +222,30 @@
             Box::pin(async move {
                 admitted?;
                 let outcome = call(req).await;
-                let noted = outcome.as_ref().map(|_| ());
-                budget.gate.borrow_mut().note(noted, budget.clock.now());
+                let result = outcome.as_ref().map(|_| ());
+                budget
+                    .limiter
+                    .borrow_mut()
+                    .record_outcome(result, budget.clock.now());
                 outcome
             })
         })
     }
 
-    fn admit(&self, kind: Kind) -> Result<(), StoreError> {
+    fn admit(&self, kind: CallKind) -> Result<(), StoreError> {
         let now = self.clock.now();
-        let admitted = self.gate.borrow_mut().admit(kind, &(self.limits)(), now);
+        let admitted = self.limiter.borrow_mut().admit(kind, &(self.limits)(), now);
         admitted.map_err(|retry_after| StoreError {
             step: Step::Budget,
             peer: self.peer,
             effect: Effect::NotApplied,
-            source: Cause::HeldBack { retry_after },
+            source: Cause::BudgetExhausted { retry_after },
         })
     }
 }
 
 impl fmt::Debug for Budget {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "Budget({:?})", self.gate.borrow())
+        write!(f, "Budget({:?})", self.limiter.borrow())
     }
 }
--- a/crates/store/src/capacity/mod.rs
+++ b/crates/store/src/capacity/mod.rs
@@ -1,5 +1,5 @@
-//! How the VMs of a failure domain share its capacity: a ledger in the store that is changed
-//! only by compare-and-swap. See `docs/capacity-ledger.md` for the ways that were weighed.
+//! Divides the capacity of a failure domain among its VMs, with a ledger in the store that is
+//! modified only by compare-and-swap. `docs/capacity-ledger.md` compares the alternatives.
 
 pub mod ledger;
 pub mod state;
@@ -18,15 +18,15 @@
 pub use ledger::{Entry, Ledger, LedgerError, TOTAL_PARTS};
 pub use state::{CapacityState, Departures, PlannedWrite};
 
-/// How often one round starts over because another VM changed the ledger meanwhile.
+/// The number of writes that one reconciliation attempts while other VMs modify the ledger.
 const MAX_CONFLICTS: u32 = 6;
 
-/// Gives the key of a failure domain's ledger.
+/// Returns the key of a failure domain's ledger.
 pub fn key(domain: &DomainName) -> String {
     format!("hk/capacity/{domain}")
 }
 
-/// Picks the VMs of one failure domain that the platform reports leaving or gone.
+/// Returns the VMs of a failure domain that the platform reports as leaving or gone.
 pub fn departures(list: &[VmRecord], domain: &DomainName) -> Departures {
     let named = |state: VmState| -> Vec<VmName> {
         let found = list.iter();
@@ -39,126 +39,131 @@
     }
 }
 
-/// What a round came to.
+/// The outcome of a reconciliation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReconcileOutcome {
-    /// The ledger holds what this VM wants of it.
+    /// The ledger needs no further change by this VM.
     Settled,
-    /// Other VMs changed the ledger each time; the next round goes on.
+    /// Other VMs kept modifying the ledger. The next reconciliation continues.
     Contended,
 }
 
-/// Keeps one VM's entry in the ledger of its failure domain, round by round.
+/// Maintains the entry of one VM in the ledger of its failure domain.
 #[derive(Clone)]
 pub struct CapacityReconciler {
     store: Store,
     key: Rc<str>,
-    holder: Rc<RefCell<CapacityState>>,
+    state: Rc<RefCell<CapacityState>>,
     used: Rc<dyn Fn() -> u16>,
     seen: Rc<RefCell<ObservedLedger>>,
 }
 
-/// The newest ledger that a keeper saw.
+/// The newest ledger that a reconciler has observed.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ObservedLedger {
     /// The ledger.
     pub ledger: Ledger,
-    /// The store's revision that wrote it; it grows with each change of the ledger.
+    /// The store revision at which the ledger was written. It grows with each change of the ledger.
     pub revision: StoreRevision,
 }
 
-struct Read {
+struct LedgerRead {
     ledger: Ledger,
     at: StoreRevision,
 }
 
 impl CapacityReconciler {
-    /// Makes a keeper for a VM that has bound its address.
+    /// Creates a reconciler for a VM that has bound its address.
     ///
-    /// `used` gives what the VM's requests in progress and its grants to others take up, in
-    /// thousandths of the domain's capacity. It never exceeds the limit that held when they
-    /// were admitted.
+    /// `used` returns the capacity taken up by the VM's requests in progress and its grants to
+    /// others, in thousandths of the failure domain's capacity. It never exceeds the limit that
+    /// was in force when they were admitted.
     pub fn new(
         store: Store,
         domain: &DomainName,
-        holder: CapacityState,
+        state: CapacityState,
         used: impl Fn() -> u16 + 'static,
     ) -> Self {
         Self {
             store,
             key: key(domain).into(),
-            holder: Rc::new(RefCell::new(holder)),
+            state: Rc::new(RefCell::new(state)),
             used: Rc::new(used),
             seen: Rc::default(),
         }
     }
 
-    /// Gives the part that the VM may use now. Ask again for each request.
+    /// Returns the part that the VM may currently use. Callers must read it for each request.
     pub fn limit(&self) -> u16 {
-        self.holder.borrow().limit()
+        self.state.borrow().limit()
     }
 
-    /// Gives the newest ledger that a round saw.
+    /// Returns the newest ledger observed.
     pub fn newest_ledger(&self) -> ObservedLedger {
         self.seen.borrow().clone()
     }
 
-    /// Says whether a later run of the VM's daemon has taken the entry over.
+    /// Returns whether a later incarnation of the VM's daemon has taken over the entry.
     pub fn is_replaced(&self) -> bool {
-        self.holder.borrow().is_replaced()
+        self.state.borrow().is_replaced()
     }
 
-    /// Reads the ledger and brings this VM's entry, and those of VMs that are gone, to what
-    /// they should be.
+    /// Reads the ledger, updates this VM's entry towards its target and removes the entries of VMs
+    /// that are gone.
     ///
-    /// While the store is down every round fails and the limit stays or falls.
+    /// While the store is unreachable, every call fails and the limit stays the same or falls.
     ///
     /// # Errors
     ///
-    /// Returns an error where the store does not answer, or holds a ledger that breaks its
-    /// rules. The limit is right all the same.
+    /// Returns an error if the store does not respond or its ledger is invalid. The limit remains
+    /// safe to use.
     pub async fn reconcile(&self, departures: &Departures) -> Result<ReconcileOutcome, StoreError> {
         let kv = self.store.get(&self.key).await?;
-        let mut read = self.observe(Step::Range, kv.as_ref())?;
+        let mut read = self.observe_kv(Step::Range, kv.as_ref())?;
         for _ in 0..MAX_CONFLICTS {
             let used = (self.used)();
-            let intent =
-                self.holder
+            let planned =
+                self.state
                     .borrow_mut()
                     .plan_write(&read.ledger, read.at, used, departures);
-            let Some(intent) = intent else {
+            let Some(planned) = planned else {
                 return Ok(ReconcileOutcome::Settled);
             };
-            let answer = self.write(&intent).await?;
+            let answer = self.write(&planned).await?;
             if answer.succeeded {
-                read = self.observed(Step::Txn, intent.ledger, answer.revision)?;
+                read = self.observe_ledger(Step::Txn, planned.ledger, answer.revision)?;
             } else {
-                read = self.observe(Step::Txn, answer.first_of(0))?;
+                read = self.observe_kv(Step::Txn, answer.first_kv(0))?;
             }
         }
         Ok(ReconcileOutcome::Contended)
     }
 
-    async fn write(&self, intent: &PlannedWrite) -> Result<crate::port::TxnResponse, StoreError> {
-        self.holder.borrow_mut().record_send(intent);
+    async fn write(&self, planned: &PlannedWrite) -> Result<crate::port::TxnResponse, StoreError> {
+        self.state.borrow_mut().record_send(planned);
         let txn = Txn {
-            compares: vec![Compare::unchanged(&*self.key, intent.compare)],
-            success: vec![Op::put(&*self.key, to_json(&intent.ledger))],
+            compares: vec![Compare::unchanged(&*self.key, planned.expected_revision)],
+            success: vec![Op::put(&*self.key, to_json(&planned.ledger))],
             failure: vec![Op::get(&*self.key)],
         };
         self.store.txn(txn).await
     }
 
-    fn observe(&self, step: Step, kv: Option<&KeyValue>) -> Result<Read, StoreError> {
+    fn observe_kv(&self, step: Step, kv: Option<&KeyValue>) -> Result<LedgerRead, StoreError> {
         let Some(kv) = kv else {
-            return self.observed(step, Ledger::default(), StoreRevision(0));
+            return self.observe_ledger(step, Ledger::default(), StoreRevision(0));
         };
         let ledger = from_json(&self.store, step, kv)?;
-        self.observed(step, ledger, kv.mod_revision)
+        self.observe_ledger(step, ledger, kv.mod_revision)
     }
 
-    fn observed(&self, step: Step, ledger: Ledger, at: StoreRevision) -> Result<Read, StoreError> {
-        let outcome = self.holder.borrow_mut().observe(&ledger, at);
+    fn observe_ledger(
+        &self,
+        step: Step,
+        ledger: Ledger,
+        at: StoreRevision,
+    ) -> Result<LedgerRead, StoreError> {
+        let outcome = self.state.borrow_mut().observe(&ledger, at);
         outcome.map_err(|fault| {
             let message = format!("{}: {fault}", self.key);
             unreadable(&self.store, step, message)
@@ -168,7 +173,7 @@
             seen.ledger.clone_from(&ledger);
             seen.revision = at;
         }
-        Ok(Read { ledger, at })
+        Ok(LedgerRead { ledger, at })
     }
 }
 
--- a/crates/store/src/capacity/state.rs
+++ b/crates/store/src/capacity/state.rs
@@ -1,135 +1,140 @@
-//! One VM's side of the capacity ledger: what it may use, whatever became of its writes.
+//! The state of one VM with respect to the capacity ledger. It determines the capacity that the VM
+//! may use even while the outcome of its writes is unknown.
 
 use heatherknot_types::prelude::*;
 
 use super::ledger::{Entry, Ledger, LedgerError};
 use crate::port::StoreRevision;
 
-/// What the platform's list says of other VMs of the failure domain, as VM names.
+/// The VMs of a failure domain that are leaving or gone according to the platform's list.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Departures {
-    /// The VMs that are going away and no longer take new requests. A VM that is told to
-    /// leave is listed here only after callers have had time to turn to others.
+    /// The VMs that will be removed and no longer accept new requests. A VM that is asked to leave
+    /// is listed here only after callers have had time to switch to other VMs.
     pub leaving: Vec<VmName>,
-    /// The VMs that have been taken away for good.
+    /// The VMs that have been removed permanently.
     pub gone: Vec<VmName>,
 }
 
-/// A write of the ledger that is to be sent.
+/// A write of the ledger that has yet to be sent.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PlannedWrite {
-    /// The revision that the ledger's key must have for the write to take effect.
-    pub compare: StoreRevision,
+    /// The store revision that the ledger's key must have for the write to be applied.
+    pub expected_revision: StoreRevision,
     /// The ledger to write.
     pub ledger: Ledger,
 }
 
-/// A write whose outcome is not known.
+/// A write whose outcome is unknown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-struct Pending {
-    compare: StoreRevision,
-    /// The own part that it sets; the least of them where several went unanswered.
+struct UnansweredWrite {
+    expected_revision: StoreRevision,
+    /// The part of this VM that the write sets; the lowest one if several writes are unanswered.
     part: u16,
 }
 
-/// What one run of a VM's daemon may use of its failure domain's capacity.
+/// Tracks the capacity of its failure domain that one incarnation of a VM's daemon may use.
 ///
-/// The limit is never above the VM's entry in the store. It rises only by what an answer of
-/// the store shows, and it falls before the entry does.
+/// The limit never exceeds the VM's entry in the store. It is raised only after a response of the
+/// store shows the higher entry, and lowered before the entry is lowered.
 #[derive(Clone, Debug)]
 pub struct CapacityState {
     vm: VmName,
     incarnation: Incarnation,
-    /// The least that the entry in the store can be, now and after any write on its way.
-    certain: u16,
-    /// The part that this VM should come to hold.
+    /// The lower bound of the entry in the store, now and after any write in flight.
+    guaranteed: u16,
+    /// The part that this VM should have.
     target: u16,
-    pending: Option<Pending>,
-    /// The latest revision of the key that was seen.
-    seen: StoreRevision,
-    standing: Standing,
+    pending: Option<UnansweredWrite>,
+    /// The latest revision of the ledger's key that was observed.
+    last_seen: StoreRevision,
+    status: EntryStatus,
 }
 
-/// Whether the VM's entry names this run of its daemon.
+/// Whether the VM's entry belongs to this incarnation of its daemon.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Standing {
-    /// It has not been seen to yet.
-    Outside,
-    /// It has been seen to.
+enum EntryStatus {
+    /// The entry has not been observed to belong to this incarnation yet.
+    NotJoined,
+    /// The entry belongs to this incarnation.
     Joined,
-    /// It did and now names another run.
+    /// The entry belonged to this incarnation and now belongs to another one.
     Replaced,
 }
 
 impl CapacityState {
-    /// Makes a holder that may use nothing yet.
+    /// Creates a state with a limit of zero.
     pub fn new(vm: VmName, incarnation: Incarnation) -> Self {
         Self {
             vm,
             incarnation,
-            certain: 0,
+            guaranteed: 0,
             target: 0,
             pending: None,
-            seen: StoreRevision(0),
-            standing: Standing::Outside,
+            last_seen: StoreRevision(0),
+            status: EntryStatus::NotJoined,
         }
     }
 
-    /// Gives the VM.
+    /// Returns the name of the VM.
     pub fn vm(&self) -> &VmName {
         &self.vm
     }
 
-    /// Gives the part that the VM may use now, in thousandths of the domain's capacity.
+    /// Returns the part that the VM may currently use, in thousandths of the failure domain's
+    /// capacity.
     pub fn limit(&self) -> u16 {
-        self.certain.min(self.target)
+        self.guaranteed.min(self.target)
     }
 
-    /// Gives the part that the VM should come to hold.
+    /// Returns the part that the VM should have.
     pub fn target(&self) -> u16 {
         self.target
     }
 
-    /// Says whether a later run of the VM's daemon has taken the entry. This run then has
-    /// nothing left to do but to stop.
+    /// Returns whether a later incarnation of the VM's daemon has taken over the entry. This
+    /// process must then stop.
     pub fn is_replaced(&self) -> bool {
-        self.standing == Standing::Replaced
+        self.status == EntryStatus::Replaced
     }
 
-    /// Takes in the ledger as the store's answer gave it, at the revision of its key.
+    /// Processes a ledger that the store returned, with the revision at which its key was last
+    /// modified.
     ///
-    /// An answer may show an entry that a write of this VM's own, which was sent and never
-    /// answered, is still to lower. Such a write compares the key's revision, so it is out
-    /// of the way once the key is seen at a later one; until then its part counts.
+    /// An unanswered write of this VM may still lower the entry that the response shows. Such a
+    /// write requires an unchanged revision of the key, so it can no longer take effect once a
+    /// later revision is observed. Until then, the limit is at most the part that it sets.
     ///
     /// # Errors
     ///
-    /// Returns what is wrong with a ledger that breaks its rules, and changes nothing.
+    /// Returns an error if the ledger is invalid. The state is unchanged then.
     pub fn observe(&mut self, ledger: &Ledger, at: StoreRevision) -> Result<(), LedgerError> {
         ledger.check()?;
         let part = ledger.part_of(&self.vm, self.incarnation);
-        if at < self.seen {
-            // A stale answer may show a part that has been lowered since; only a lower part
-            // than the present one can be believed.
-            self.certain = self.certain.min(part);
+        if at < self.last_seen {
+            // A stale response may show a part that has been lowered since, so it can only lower
+            // the limit.
+            self.guaranteed = self.guaranteed.min(part);
             return Ok(());
         }
-        self.seen = at;
-        self.standing = self.standing_in(ledger);
-        self.pending = self.pending.filter(|pending| pending.compare >= at);
-        self.certain = match self.pending {
+        self.last_seen = at;
+        self.status = self.entry_status(ledger);
+        self.pending = self
+            .pending
+            .filter(|pending| pending.expected_revision >= at);
+        self.guaranteed = match self.pending {
             Some(pending) => part.min(pending.part),
             None => part,
         };
         Ok(())
     }
 
-    /// Decides on the next change of the ledger, and lowers the limit at once where the
-    /// change will lower the entry. `None` where the ledger is as it should be.
+    /// Determines the next write of the ledger, or returns `None` if the ledger needs no change.
+    /// If the write will lower the entry, the limit is lowered immediately.
     ///
-    /// `used` is what the VM's requests in progress and its grants to others take up, in
-    /// thousandths. The entry is lowered no further than that: requests in flight go on
-    /// after the limit fell, and until they end another VM must not get their part.
+    /// `used` is the capacity taken up by the VM's requests in progress and its grants to others,
+    /// in thousandths. The entry is not lowered below it: requests in progress continue after the
+    /// limit was lowered, and another VM must not get their capacity until they end.
     pub fn plan_write(
         &mut self,
         ledger: &Ledger,
@@ -137,54 +142,55 @@
         used: u16,
         departures: &Departures,
     ) -> Option<PlannedWrite> {
-        // A VM that is reported gone has lost its entry to the others, or is about to. It
-        // must not join again, or each round would add the entry and remove it.
-        // A run that was replaced must not take the entry back: a paused process that wakes
-        // would do so while the later run still uses the part.
+        // Other VMs have removed or will remove the entry of a VM that is reported as gone. It
+        // must not join again, or the entry would be added and removed repeatedly.
+        // A replaced incarnation must not take the entry back: a process that resumes after a
+        // pause would do so while the later incarnation still uses the capacity.
         if departures.gone.contains(&self.vm) || self.is_replaced() {
             self.target = 0;
             return None;
         }
         let mut next = ledger.clone();
         next.remove_vms(&departures.gone);
-        if !self.is_own(next.entry(&self.vm)) {
-            next.join(&self.vm, self.incarnation);
+        if !self.owns(next.entry(&self.vm)) {
+            next.add_or_take_over(&self.vm, self.incarnation);
         }
         self.target = next.target(&self.vm, &departures.leaving);
         next.set_part(&self.vm, self.target.max(used));
-        let wrong_entries = next != *ledger;
-        // An unanswered write at this revision may still take effect. Writing the ledger
-        // again moves the key's revision, which puts the other one out of the way.
+        let changed = next != *ledger;
+        // An unanswered write at this revision may still take effect. Another write changes the
+        // key's revision and thereby makes the unanswered one fail.
         let unresolved = self.pending.is_some();
-        (wrong_entries || unresolved).then_some(PlannedWrite {
-            compare: at,
+        (changed || unresolved).then_some(PlannedWrite {
+            expected_revision: at,
             ledger: next,
         })
     }
 
-    /// Notes that a write is about to be sent. Its part counts from now on, since the store
-    /// may apply it at any moment, before an answer or without one.
+    /// Records that a write is about to be sent. From now on the limit is at most the part that it
+    /// sets, since the store may apply it at any time, with or without a response.
     pub fn record_send(&mut self, intent: &PlannedWrite) {
         let part = intent.ledger.part_of(&self.vm, self.incarnation);
-        let same = self.pending;
-        let same = same.filter(|pending| pending.compare == intent.compare);
-        let part = same.map_or(part, |pending| part.min(pending.part));
-        self.certain = self.certain.min(part);
-        self.pending = Some(Pending {
-            compare: intent.compare,
+        let pending = self.pending;
+        let pending =
+            pending.filter(|pending| pending.expected_revision == intent.expected_revision);
+        let part = pending.map_or(part, |pending| part.min(pending.part));
+        self.guaranteed = self.guaranteed.min(part);
+        self.pending = Some(UnansweredWrite {
+            expected_revision: intent.expected_revision,
             part,
         });
     }
 
-    fn standing_in(&self, ledger: &Ledger) -> Standing {
+    fn entry_status(&self, ledger: &Ledger) -> EntryStatus {
         match ledger.entry(&self.vm) {
-            Some(entry) if entry.incarnation == self.incarnation => Standing::Joined,
-            Some(_) if self.standing != Standing::Outside => Standing::Replaced,
-            _ => self.standing,
+            Some(entry) if entry.incarnation == self.incarnation => EntryStatus::Joined,
+            Some(_) if self.status != EntryStatus::NotJoined => EntryStatus::Replaced,
+            _ => self.status,
         }
     }
 
-    fn is_own(&self, entry: Option<&Entry>) -> bool {
+    fn owns(&self, entry: Option<&Entry>) -> bool {
         entry.is_some_and(|entry| entry.incarnation == self.incarnation)
     }
 }
--- a/crates/store/src/claim/batch.rs
+++ b/crates/store/src/claim/batch.rs
@@ -1,38 +1,39 @@
-//! Several claims by one transaction.
+//! Claims several keys in one transaction.
 
 use std::time::Duration;
 
 use super::record::ClaimValue;
-use super::{ClaimConfig, ClaimError, ClaimRecord, ClaimResult};
+use super::{ClaimConfig, ClaimError, ClaimRequest, ClaimResult};
 use crate::commit::head::{from_json, to_json};
 use crate::error::{Cause, Step, StoreError};
-use crate::lease_book::{LeaseBook, LeaseTerm};
 use crate::port::{Compare, KeyValue, Op, Store, Txn, TxnResponse};
+use crate::shared_leases::{LeaseTerm, SharedLeases};
 
-/// Claims of one batch that have an outcome, by their place in the batch.
+/// The results of a batch by position; `None` while a claim is pending.
 type Outcomes = Vec<Option<ClaimResult>>;
 
-/// Claims every key of a batch, and gives one outcome for each in the same order.
+/// Claims all keys of a batch and returns the results in the same order.
 ///
-/// The transaction creates all keys that nobody holds, if still nobody holds any of them;
-/// otherwise it reads all of them and the rest is tried again. A lost answer is tried again
-/// with the same nonces: a key that then holds the own nonce was won by the lost try.
+/// The transaction creates all pending keys if none of them exists. Otherwise it reads them, and
+/// the keys that do not exist are claimed by the next transaction. After a lost response the claim
+/// is retried with the same nonce: if the key then contains this nonce, the earlier attempt won
+/// the claim.
 pub(super) async fn claim_all(
     store: &Store,
-    leases: &LeaseBook,
+    leases: &SharedLeases,
     cfg: &ClaimConfig,
-    records: &[ClaimRecord],
+    requests: &[ClaimRequest],
 ) -> Vec<Result<ClaimResult, ClaimError>> {
-    let mut outcomes: Outcomes = vec![None; records.len()];
+    let mut outcomes: Outcomes = vec![None; requests.len()];
     let mut failures = 0;
     let mut failure = None;
     while outcomes.iter().any(Option::is_none) {
-        let Err(err) = try_open(store, leases, records, &mut outcomes).await else {
+        let Err(err) = claim_pending(store, leases, requests, &mut outcomes).await else {
             continue;
         };
         failures += 1;
-        log::debug!(err:% = err, failures; "claim failed");
-        let wait = wait_after(&err, failures, cfg);
+        log::debug!(err:% = err, failures; "cannot claim idempotency keys");
+        let wait = retry_delay(&err, failures, cfg);
         failure = Some(err);
         let Some(wait) = wait else {
             break;
@@ -51,55 +52,55 @@
     ended.collect()
 }
 
-/// Gives the wait before the next try, or `None` to give up.
+/// Returns the delay before the next attempt, or `None` to give up.
 ///
-/// A budget that says when to come back is believed: sooner is of no use, and where that is
-/// past the callers' patience they are told at once.
-fn wait_after(err: &StoreError, failures: u32, cfg: &ClaimConfig) -> Option<Duration> {
+/// If the call budget is exhausted, an attempt before its `retry_after` would fail again. If that
+/// delay exceeds the maximum, the claims fail immediately.
+fn retry_delay(err: &StoreError, failures: u32, cfg: &ClaimConfig) -> Option<Duration> {
     let wait = match err.source {
-        Cause::HeldBack { retry_after } => Duration::from_millis(retry_after.0),
+        Cause::BudgetExhausted { retry_after } => Duration::from_millis(retry_after.0),
         _ => cfg.backoff.delay(failures),
     };
-    (failures < cfg.tries && wait <= cfg.max_wait).then_some(wait)
+    (failures < cfg.max_attempts && wait <= cfg.max_wait).then_some(wait)
 }
 
-async fn try_open(
+async fn claim_pending(
     store: &Store,
-    leases: &LeaseBook,
-    records: &[ClaimRecord],
+    leases: &SharedLeases,
+    requests: &[ClaimRequest],
     outcomes: &mut Outcomes,
 ) -> Result<(), StoreError> {
-    let term = leases.term().await?;
-    let open: Vec<usize> = (0..records.len())
+    let term = leases.lease().await?;
+    let pending: Vec<usize> = (0..requests.len())
         .filter(|index| outcomes[*index].is_none())
         .collect();
-    let txn = claim_txn(records, &open, term);
+    let txn = claim_txn(requests, &pending, term);
     let answer = match store.txn(txn).await {
         Ok(answer) => answer,
         Err(err) => {
-            // The lease ended before its time, as after a loss of the store's memory.
+            // The lease ended early, for example because the store lost its data.
             if err.source == Cause::LeaseNotFound {
-                leases.forget(term.id);
+                leases.invalidate(term.id);
             }
             return Err(err);
         }
     };
-    for (place, index) in open.into_iter().enumerate() {
-        outcomes[index] = judge(store, &records[index], term, place, &answer)?;
+    for (position, index) in pending.into_iter().enumerate() {
+        outcomes[index] = claim_result(store, &requests[index], term, position, &answer)?;
     }
     Ok(())
 }
 
-fn claim_txn(records: &[ClaimRecord], open: &[usize], term: LeaseTerm) -> Txn {
-    let keys = || open.iter().map(|index| records[*index].key.as_str());
-    let puts = open.iter().map(|index| {
-        let record = &records[*index];
+fn claim_txn(requests: &[ClaimRequest], pending: &[usize], term: LeaseTerm) -> Txn {
+    let keys = || pending.iter().map(|index| requests[*index].key.as_str());
+    let puts = pending.iter().map(|index| {
+        let request = &requests[*index];
         let value = ClaimValue {
-            owner: record.owner.clone(),
-            nonce: record.nonce,
+            owner: request.owner.clone(),
+            nonce: request.nonce,
         };
         Op::Put {
-            key: record.key.as_str().to_owned(),
+            key: request.key.as_str().to_owned(),
             value: to_json(&value),
             lease: term.id,
         }
@@ -111,30 +112,30 @@
     }
 }
 
-fn judge(
+fn claim_result(
     store: &Store,
-    record: &ClaimRecord,
+    request: &ClaimRequest,
     term: LeaseTerm,
-    place: usize,
+    position: usize,
     answer: &TxnResponse,
 ) -> Result<Option<ClaimResult>, StoreError> {
     let won = ClaimResult::Won {
-        start_by: term.until,
+        start_by: term.valid_until,
     };
     if answer.succeeded {
         return Ok(Some(won));
     }
-    let Some(kv) = answer.first_of(place) else {
+    let Some(kv) = answer.first_kv(position) else {
         return Ok(None);
     };
-    let held = value_of(store, kv)?;
-    // The own nonce in the store is the trace of a try whose answer was lost.
-    match held.nonce == record.nonce {
+    let held = parse_value(store, kv)?;
+    // The nonce of this request was written by an earlier attempt whose response was lost.
+    match held.nonce == request.nonce {
         true => Ok(Some(won)),
         false => Ok(Some(ClaimResult::Held(held.owner))),
     }
 }
 
-fn value_of(store: &Store, kv: &KeyValue) -> Result<ClaimValue, StoreError> {
+fn parse_value(store: &Store, kv: &KeyValue) -> Result<ClaimValue, StoreError> {
     from_json(store, Step::Txn, kv)
 }
--- a/crates/store/src/claim/mod.rs
+++ b/crates/store/src/claim/mod.rs
@@ -1,4 +1,5 @@
-//! Claims of callers' idempotency keys, so that one run of one daemon runs the request.
+//! Claims of callers' idempotency keys. They ensure that only one process of one daemon runs a
+//! request.
 
 mod batch;
 mod record;
@@ -15,82 +16,84 @@
 
 use crate::backoff::Backoff;
 use crate::error::StoreError;
-use crate::lease_book::LeaseBook;
 use crate::port::Store;
+use crate::shared_leases::SharedLeases;
 
-pub use record::{ClaimKey, ClaimOwner, ClaimRecord, Nonce};
+pub use record::{ClaimKey, ClaimOwner, ClaimRequest, Nonce};
 
-/// How long a claim is kept at least: a caller that repeats its request later than this may
-/// have it run again.
-pub const KEEP: Millis = Millis(24 * 60 * 60 * 1_000);
-/// How long claims share a lease.
-const SHARE: Millis = Millis(60 * 60 * 1_000);
+/// The minimum time for which a claim is kept. A request that is repeated later than this may run
+/// again.
+pub const CLAIM_RETENTION: Millis = Millis(24 * 60 * 60 * 1_000);
+/// The time window in which claims share a lease.
+const LEASE_SHARING_WINDOW: Millis = Millis(60 * 60 * 1_000);
 
-/// Who may run the request.
+/// The result of a claim: who may run the request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ClaimResult {
-    /// The asker, and nobody else ever, if it starts the run in time.
+    /// The claimant, exclusively, if it starts the request in time.
     Won {
-        /// The time on the own clock by which the run must have started. A holder that was
-        /// paused past it must not start: the claim may have ended and be another's.
+        /// The time on the local clock by which the request must have started. A claimant that
+        /// was paused past it must not start the request, since the claim may have expired and
+        /// another daemon may have claimed the key.
         start_by: Millis,
     },
-    /// The holder of an earlier claim, which may be the asker.
+    /// The owner of an earlier claim, which may be the claimant itself.
     Held(ClaimOwner),
 }
 
-/// Why a claim has no outcome.
+/// The error of a claim without a result.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 pub enum ClaimError {
-    /// More claims wait than the queue holds.
-    #[snafu(display("{waiting} claims wait already"))]
+    /// The queue of claims is full.
+    #[snafu(display("the queue of claims is full: {waiting} are waiting"))]
     Busy {
         /// The number of waiting claims.
         waiting: usize,
     },
-    /// The store gave no outcome. The asker must not run the request; the key may be claimed
-    /// in its name all the same.
+    /// The store returned no result. The claimant must not run the request, although the key may
+    /// have been claimed in its name.
     #[snafu(display("claim: {source}"))]
     Store {
-        /// The last failure.
+        /// The error of the last attempt.
         source: StoreError,
     },
-    /// The task that makes claims was stopped.
-    #[snafu(display("claims were stopped"))]
+    /// The task that processes claims was stopped.
+    #[snafu(display("the task that processes claims was stopped"))]
     Stopped,
 }
 
-/// Limits of the claims of one daemon.
+/// Configuration of the claims of one daemon.
 #[derive(Clone, Debug)]
 pub struct ClaimConfig {
-    /// Claims that may wait.
-    pub max_waiting: usize,
-    /// Claims made by one transaction.
+    /// The maximum number of queued claims.
+    pub max_queued: usize,
+    /// The maximum number of claims in one transaction.
     pub max_batch: usize,
-    /// Calls on the store for one batch, where it fails.
-    pub tries: u32,
-    /// The waits between them.
+    /// The number of failed attempts after which a batch fails.
+    pub max_attempts: u32,
+    /// The delays between attempts.
     pub backoff: Backoff,
-    /// The longest single wait; where a longer one is due the claims fail at once.
+    /// The maximum delay before an attempt. If a longer one is required, the claims fail
+    /// immediately.
     pub max_wait: Duration,
 }
 
 impl Default for ClaimConfig {
     fn default() -> Self {
         Self {
-            max_waiting: 512,
-            // The service's usual limit is 128 conditions and 128 steps.
+            max_queued: 512,
+            // The service usually allows 128 preconditions and 128 operations.
             max_batch: 100,
-            tries: 3,
+            max_attempts: 3,
             backoff: Backoff::default(),
             max_wait: Duration::from_millis(250),
         }
     }
 }
 
-/// Makes claims for one run of a daemon.
+/// Claims keys for one process of a daemon.
 ///
-/// Claims that are asked for while a transaction is on its way share the next one, so the
+/// Claims that are requested while a transaction is in flight share the next one, so that the
 /// number of writes grows more slowly than the number of requests.
 #[derive(Clone)]
 pub struct Claims {
@@ -99,21 +102,20 @@
 
 struct Inner {
     store: Store,
-    leases: LeaseBook,
+    leases: SharedLeases,
     cfg: ClaimConfig,
-    waiting: RefCell<VecDeque<Waiting>>,
-    running: Cell<bool>,
-    nonces: RefCell<fastrand::Rng>,
+    queue: RefCell<VecDeque<QueuedClaim>>,
+    task_running: Cell<bool>,
+    nonce_rng: RefCell<fastrand::Rng>,
 }
 
-struct Waiting {
-    record: ClaimRecord,
+struct QueuedClaim {
+    record: ClaimRequest,
     tx: oneshot::Sender<Result<ClaimResult, ClaimError>>,
 }
 
 impl ClaimError {
-    /// Gives the time after which a claim may succeed, where the daemon's own limit of calls
-    /// held this one back.
+    /// Returns the time after which a claim may succeed, if the daemon's call budget was exhausted.
     pub fn retry_after(&self) -> Option<Millis> {
         match self {
             ClaimError::Store { source } => source.retry_after(),
@@ -123,40 +125,40 @@
 }
 
 impl Claims {
-    /// Makes the claims of one run of a daemon. `rng` must be seeded from the operating
-    /// system, since nonces of two daemons must differ.
+    /// Creates the claims of one process of a daemon. `rng` must be seeded from the operating
+    /// system, since the nonces of two daemons must differ.
     pub fn new(store: Store, clock: Clock, cfg: ClaimConfig, rng: fastrand::Rng) -> Self {
-        let leases = LeaseBook::new(store.clone(), clock, KEEP, SHARE);
+        let leases = SharedLeases::new(store.clone(), clock, CLAIM_RETENTION, LEASE_SHARING_WINDOW);
         Self {
             inner: Rc::new(Inner {
                 store,
                 leases,
                 cfg,
-                waiting: RefCell::default(),
-                running: Cell::new(false),
-                nonces: RefCell::new(rng),
+                queue: RefCell::default(),
+                task_running: Cell::new(false),
+                nonce_rng: RefCell::new(rng),
             }),
         }
     }
 
-    /// Claims a key, or tells who holds it.
+    /// Claims a key, or returns the owner of an earlier claim.
     ///
     /// # Errors
     ///
-    /// Returns an error where nothing was found out. The request must then not be run here.
+    /// Returns an error if the result is unknown. The claimant must not run the request then.
     pub async fn claim(&self, key: ClaimKey, owner: ClaimOwner) -> Result<ClaimResult, ClaimError> {
-        let nonce = Nonce(self.inner.nonces.borrow_mut().u64(..));
-        let record = ClaimRecord { key, owner, nonce };
+        let nonce = Nonce(self.inner.nonce_rng.borrow_mut().u64(..));
+        let record = ClaimRequest { key, owner, nonce };
         let (tx, rx) = oneshot::channel();
         {
-            let mut queue = self.inner.waiting.borrow_mut();
+            let mut queue = self.inner.queue.borrow_mut();
             let waiting = queue.len();
-            if waiting >= self.inner.cfg.max_waiting {
+            if waiting >= self.inner.cfg.max_queued {
                 return BusySnafu { waiting }.fail();
             }
-            queue.push_back(Waiting { record, tx });
+            queue.push_back(QueuedClaim { record, tx });
         }
-        if !self.inner.running.replace(true) {
+        if !self.inner.task_running.replace(true) {
             monoio::spawn(run(self.inner.clone()));
         }
         rx.await.unwrap_or(StoppedSnafu.fail())
@@ -165,38 +167,43 @@
 
 impl fmt::Debug for Claims {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "Claims({} waiting)", self.inner.waiting.borrow().len())
+        write!(f, "Claims({} waiting)", self.inner.queue.borrow().len())
     }
 }
 
 async fn run(inner: Rc<Inner>) {
     while let Some(batch) = next_batch(&inner) {
-        let records: Vec<ClaimRecord> = batch.iter().map(|one| one.record.clone()).collect();
+        let records: Vec<ClaimRequest> = batch.iter().map(|queued| queued.record.clone()).collect();
         let outcomes = batch::claim_all(&inner.store, &inner.leases, &inner.cfg, &records).await;
-        for (one, outcome) in batch.into_iter().zip(outcomes) {
-            // A caller that went away hears nothing; its claim stands and is not run.
-            let _ = one.tx.send(outcome);
+        for (queued, outcome) in batch.into_iter().zip(outcomes) {
+            // The receiver is dropped if the caller has gone. Its claim remains in the store, but
+            // the request is not run.
+            let _ = queued.tx.send(outcome);
         }
     }
 }
 
-/// Takes the oldest claims of distinct keys, or notes that the task has ended.
-fn next_batch(inner: &Inner) -> Option<Vec<Waiting>> {
-    let mut queue = inner.waiting.borrow_mut();
-    let mut batch: Vec<Waiting> = Vec::new();
-    let mut later = VecDeque::new();
+/// Removes the oldest claims with distinct keys from the queue. Returns `None` and marks the task
+/// as stopped if the queue is empty.
+fn next_batch(inner: &Inner) -> Option<Vec<QueuedClaim>> {
+    let mut queue = inner.queue.borrow_mut();
+    let mut batch: Vec<QueuedClaim> = Vec::new();
+    let mut deferred = VecDeque::new();
     while batch.len() < inner.cfg.max_batch {
-        let Some(one) = queue.pop_front() else {
+        let Some(queued) = queue.pop_front() else {
             break;
         };
-        // A transaction may write a key once only.
-        match batch.iter().any(|other| other.record.key == one.record.key) {
-            true => later.push_back(one),
-            false => batch.push(one),
+        // A transaction can write each key only once.
+        match batch
+            .iter()
+            .any(|other| other.record.key == queued.record.key)
+        {
+            true => deferred.push_back(queued),
+            false => batch.push(queued),
         }
     }
-    later.append(&mut queue);
-    *queue = later;
-    inner.running.set(!batch.is_empty());
+    deferred.append(&mut queue);
+    *queue = deferred;
+    inner.task_running.set(!batch.is_empty());
     (!batch.is_empty()).then_some(batch)
 }
--- a/crates/store/src/claim/record.rs
+++ b/crates/store/src/claim/record.rs
@@ -1,4 +1,4 @@
-//! What the store holds of a claim.
+//! The record of a claim in the store.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -7,39 +7,39 @@
 use heatherknot_types::prelude::*;
 use serde::{Deserialize, Serialize};
 
-/// A caller's idempotency key, within its service.
+/// The store key of a claim, built from the service and the caller's idempotency key.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct ClaimKey(String);
 
 impl ClaimKey {
-    /// Makes the key under which the store holds the claim. The caller's text enters by its
-    /// hash, so it can be any text and can't reach another service's claims.
+    /// Creates the key of a claim. It contains only the hash of the caller's text, so that the
+    /// text is unrestricted and cannot refer to the claims of another service.
     pub fn new(account: &AccountName, service: &ServiceName, text: &str) -> Self {
         let hash = Digest::of_bytes(text.as_bytes());
         Self(format!("hk/claim/{account}/{service}/{hash}"))
     }
 
-    /// Gives the key in the store.
+    /// Returns the key as text.
     pub fn as_str(&self) -> &str {
         &self.0
     }
 }
 
-/// The run of a daemon that may run the request.
+/// The process of a daemon that may run the request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClaimOwner {
-    /// The VM.
+    /// The VM of the daemon.
     #[serde(rename = "v")]
     pub vm: VmName,
-    /// The run of its daemon.
+    /// The incarnation of the daemon's process.
     #[serde(rename = "i")]
     pub incarnation: Incarnation,
-    /// Where the daemon accepts connections of peers.
+    /// The address at which the daemon accepts connections from peers.
     #[serde(rename = "a")]
     pub address: SocketAddr,
 }
 
-/// A number that tells one try of a claim from every other, even of the same run.
+/// A random number that distinguishes a claim from all others, including those of the same process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Nonce(pub u64);
@@ -50,18 +50,18 @@
     }
 }
 
-/// A claim as it is asked for.
+/// A request to claim a key.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct ClaimRecord {
-    /// The key.
+pub struct ClaimRequest {
+    /// The key to claim.
     pub key: ClaimKey,
-    /// Who would run the request.
+    /// The claimant, which runs the request if it wins the claim.
     pub owner: ClaimOwner,
-    /// The nonce of this try.
+    /// The nonce of this claim, which is the same in all attempts.
     pub nonce: Nonce,
 }
 
-/// The value of a claim's key.
+/// The value stored under the key of a claim.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) struct ClaimValue {
     #[serde(flatten)]
--- a/crates/store/src/commit/commands.rs
+++ b/crates/store/src/commit/commands.rs
@@ -1,4 +1,4 @@
-//! Removes the records of commands that are too old to be run again.
+//! Deletes the records of commands that are too old to be retried.
 
 use heatherknot_types::prelude::*;
 
@@ -7,53 +7,57 @@
 use crate::error::{Step, StoreError};
 use crate::port::{KeyValue, Op, RangeRequest, Store, StoreRevision, Txn, prefix_end};
 
-/// Records read by one call; each takes some hundred bytes.
-const PAGE: u32 = 500;
-/// Records removed by one transaction; the service's usual limit is 128 steps.
-const MAX_REMOVED: usize = 100;
+/// The number of records read by one call. A record takes some hundred bytes.
+const PAGE_RECORDS: u32 = 500;
+/// The number of records deleted by one transaction. The service usually allows 128 operations.
+const MAX_DELETES_PER_TXN: usize = 100;
 
-/// Deletes the records of commands that made revisions up to `last`, and of commands that
-/// were withdrawn before the newest of those, and gives their number.
+/// Deletes the records of commands that created revisions up to `last` and of commands that were
+/// withdrawn before the newest of those. Returns the number of deleted records.
 ///
-/// A command that is run again after its record was deleted counts as a new one.
+/// A command that is retried after its record was deleted is treated as a new command.
 ///
 /// # Errors
 ///
-/// Returns an error where the store does not answer; what was not deleted is found again.
+/// Returns an error if the store does not respond. The next call finds the records that were not
+/// deleted.
 pub async fn remove_up_to(store: &Store, last: Revision) -> Result<usize, StoreError> {
     let records = read_all(store).await?;
-    let accepted = |record: &Record| matches!(record.made, Some(made) if made <= last);
-    let old = records.iter().filter(|record| accepted(record));
-    let Some(before) = old.map(|record| record.written).max() else {
+    let is_old =
+        |record: &StoredCommand| matches!(record.revision, Some(revision) if revision <= last);
+    let old = records.iter().filter(|record| is_old(record));
+    let Some(before) = old.map(|record| record.mod_revision).max() else {
         return Ok(0);
     };
-    let removed: Vec<&Record> = records
+    let removed: Vec<&StoredCommand> = records
         .iter()
-        .filter(|record| accepted(record) || (record.made.is_none() && record.written < before))
+        .filter(|record| {
+            is_old(record) || (record.revision.is_none() && record.mod_revision < before)
+        })
         .collect();
-    for batch in removed.chunks(MAX_REMOVED) {
-        store.txn(remove(batch)).await?;
+    for batch in removed.chunks(MAX_DELETES_PER_TXN) {
+        store.txn(delete_txn(batch)).await?;
     }
     Ok(removed.len())
 }
 
-/// A record without what is not needed to judge its age.
-struct Record {
+/// The fields of a command record that determine its age.
+struct StoredCommand {
     key: String,
-    /// The revision that the command made; none for one that was withdrawn.
-    made: Option<Revision>,
-    written: StoreRevision,
+    /// The settings revision that the command created, or `None` if it was withdrawn.
+    revision: Option<Revision>,
+    mod_revision: StoreRevision,
 }
 
-async fn read_all(store: &Store) -> Result<Vec<Record>, StoreError> {
+async fn read_all(store: &Store) -> Result<Vec<StoredCommand>, StoreError> {
     let end = prefix_end(keys::COMMANDS);
-    let mut records: Vec<Record> = Vec::new();
+    let mut records: Vec<StoredCommand> = Vec::new();
     let mut from = keys::COMMANDS.to_owned();
     loop {
-        let page = RangeRequest::between(from, &*end).limit(PAGE);
+        let page = RangeRequest::between(from, &*end).limit(PAGE_RECORDS);
         let found = store.range(page).await?;
         for kv in &found.kvs {
-            records.push(read(store, kv)?);
+            records.push(parse_record(store, kv)?);
         }
         let Some(last) = records.last().filter(|_| found.more) else {
             return Ok(records);
@@ -62,21 +66,21 @@
     }
 }
 
-fn read(store: &Store, kv: &KeyValue) -> Result<Record, StoreError> {
-    let made = match from_json(store, Step::Range, kv)? {
+fn parse_record(store: &Store, kv: &KeyValue) -> Result<StoredCommand, StoreError> {
+    let revision = match from_json(store, Step::Range, kv)? {
         CommandRecord::Accepted(revision) => Some(revision),
         CommandRecord::Withdrawn => None,
     };
-    Ok(Record {
+    Ok(StoredCommand {
         key: kv.key.clone(),
-        made,
-        written: kv.mod_revision,
+        revision,
+        mod_revision: kv.mod_revision,
     })
 }
 
-/// Makes the transaction that deletes records. A record never changes once it was written, and
-/// another daemon may delete the same ones, so there is nothing to compare.
-fn remove(records: &[&Record]) -> Txn {
+/// Builds the transaction that deletes records. It needs no precondition, because a record never
+/// changes once it was written and another daemon can only delete the same records.
+fn delete_txn(records: &[&StoredCommand]) -> Txn {
     let deletes = records.iter().map(|record| Op::delete(&*record.key));
     Txn {
         success: deletes.collect(),
--- a/crates/store/src/commit/head.rs
+++ b/crates/store/src/commit/head.rs
@@ -1,4 +1,4 @@
-//! The head of the settings: the newest accepted revision and the newest snapshot.
+//! The head of the settings, which names the newest accepted revision and the newest snapshot.
 
 use std::sync::Arc;
 
@@ -11,7 +11,7 @@
 use crate::error::{Cause, Effect, Step, StoreError};
 use crate::port::{KeyValue, Store, StoreRevision};
 
-/// A whole tree kept in the store.
+/// A reference to a full settings tree in the store.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SnapshotRef {
     /// The revision of the tree.
@@ -20,46 +20,46 @@
     /// The number of parts.
     #[serde(rename = "p")]
     pub parts: u32,
-    /// The hash of the parts joined, as hexadecimal text.
+    /// The hash of the concatenated parts, in hexadecimal.
     #[serde(rename = "h")]
     pub hash: Arc<str>,
 }
 
-/// The newest accepted revision, as the head's value holds it.
+/// The value of the head key.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Head {
-    /// The revision.
+    /// The newest accepted revision.
     #[serde(rename = "r")]
     pub revision: Revision,
-    /// The hash of the change that made the revision, as hexadecimal text.
+    /// The hash of the change that created the revision, in hexadecimal.
     #[serde(rename = "h")]
     pub hash: Arc<str>,
-    /// The newest whole tree in the store.
+    /// The newest snapshot in the store.
     #[serde(rename = "s", default, skip_serializing_if = "Option::is_none")]
     pub snapshot: Option<SnapshotRef>,
 }
 
-/// A head and the revision of the store at which it was written.
+/// A head and the store revision at which it was written.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct HeadRead {
-    /// The head; that of an empty tree where the store holds none.
+    /// The head, or the default head of an empty tree if the key does not exist.
     pub head: Head,
-    /// The key's revision, zero where the key does not exist.
-    pub written: StoreRevision,
+    /// The store revision at which the key was last modified, or zero if it does not exist.
+    pub mod_revision: StoreRevision,
 }
 
 /// Reads the head.
 ///
 /// # Errors
 ///
-/// Returns an error where the store does not answer, or holds a head that can't be read.
+/// Returns an error if the store does not respond or the head cannot be parsed.
 pub async fn read_head(store: &Store) -> Result<HeadRead, StoreError> {
     let kv = store.get(keys::HEAD).await?;
-    head_of(store, Step::Range, kv.as_ref())
+    parse_head(store, Step::Range, kv.as_ref())
 }
 
-/// Reads the head from what a read of its key found.
-pub(crate) fn head_of(
+/// Parses the head from the result of reading its key.
+pub(crate) fn parse_head(
     store: &Store,
     step: Step,
     kv: Option<&KeyValue>,
@@ -69,11 +69,11 @@
     };
     Ok(HeadRead {
         head: from_json(store, step, kv)?,
-        written: kv.mod_revision,
+        mod_revision: kv.mod_revision,
     })
 }
 
-/// Reads a stored value that this package wrote.
+/// Parses a JSON value that this crate wrote to the store.
 pub(crate) fn from_json<T: DeserializeOwned>(
     store: &Store,
     step: Step,
@@ -85,7 +85,7 @@
     })
 }
 
-/// Makes the error for a stored value that can't be read.
+/// Builds the error for a stored value that cannot be parsed.
 pub(crate) fn unreadable(store: &Store, step: Step, message: String) -> StoreError {
     StoreError {
         step,
@@ -95,9 +95,9 @@
     }
 }
 
-/// Writes a value of this package as JSON.
+/// Serializes a value of this crate as JSON.
 pub(crate) fn to_json(value: &impl Serialize) -> Bytes {
     serde_json::to_vec(value)
-        .expect("records of this package always serialise")
+        .expect("values of this crate can always be serialized")
         .into()
 }
--- a/crates/store/src/commit/history.rs
+++ b/crates/store/src/commit/history.rs
@@ -1,4 +1,4 @@
-//! Reads accepted changes back, for daemons that fell behind and for the audit trail.
+//! Reads accepted changes, for daemons that are behind and for the audit trail.
 
 use bytes::Bytes;
 use heatherknot_types::prelude::*;
@@ -6,108 +6,112 @@
 use crate::error::{Step, StoreError};
 use crate::port::{KeyValue, Op, RangeRequest, Store, Txn, prefix_end};
 
-use super::head::{head_of, unreadable};
+use super::head::{parse_head, unreadable};
 use super::keys;
 use super::pack;
 
-/// The most changes read by one call: even where each is close to a megabyte, the answer
-/// stays within the memory that a daemon may use for control.
-pub(crate) const PAGE: u32 = 4;
+/// The maximum number of changes read by one call. Even if each is close to a megabyte, the
+/// response fits the memory that a daemon may use for its control tasks.
+pub(crate) const PAGE_CHANGES: u32 = 4;
 
-/// How often the audit trail looks again for a change that was just being packed.
-const MAX_MOVES: u32 = 3;
+/// The number of attempts to read a change that is being moved to a pack at the same time.
+const MAX_READ_ATTEMPTS: u32 = 3;
 
-/// One accepted change.
+/// An accepted change as stored.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StoredChange {
-    /// The revision that the change made.
+    /// The revision that the change created.
     pub revision: Revision,
-    /// The change as it was committed, or as its pack shortened it.
+    /// The change as it was committed, or shortened if it is in a pack.
     pub change: Bytes,
 }
 
-/// Some accepted changes, in order and without a gap.
+/// A page of consecutive accepted changes.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct HistoryPage {
     /// The changes.
     pub changes: Vec<StoredChange>,
-    /// Whether there are more after these.
+    /// Whether the caller should read on after these changes.
     pub more: bool,
 }
 
-/// Reads the changes that follow `after` from the keys of single changes, a page at a time.
+/// Reads a page of the changes that follow `after`, from the keys of unpacked changes.
 ///
-/// Gives `None` where the change that follows `after` is no longer kept on its own: a
-/// follower takes the snapshot then, and the audit trail reads the packs.
+/// Returns `None` if a change of the page is missing, because it was moved to a pack. A follower
+/// then reads the snapshot, and the audit trail reads the packs.
 ///
 /// # Errors
 ///
-/// Returns an error where the store does not answer or holds a key of another form.
+/// Returns an error if the store does not respond or contains a malformed key.
 pub async fn changes_after(
     store: &Store,
     after: Revision,
 ) -> Result<Option<HistoryPage>, StoreError> {
-    let found = store.range(single_changes(after)).await?;
+    let found = store.range(unpacked_range(after)).await?;
     let more = found.more;
-    Ok(match in_order(store, found.kvs, after)? {
-        Run::Whole(changes) => Some(HistoryPage { changes, more }),
-        Run::Lacks(_) => None,
+    Ok(match collect_contiguous(store, found.kvs, after)? {
+        ChangeRun::Contiguous(changes) => Some(HistoryPage { changes, more }),
+        ChangeRun::MissingAt(_) => None,
     })
 }
 
-/// Changes as the store's keys give them.
-enum Run {
-    /// The changes follow each other.
-    Whole(Vec<StoredChange>),
-    /// This one is left out.
-    Lacks(Revision),
+/// The changes found in a range of keys.
+enum ChangeRun {
+    /// No change is missing.
+    Contiguous(Vec<StoredChange>),
+    /// This revision is the first one missing.
+    MissingAt(Revision),
 }
 
-/// Reads the changes that follow `after` from packs and single keys, a page at a time, as
-/// the audit trail shows them.
+/// Reads a page of the changes that follow `after` for the audit trail, from packs and from
+/// unpacked changes.
 ///
 /// # Errors
 ///
-/// Returns an error where the store does not answer, holds a value of another form, or lacks
-/// a change that was accepted: the error then names the first one missing.
+/// Returns an error if the store does not respond, contains a malformed value, or lacks an
+/// accepted change. In the last case the error names the first missing change.
 pub async fn audit_after(store: &Store, after: Revision) -> Result<HistoryPage, StoreError> {
-    let mut lacking = after.next();
-    for _ in 0..MAX_MOVES {
-        if let Some(history) = packed_after(store, after).await? {
+    let mut first_missing = after.next();
+    for _ in 0..MAX_READ_ATTEMPTS {
+        if let Some(history) = read_packed(store, after).await? {
             return Ok(history);
         }
-        let (run, more) = single_after(store, after).await?;
+        let (run, more) = read_unpacked(store, after).await?;
         match run {
-            Run::Whole(changes) => return Ok(HistoryPage { changes, more }),
-            // It may have been packed between the two reads, so the packs are read again.
-            Run::Lacks(revision) => lacking = revision,
+            ChangeRun::Contiguous(changes) => return Ok(HistoryPage { changes, more }),
+            // The change may have been packed between the two reads; read the packs again.
+            ChangeRun::MissingAt(revision) => first_missing = revision,
         }
     }
-    Err(missing(store, lacking))
+    Err(missing_change(store, first_missing))
 }
 
-fn single_changes(after: Revision) -> RangeRequest {
+fn unpacked_range(after: Revision) -> RangeRequest {
     let first = keys::change(after.next());
-    RangeRequest::between(first, prefix_end(keys::CHANGES)).limit(PAGE)
+    RangeRequest::between(first, prefix_end(keys::CHANGES)).limit(PAGE_CHANGES)
 }
 
-fn in_order(store: &Store, kvs: Vec<KeyValue>, after: Revision) -> Result<Run, StoreError> {
+fn collect_contiguous(
+    store: &Store,
+    kvs: Vec<KeyValue>,
+    after: Revision,
+) -> Result<ChangeRun, StoreError> {
     let mut changes = Vec::with_capacity(kvs.len());
     let mut expected = after;
     for kv in kvs {
         expected = expected.next();
-        let revision = revision_of(store, &kv, keys::CHANGES)?;
+        let revision = parse_revision(store, &kv, keys::CHANGES)?;
         if revision != expected {
-            return Ok(Run::Lacks(expected));
+            return Ok(ChangeRun::MissingAt(expected));
         }
         let change = kv.value;
         changes.push(StoredChange { revision, change });
     }
-    Ok(Run::Whole(changes))
+    Ok(ChangeRun::Contiguous(changes))
 }
 
-/// Reads the pack that holds the change after `after`; `None` where there is none.
-async fn packed_after(store: &Store, after: Revision) -> Result<Option<HistoryPage>, StoreError> {
+/// Reads the changes after `after` from their pack. Returns `None` if they are in no pack.
+async fn read_packed(store: &Store, after: Revision) -> Result<Option<HistoryPage>, StoreError> {
     let first = keys::pack(after.next());
     let req = RangeRequest::between(first, prefix_end(keys::PACKS)).limit(1);
     let found = store.range(req).await?;
@@ -118,48 +122,50 @@
         .map_err(|problem| unreadable(store, Step::Range, format!("{}: {problem}", kv.key)))?;
     changes.retain(|change| change.revision > after);
     if changes.first().map(|change| change.revision) != Some(after.next()) {
-        return Err(missing(store, after.next()));
+        return Err(missing_change(store, after.next()));
     }
     let more = true;
     Ok(Some(HistoryPage { changes, more }))
 }
 
-/// Reads single changes and the head in one step, so that the last page is known to reach
-/// the newest revision, and whether there are more.
-async fn single_after(store: &Store, after: Revision) -> Result<(Run, bool), StoreError> {
+/// Reads unpacked changes and whether there are more. The same transaction reads the head, to
+/// check that the last page reaches the newest revision.
+async fn read_unpacked(store: &Store, after: Revision) -> Result<(ChangeRun, bool), StoreError> {
     let reads = Txn {
-        success: vec![Op::Range(single_changes(after)), Op::get(keys::HEAD)],
+        success: vec![Op::Range(unpacked_range(after)), Op::get(keys::HEAD)],
         ..Txn::default()
     };
     let mut answer = store.txn(reads).await?;
-    let head = head_of(store, Step::Txn, answer.first_of(1))?.head;
+    let head = parse_head(store, Step::Txn, answer.first_kv(1))?.head;
     let found = answer.ranges.swap_remove(0);
-    let run = match in_order(store, found.kvs, after)? {
-        Run::Whole(changes) if !found.more => reaching(changes, after, head.revision),
+    let run = match collect_contiguous(store, found.kvs, after)? {
+        ChangeRun::Contiguous(changes) if !found.more => {
+            check_reaches(changes, after, head.revision)
+        }
         other => other,
     };
     Ok((run, found.more))
 }
 
-fn reaching(changes: Vec<StoredChange>, after: Revision, newest: Revision) -> Run {
+fn check_reaches(changes: Vec<StoredChange>, after: Revision, newest: Revision) -> ChangeRun {
     let last = changes.last().map_or(after, |change| change.revision);
     match last < newest {
-        true => Run::Lacks(last.next()),
-        false => Run::Whole(changes),
+        true => ChangeRun::MissingAt(last.next()),
+        false => ChangeRun::Contiguous(changes),
     }
 }
 
-fn missing(store: &Store, revision: Revision) -> StoreError {
+fn missing_change(store: &Store, revision: Revision) -> StoreError {
     let message = format!("the accepted change {revision} is missing");
     unreadable(store, Step::Range, message)
 }
 
-pub(crate) fn revision_of(
+pub(crate) fn parse_revision(
     store: &Store,
     kv: &KeyValue,
     prefix: &str,
 ) -> Result<Revision, StoreError> {
-    keys::revision_of(&kv.key, prefix).ok_or_else(|| {
+    keys::parse_revision(&kv.key, prefix).ok_or_else(|| {
         let message = format!("{}: expected 16 hexadecimal digits after {prefix}", kv.key);
         unreadable(store, Step::Range, message)
     })
--- a/crates/store/src/commit/maintenance.rs
+++ b/crates/store/src/commit/maintenance.rs
@@ -1,4 +1,5 @@
-//! Keeps what the store holds of the settings small: snapshots, packs, old records.
+//! Bounds the size of the settings in the store: writes snapshots, packs old changes and deletes
+//! old command records.
 
 use bytes::Bytes;
 use heatherknot_settings::audit::shortened;
@@ -7,91 +8,93 @@
 
 use super::commands;
 use super::head::{read_head, to_json};
-use super::pack::{PackRule, pack_oldest};
+use super::pack::{PackPolicy, pack_oldest};
 use super::snapshot::{self, SnapshotOutcome};
 use crate::error::StoreError;
 use crate::port::Store;
 
-/// What is kept.
+/// Determines when maintenance runs and what it keeps.
 #[derive(Clone, Copy, Debug)]
 pub struct MaintenanceConfig {
-    /// The number of changes from one snapshot to the next.
-    pub snapshot_every: u64,
-    /// Which changes are packed.
-    pub pack: PackRule,
-    /// The most packs made at once.
-    pub packs_at_once: u32,
-    /// The newest changes whose commands keep their records.
-    pub keep_commands: u64,
+    /// The number of changes between two snapshots.
+    pub snapshot_interval: u64,
+    /// Determines which changes are packed.
+    pub pack: PackPolicy,
+    /// The maximum number of packs written by one run.
+    pub max_packs_per_run: u32,
+    /// The number of newest revisions whose command records are kept.
+    pub command_records_kept: u64,
 }
 
 impl Default for MaintenanceConfig {
-    /// Makes a snapshot each 64 changes, and keeps the records of 8,192 commands: four weeks
-    /// at 290 changes a day.
+    /// Writes a snapshot every 64 changes and keeps the records of 8,192 commands, which is four
+    /// weeks at 290 changes a day.
     fn default() -> Self {
         Self {
-            snapshot_every: 64,
-            pack: PackRule::default(),
-            packs_at_once: 4,
-            keep_commands: 8_192,
+            snapshot_interval: 64,
+            pack: PackPolicy::default(),
+            max_packs_per_run: 4,
+            command_records_kept: 8_192,
         }
     }
 }
 
-/// What an upkeep did.
+/// The result of a maintenance run.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct MaintenanceReport {
-    /// Whether it wrote a snapshot. Where not, it left the rest alone too.
+    /// Whether a snapshot was written. If not, the run did nothing else either.
     pub wrote_snapshot: bool,
-    /// The packs made.
-    pub packs: u32,
-    /// The records of commands removed.
-    pub commands: usize,
+    /// The number of packs written.
+    pub packs_written: u32,
+    /// The number of command records deleted.
+    pub commands_removed: usize,
 }
 
-/// Does what is due after a change was accepted. The daemon that had it accepted calls this
-/// with the whole tree; where it dies first, the daemon of the next change finds it due.
+/// Runs the maintenance that is due after a change was accepted. The daemon that committed the
+/// change calls this with the full tree. If it crashes first, maintenance is still due at the next
+/// change, whichever daemon commits it.
 ///
-/// Changes are packed only after a newer snapshot was written, so that a follower that finds
-/// its next change packed always finds a snapshot to go on from.
+/// Changes are packed only after a newer snapshot was written, so that a follower whose next
+/// change is packed can always continue from a snapshot.
 ///
 /// # Errors
 ///
-/// Returns an error where the store does not answer. What was done stays done.
+/// Returns an error if the store does not respond. The steps completed before that remain in
+/// effect.
 pub async fn run(
     store: &Store,
-    whole: &Snapshot,
-    rules: &MaintenanceConfig,
+    current: &Snapshot,
+    cfg: &MaintenanceConfig,
 ) -> Result<MaintenanceReport, StoreError> {
-    let newest = whole.at.revision;
+    let newest = current.at.revision;
     let head = read_head(store).await?.head;
-    if head.revision != newest || !snapshot::is_due(&head, rules.snapshot_every) {
+    if head.revision != newest || !snapshot::is_due(&head, cfg.snapshot_interval) {
         return Ok(MaintenanceReport::default());
     }
-    let outcome = snapshot::write(store, newest, &to_json(whole)).await?;
+    let outcome = snapshot::write(store, newest, &to_json(current)).await?;
     if outcome == SnapshotOutcome::Superseded {
         return Ok(MaintenanceReport::default());
     }
-    // The snapshot before this one stays for those who are reading it.
+    // Daemons may still be reading the previous snapshot, so it is kept.
     if let Some(previous) = head.snapshot {
         snapshot::remove_old(store, previous.revision).await?;
     }
-    let mut done = MaintenanceReport {
+    let mut report = MaintenanceReport {
         wrote_snapshot: true,
         ..MaintenanceReport::default()
     };
-    while done.packs < rules.packs_at_once
-        && let Some(_) = pack_oldest(store, newest, rules.pack, &shorten).await?
+    while report.packs_written < cfg.max_packs_per_run
+        && let Some(_) = pack_oldest(store, newest, cfg.pack, &shorten).await?
     {
-        done.packs += 1;
+        report.packs_written += 1;
     }
-    let old_commands = Revision(newest.0.saturating_sub(rules.keep_commands));
-    done.commands = commands::remove_up_to(store, old_commands).await?;
-    Ok(done)
+    let old_commands = Revision(newest.0.saturating_sub(cfg.command_records_kept));
+    report.commands_removed = commands::remove_up_to(store, old_commands).await?;
+    Ok(report)
 }
 
-/// Gives what a pack keeps of a change. One that can't be read, as of a newer schema, is
-/// kept as it is.
+/// Returns the form of a change that is stored in a pack. A change that cannot be parsed, for
+/// example because it has a newer schema, is stored unmodified.
 fn shorten(change: &Bytes) -> Bytes {
     match serde_json::from_slice::<Change>(change) {
         Ok(change) => to_json(&shortened(&change)),
--- a/crates/store/src/commit/mod.rs
+++ b/crates/store/src/commit/mod.rs
@@ -1,5 +1,5 @@
-//! Accepts changes of the settings: one winner among racing writers, and a truthful answer
-//! where the store's own answer was lost.
+//! Commits changes of the settings. Of concurrent writers only one succeeds, and the reported
+//! outcome is correct even if the store's response was lost.
 
 pub mod commands;
 pub mod head;
@@ -19,167 +19,167 @@
 use crate::error::{Effect, Step, StoreError};
 use crate::port::{Compare, KeyValue, Op, Store, Txn};
 
-use head::{Head, HeadRead, from_json, head_of, to_json};
+use head::{Head, HeadRead, from_json, parse_head, to_json};
 pub use keys::CommandId;
 pub use resolve::{ResolvePolicy, resolve_command};
 
-/// How often a commit starts over because the head's snapshot moved, not its revision.
-const MAX_SNAPSHOT_RACES: u32 = 8;
+/// The number of attempts of a commit while others update the snapshot in the head but not its
+/// revision.
+const MAX_SNAPSHOT_CONFLICTS: u32 = 8;
 
-/// A change that an operator wants accepted.
+/// A change to commit.
 #[derive(Clone, Debug)]
 pub struct Proposal {
-    /// The command that makes the change.
+    /// The operator's command that makes the change.
     pub command: CommandId,
-    /// The revision that the change was made from; the change becomes the next one.
+    /// The revision that the change is based on. The change creates the next revision.
     pub base: Revision,
-    /// The change, as it is stored and sent to daemons.
+    /// The change in the form in which it is stored and sent to daemons.
     pub change: Bytes,
-    /// The hash of the change, as hexadecimal text.
+    /// The hash of the change, in hexadecimal.
     pub hash: Arc<str>,
 }
 
-/// What became of a proposal.
+/// The outcome of a commit.
 #[derive(Clone, Debug, PartialEq)]
 pub enum CommitOutcome {
-    /// The command's change is the given revision, by this call or an earlier one.
+    /// This call or an earlier one of the same command created the given revision.
     Accepted(Revision),
-    /// The change was not accepted and no write of this call will take effect any more.
+    /// The change was not accepted, and no write of this call can take effect later.
     NotAccepted(Rejection),
-    /// The change may have been accepted or may still be. The same command run again, or
-    /// [`resolve_command`], finds it out once the store answers.
+    /// The change may have been accepted or may be accepted later. Running the same command again
+    /// or calling [`resolve_command`] determines the outcome once the store responds.
     Unknown(StoreError),
 }
 
-/// Why a proposal was not accepted.
+/// The reason why a proposal was not accepted.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Rejection {
-    /// Another change came first.
+    /// Another change was accepted first.
     Conflict {
         /// The newest revision.
         newest: Revision,
-        /// The change that followed the proposal's base, where the store still holds it
-        /// under its own key.
+        /// The change that was accepted on top of the proposal's base, if it is not packed yet.
         winner: Option<Bytes>,
     },
-    /// An answer was lost and the command was then withdrawn before it took effect. It stays
-    /// so; the change can be made by a new command.
+    /// The command was withdrawn before it took effect, because a response had been lost. This is
+    /// permanent; the change can be made by a new command.
     Withdrawn,
-    /// The store refused, or was not reached.
+    /// The store rejected the call or could not be reached.
     Failed(StoreError),
 }
 
-/// What the store holds of a command.
+/// The record of a command in the store.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub(crate) enum CommandRecord {
-    /// The command made this revision.
+    /// The command created this revision.
     Accepted(Revision),
-    /// A writer gave the command up after its answer was lost.
+    /// A writer withdrew the command after its response was lost.
     Withdrawn,
 }
 
-/// What one try of a commit came to.
-enum Tried {
+/// The result of one attempt of a commit.
+enum Attempt {
     Done(CommitOutcome),
-    Again(HeadRead),
+    Retry(HeadRead),
 }
 
-/// Has a change accepted by one transaction, or says why not.
+/// Commits a change in one transaction.
 ///
-/// Two calls on the store where nothing goes wrong: a read and the transaction.
+/// Without errors and conflicts this takes two calls to the store: a read and the transaction.
 pub async fn commit(store: &Store, proposal: &Proposal, policy: &ResolvePolicy) -> CommitOutcome {
-    let mut before = match read_before(store, proposal).await {
-        Ok(before) => before,
+    let mut previous = match read_state(store, proposal).await {
+        Ok(previous) => previous,
         Err(outcome) => return outcome,
     };
-    for _ in 0..MAX_SNAPSHOT_RACES {
-        match try_commit(store, proposal, &before, policy).await {
-            Tried::Done(outcome) => return outcome,
-            Tried::Again(newer) => before = newer,
+    for _ in 0..MAX_SNAPSHOT_CONFLICTS {
+        match try_commit(store, proposal, &previous, policy).await {
+            Attempt::Done(outcome) => return outcome,
+            Attempt::Retry(newer) => previous = newer,
         }
     }
-    let newest = before.head.revision;
+    let newest = previous.head.revision;
     let winner = None;
     CommitOutcome::NotAccepted(Rejection::Conflict { newest, winner })
 }
 
-/// Finds the revision that a command has made, if any.
+/// Returns the revision that a command created, if any.
 ///
 /// # Errors
 ///
-/// Returns an error where the store does not answer, or holds a record that can't be read.
+/// Returns an error if the store does not respond or the command's record cannot be parsed.
 pub async fn find_command(
     store: &Store,
     command: &CommandId,
 ) -> Result<Option<Revision>, StoreError> {
     let kv = store.get(&keys::command(command)).await?;
-    Ok(match command_of(store, kv.as_ref())? {
+    Ok(match parse_command(store, kv.as_ref())? {
         Some(CommandRecord::Accepted(revision)) => Some(revision),
         Some(CommandRecord::Withdrawn) | None => None,
     })
 }
 
-async fn read_before(store: &Store, proposal: &Proposal) -> Result<HeadRead, CommitOutcome> {
+async fn read_state(store: &Store, proposal: &Proposal) -> Result<HeadRead, CommitOutcome> {
     let reads = Txn {
-        success: reads_of(proposal),
+        success: state_reads(proposal),
         ..Txn::default()
     };
     let found = store.txn(reads).await.map_err(failed_read)?;
-    let found = Found {
-        head: found.first_of(0),
-        command: found.first_of(1),
-        winner: found.first_of(2),
+    let found = StoredState {
+        head: found.first_kv(0),
+        command: found.first_kv(1),
+        winner: found.first_kv(2),
     };
-    match judge(store, proposal, &found) {
-        Tried::Done(outcome) => Err(outcome),
-        Tried::Again(before) => Ok(before),
+    match evaluate(store, proposal, &found) {
+        Attempt::Done(outcome) => Err(outcome),
+        Attempt::Retry(current) => Ok(current),
     }
 }
 
 async fn try_commit(
     store: &Store,
     proposal: &Proposal,
-    before: &HeadRead,
+    previous: &HeadRead,
     policy: &ResolvePolicy,
-) -> Tried {
-    let answer = match store.txn(accept(proposal, before)).await {
+) -> Attempt {
+    let answer = match store.txn(accept_txn(proposal, previous)).await {
         Ok(answer) => answer,
-        Err(err) if err.is_not_applied() => return Tried::Done(failed(err)),
+        Err(err) if err.is_not_applied() => return Attempt::Done(failed(err)),
         Err(err) => {
-            log::warn!(command = proposal.command.as_str(), err:% = err; "commit unanswered");
+            log::warn!(command = proposal.command.as_str(), err:% = err; "no response to the commit; resolving its outcome");
             let outcome = resolve_command(store, &proposal.command, policy).await;
-            return Tried::Done(outcome);
+            return Attempt::Done(outcome);
         }
     };
     if answer.succeeded {
-        return Tried::Done(CommitOutcome::Accepted(proposal.base.next()));
+        return Attempt::Done(CommitOutcome::Accepted(proposal.base.next()));
     }
-    let found = Found {
-        head: answer.first_of(0),
-        command: answer.first_of(1),
-        winner: answer.first_of(2),
+    let found = StoredState {
+        head: answer.first_kv(0),
+        command: answer.first_kv(1),
+        winner: answer.first_kv(2),
     };
-    judge(store, proposal, &found)
+    evaluate(store, proposal, &found)
 }
 
-/// Makes the transaction that accepts the change.
+/// Builds the transaction that accepts the change.
 ///
-/// It compares the head, so of two racing writers one wins. It requires too that the command
-/// has no record yet, so one that was accepted or withdrawn meanwhile is not applied: a copy of
-/// the transaction that was delayed on its way can't take effect after its command was settled.
-fn accept(proposal: &Proposal, before: &HeadRead) -> Txn {
+/// It requires that the head is unchanged, so that of two concurrent writers only one succeeds. It
+/// also requires that the command has no record yet: a delayed copy of the transaction thus has no
+/// effect once the command was accepted or withdrawn.
+fn accept_txn(proposal: &Proposal, previous: &HeadRead) -> Txn {
     let revision = proposal.base.next();
     let head = Head {
         revision,
         hash: proposal.hash.clone(),
-        snapshot: before.head.snapshot.clone(),
+        snapshot: previous.head.snapshot.clone(),
     };
     let command = keys::command(&proposal.command);
     let record = CommandRecord::Accepted(revision);
     Txn {
         compares: vec![
-            Compare::unchanged(keys::HEAD, before.written),
+            Compare::unchanged(keys::HEAD, previous.mod_revision),
             Compare::absent(&*command),
         ],
         success: vec![
@@ -187,11 +187,11 @@
             Op::put(keys::change(revision), proposal.change.clone()),
             Op::put(command, to_json(&record)),
         ],
-        failure: reads_of(proposal),
+        failure: state_reads(proposal),
     }
 }
 
-fn reads_of(proposal: &Proposal) -> Vec<Op> {
+fn state_reads(proposal: &Proposal) -> Vec<Op> {
     vec![
         Op::get(keys::HEAD),
         Op::get(keys::command(&proposal.command)),
@@ -199,42 +199,42 @@
     ]
 }
 
-struct Found<'a> {
+struct StoredState<'a> {
     head: Option<&'a KeyValue>,
     command: Option<&'a KeyValue>,
     winner: Option<&'a KeyValue>,
 }
 
-/// Judges whether the proposal can still be accepted on what the store holds.
-fn judge(store: &Store, proposal: &Proposal, found: &Found<'_>) -> Tried {
-    let record = match command_of(store, found.command) {
+/// Determines from the state of the store whether the proposal can still be accepted.
+fn evaluate(store: &Store, proposal: &Proposal, found: &StoredState<'_>) -> Attempt {
+    let record = match parse_command(store, found.command) {
         Ok(record) => record,
-        Err(err) => return Tried::Done(failed(err)),
+        Err(err) => return Attempt::Done(failed(err)),
     };
     match record {
         Some(CommandRecord::Accepted(revision)) => {
-            return Tried::Done(CommitOutcome::Accepted(revision));
+            return Attempt::Done(CommitOutcome::Accepted(revision));
         }
         Some(CommandRecord::Withdrawn) => {
-            return Tried::Done(CommitOutcome::NotAccepted(Rejection::Withdrawn));
+            return Attempt::Done(CommitOutcome::NotAccepted(Rejection::Withdrawn));
         }
         None => {}
     }
-    let head = match head_of(store, Step::Txn, found.head) {
+    let head = match parse_head(store, Step::Txn, found.head) {
         Ok(head) => head,
-        Err(err) => return Tried::Done(failed(err)),
+        Err(err) => return Attempt::Done(failed(err)),
     };
     if head.head.revision != proposal.base {
         let rejection = Rejection::Conflict {
             newest: head.head.revision,
             winner: found.winner.map(|kv| kv.value.clone()),
         };
-        return Tried::Done(CommitOutcome::NotAccepted(rejection));
+        return Attempt::Done(CommitOutcome::NotAccepted(rejection));
     }
-    Tried::Again(head)
+    Attempt::Retry(head)
 }
 
-pub(crate) fn command_of(
+pub(crate) fn parse_command(
     store: &Store,
     kv: Option<&KeyValue>,
 ) -> Result<Option<CommandRecord>, StoreError> {
@@ -245,7 +245,7 @@
     CommitOutcome::NotAccepted(Rejection::Failed(err))
 }
 
-/// Makes the outcome of a commit whose reads failed: it has written nothing.
+/// Returns the outcome of a commit whose initial read failed, and which has thus written nothing.
 fn failed_read(err: StoreError) -> CommitOutcome {
     failed(StoreError {
         effect: Effect::NotApplied,
--- a/crates/store/src/commit/pack.rs
+++ b/crates/store/src/commit/pack.rs
@@ -1,4 +1,4 @@
-//! Packs of old changes, so that a long audit trail stays few keys of below a megabyte.
+//! Packs of old changes, which keep a long audit trail in few keys of less than a megabyte each.
 
 use bytes::{Bytes, BytesMut};
 use heatherknot_types::prelude::*;
@@ -7,61 +7,61 @@
 use crate::error::StoreError;
 use crate::port::{Compare, Op, RangeRequest, Store, Txn};
 
-use super::history::{PAGE, StoredChange, revision_of};
+use super::history::{PAGE_CHANGES, StoredChange, parse_revision};
 use super::keys;
 
-/// The most bytes of changes in one pack.
+/// The maximum size of the changes in one pack, in bytes.
 pub const MAX_PACK_BYTES: usize = 900_000;
 
-/// Which changes are packed.
+/// Determines which changes are packed.
 #[derive(Clone, Copy, Debug)]
-pub struct PackRule {
-    /// Changes in one pack, unless they are too long together.
-    pub changes: u32,
-    /// The newest changes that keep keys of their own.
-    pub keep: u64,
+pub struct PackPolicy {
+    /// The number of changes in a pack. A pack has fewer if it would exceed [`MAX_PACK_BYTES`].
+    pub max_changes: u32,
+    /// The number of newest changes that are not packed.
+    pub keep_unpacked: u64,
 }
 
-impl Default for PackRule {
+impl Default for PackPolicy {
     fn default() -> Self {
         Self {
-            changes: 64,
-            keep: 128,
+            max_changes: 64,
+            keep_unpacked: 128,
         }
     }
 }
 
-/// The first line of a pack; the changes follow it without separators.
+/// The first line of a pack. The changes follow it without separators.
 #[derive(Debug, Serialize, Deserialize)]
-struct PackHead {
+struct PackHeader {
     #[serde(rename = "f")]
     first: Revision,
-    /// The length of each change in bytes.
+    /// The length of each change, in bytes.
     #[serde(rename = "l")]
     lengths: Vec<usize>,
 }
 
-/// Packs the oldest changes that have keys of their own, if the rule asks for it, and gives
-/// the revision of the last one packed.
+/// Packs the oldest unpacked changes if `policy` requires it. Returns the revision of the last
+/// packed change, or `None` if nothing was packed.
 ///
-/// Several daemons may try it at once: all choose the same changes, and the transaction
-/// requires that the pack does not exist yet. `shorten` gives what is kept of a change.
+/// Several daemons may run this concurrently: all select the same changes, and the transaction
+/// requires that the pack does not exist yet. `shorten` returns the part of a change to keep.
 ///
 /// # Errors
 ///
-/// Returns an error where the store does not answer; the changes are then in the pack or
-/// under their own keys, never in neither.
+/// Returns an error if the store does not respond. No change is lost in this case: the changes
+/// are either in the pack or still under their own keys.
 pub async fn pack_oldest(
     store: &Store,
     newest: Revision,
-    rule: PackRule,
+    policy: PackPolicy,
     shorten: &dyn Fn(&Bytes) -> Bytes,
 ) -> Result<Option<Revision>, StoreError> {
-    let end = Revision(newest.0.saturating_sub(rule.keep));
-    let Some(kept) = read_oldest(store, end, rule, shorten).await? else {
+    let end = Revision(newest.0.saturating_sub(policy.keep_unpacked));
+    let Some(changes) = read_oldest(store, end, policy, shorten).await? else {
         return Ok(None);
     };
-    let (Some(first), Some(last)) = (kept.first(), kept.last()) else {
+    let (Some(first), Some(last)) = (changes.first(), changes.last()) else {
         return Ok(None);
     };
     let (first, last) = (first.revision, last.revision);
@@ -71,18 +71,18 @@
     };
     let txn = Txn {
         compares: vec![Compare::absent(keys::pack(last))],
-        success: vec![Op::put(keys::pack(last), encode(first, &kept)), delete],
+        success: vec![Op::put(keys::pack(last), encode(first, &changes)), delete],
         failure: Vec::new(),
     };
     let packed = store.txn(txn).await?.succeeded;
     Ok(packed.then_some(last))
 }
 
-/// Reads the changes of a pack, or says what is wrong with it.
+/// Parses the changes of a pack, or returns a description of the problem.
 pub(crate) fn unpack(pack: &Bytes) -> Result<Vec<StoredChange>, String> {
     let line_end = pack.iter().position(|byte| *byte == b'\n');
     let line_end = line_end.ok_or("a pack without a first line")?;
-    let head: PackHead =
+    let head: PackHeader =
         serde_json::from_slice(&pack[..line_end]).map_err(|err| err.to_string())?;
     let mut changes = Vec::with_capacity(head.lengths.len());
     let mut rest = pack.slice(line_end + 1..);
@@ -98,11 +98,11 @@
     Ok(changes)
 }
 
-/// Reads the changes that make the next pack, shortened, or `None` where there are too few.
+/// Reads and shortens the changes of the next pack. Returns `None` if there are too few.
 async fn read_oldest(
     store: &Store,
     end: Revision,
-    rule: PackRule,
+    policy: PackPolicy,
     shorten: &dyn Fn(&Bytes) -> Bytes,
 ) -> Result<Option<Vec<StoredChange>>, StoreError> {
     let mut chosen: Vec<StoredChange> = Vec::new();
@@ -110,16 +110,16 @@
     let mut from = keys::CHANGES.to_owned();
     loop {
         let range = RangeRequest::between(from, keys::change(end.next()));
-        let found = store.range(range.limit(PAGE)).await?;
+        let found = store.range(range.limit(PAGE_CHANGES)).await?;
         for kv in found.kvs {
-            let revision = revision_of(store, &kv, keys::CHANGES)?;
+            let revision = parse_revision(store, &kv, keys::CHANGES)?;
             let change = shorten(&kv.value);
             bytes += change.len();
             if bytes > MAX_PACK_BYTES {
                 return Ok(Some(chosen));
             }
             chosen.push(StoredChange { revision, change });
-            if chosen.len() == rule.changes as usize {
+            if chosen.len() == policy.max_changes as usize {
                 return Ok(Some(chosen));
             }
         }
@@ -132,7 +132,7 @@
 
 fn encode(first: Revision, changes: &[StoredChange]) -> Bytes {
     let lengths = changes.iter().map(|stored| stored.change.len()).collect();
-    let head = PackHead { first, lengths };
+    let head = PackHeader { first, lengths };
     let mut pack = BytesMut::from(&super::head::to_json(&head)[..]);
     pack.extend_from_slice(b"\n");
     for stored in changes {
--- a/crates/store/src/commit/resolve.rs
+++ b/crates/store/src/commit/resolve.rs
@@ -1,18 +1,18 @@
-//! Finds out what became of a command whose answer was lost.
+//! Determines the outcome of a command whose response was lost.
 
 use crate::backoff::Backoff;
 use crate::error::{Step, StoreError};
 use crate::port::{Compare, Op, Store, Txn};
 
 use super::head::{to_json, unreadable};
-use super::{CommandId, CommandRecord, CommitOutcome, Rejection, command_of, keys};
+use super::{CommandId, CommandRecord, CommitOutcome, Rejection, keys, parse_command};
 
-/// How long a lost answer is searched for.
+/// The retry policy of [`resolve_command`].
 #[derive(Clone, Debug)]
 pub struct ResolvePolicy {
-    /// The most calls on the store.
+    /// The maximum number of attempts.
     pub tries: u32,
-    /// The wait between them.
+    /// The delays between attempts.
     pub backoff: Backoff,
 }
 
@@ -25,17 +25,17 @@
     }
 }
 
-/// Finds out what became of a command, and withdraws it where it has not taken effect.
+/// Determines the outcome of a command, and withdraws it if it has not taken effect.
 ///
-/// Reading the key is not enough: where it is absent, the lost write may still be on its way
-/// and take effect after the operator was told "not accepted". So this creates the key as
-/// "withdrawn" if it does not exist. Either that write comes first, and the lost transaction
-/// then fails its own compare whenever it arrives; or the lost one came first, and this one
-/// fails and reads the accepted revision.
+/// Reading the command's key is not sufficient: if it does not exist, the lost transaction may
+/// still be in flight and take effect after the operator was told "not accepted". Therefore this
+/// creates the key with the value "withdrawn" if it does not exist. If this write is applied
+/// first, the precondition of the lost transaction fails whenever it arrives. Otherwise this
+/// write fails and returns the accepted revision.
 ///
-/// A withdrawn command stays withdrawn, whoever runs it again: a daemon that was paused with
-/// an earlier copy of it could otherwise have it accepted after the operator was told "not
-/// accepted". The same change is made by a new command.
+/// A withdrawn command stays withdrawn when it is retried. Otherwise a daemon that was paused
+/// while it ran an earlier copy could still have the command accepted after the operator was told
+/// "not accepted". The same change can be made by a new command.
 pub async fn resolve_command(
     store: &Store,
     command: &CommandId,
@@ -70,7 +70,7 @@
     if answer.succeeded {
         return Ok(CommandRecord::Withdrawn);
     }
-    let record = command_of(store, answer.first_of(0))?;
+    let record = parse_command(store, answer.first_kv(0))?;
     record.ok_or_else(|| {
         let message = format!("the record of command {command} is neither there nor absent");
         unreadable(store, Step::Txn, message)
--- a/crates/store/src/commit/snapshot.rs
+++ b/crates/store/src/commit/snapshot.rs
@@ -1,4 +1,4 @@
-//! Whole trees in the store, in parts that each fit a value.
+//! Snapshots: full settings trees in the store, split into parts that each fit into a value.
 
 use std::sync::Arc;
 
@@ -9,46 +9,47 @@
 use crate::error::{Step, StoreError};
 use crate::port::{Compare, Op, RangeRequest, Store, Txn};
 
-use super::head::{Head, HeadRead, SnapshotRef, head_of, read_head, to_json, unreadable};
+use super::head::{Head, HeadRead, SnapshotRef, parse_head, read_head, to_json, unreadable};
 use super::keys;
 
-/// The longest part, in bytes, below the megabyte that a value may hold.
+/// The maximum size of a part, in bytes. A value may hold one megabyte.
 pub const PART_BYTES: usize = 900_000;
-/// How often naming a new snapshot in the head starts over after a commit came between.
-const MAX_RACES: u32 = 8;
+/// The number of attempts to name a new snapshot in the head while commits update it.
+const MAX_HEAD_CONFLICTS: u32 = 8;
 
-/// What became of a snapshot.
+/// The outcome of writing a snapshot.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SnapshotOutcome {
-    /// The head names it.
+    /// The snapshot was written and the head names it.
     Written(SnapshotRef),
-    /// Another daemon writes or wrote this one or a newer one.
+    /// Another daemon is writing or has written this snapshot or a newer one, or commits kept
+    /// updating the head.
     Superseded,
 }
 
-/// Says whether `every` or more changes have been accepted since the newest snapshot.
+/// Returns whether at least `every` changes have been accepted since the newest snapshot.
 pub fn is_due(head: &Head, every: u64) -> bool {
     let newest = head.snapshot.as_ref();
     let newest = newest.map_or(Revision::NONE, |snapshot| snapshot.revision);
     head.revision.0.saturating_sub(newest.0) >= every
 }
 
-/// Writes the whole tree of one revision and names it in the head.
+/// Writes the full tree of a revision and names it in the head.
 ///
-/// Several daemons may try it at once: the one that creates the first part goes on. Where it
-/// dies halfway, the head goes on naming the older snapshot, the next due one is of a later
-/// revision, and [`remove_old`] deletes the parts that were left.
+/// Several daemons may run this concurrently; only the one that creates the first part continues.
+/// If it crashes before it is done, the head still names the previous snapshot, the next snapshot
+/// has a later revision, and [`remove_old`] deletes the leftover parts.
 ///
 /// # Errors
 ///
-/// Returns an error where a call fails; the head then names the older snapshot, or this one
-/// where only the last answer was lost.
+/// Returns an error if a call fails. The head then still names the previous snapshot, or this
+/// one if only the response to the last call was lost.
 pub async fn write(
     store: &Store,
     revision: Revision,
     tree: &Bytes,
 ) -> Result<SnapshotOutcome, StoreError> {
-    let parts: Vec<Bytes> = split(tree);
+    let parts: Vec<Bytes> = split_parts(tree);
     for (index, part) in (0..).zip(&parts) {
         let key = keys::snapshot_part(revision, index);
         let txn = Txn {
@@ -63,19 +64,19 @@
     let snapshot = SnapshotRef {
         revision,
         parts: parts.len() as u32,
-        hash: hash_of(tree),
+        hash: tree_hash(tree),
     };
-    name_in_head(store, snapshot).await
+    publish_in_head(store, snapshot).await
 }
 
-/// Reads a whole tree.
+/// Reads the full tree of a snapshot.
 ///
-/// Gives `None` where the snapshot was removed meanwhile: the head names a newer one.
+/// Returns `None` if the snapshot has been removed; the head then names a newer one.
 ///
 /// # Errors
 ///
-/// Returns an error where the store does not answer, or the parts don't have the hash that
-/// the head gives.
+/// Returns an error if the store does not respond or the tree does not match the hash in the
+/// reference.
 pub async fn read(store: &Store, snapshot: &SnapshotRef) -> Result<Option<Bytes>, StoreError> {
     let mut tree = BytesMut::new();
     for part in 0..snapshot.parts {
@@ -86,18 +87,18 @@
         tree.extend_from_slice(&kv.value);
     }
     let tree = tree.freeze();
-    if hash_of(&tree) != snapshot.hash {
+    if tree_hash(&tree) != snapshot.hash {
         let message = format!("snapshot {} does not have its hash", snapshot.revision);
         return Err(unreadable(store, Step::Range, message));
     }
     Ok(Some(tree))
 }
 
-/// Deletes every part of snapshots older than `kept`, finished or not.
+/// Deletes all parts of snapshots older than `kept`, including incomplete snapshots.
 ///
 /// # Errors
 ///
-/// Returns an error where the store does not answer.
+/// Returns an error if the store does not respond.
 pub async fn remove_old(store: &Store, kept: Revision) -> Result<(), StoreError> {
     let first_kept = keys::snapshot_part(kept, 0);
     let delete = Op::Delete {
@@ -111,10 +112,13 @@
     store.txn(txn).await.map(|_| ())
 }
 
-async fn name_in_head(store: &Store, snapshot: SnapshotRef) -> Result<SnapshotOutcome, StoreError> {
+async fn publish_in_head(
+    store: &Store,
+    snapshot: SnapshotRef,
+) -> Result<SnapshotOutcome, StoreError> {
     let mut current = read_head(store).await?;
-    for _ in 0..MAX_RACES {
-        if !improves(&current, &snapshot) {
+    for _ in 0..MAX_HEAD_CONFLICTS {
+        if !is_newer(&current, &snapshot) {
             return Ok(SnapshotOutcome::Superseded);
         }
         let head = Head {
@@ -122,7 +126,7 @@
             ..current.head
         };
         let txn = Txn {
-            compares: vec![Compare::unchanged(keys::HEAD, current.written)],
+            compares: vec![Compare::unchanged(keys::HEAD, current.mod_revision)],
             success: vec![Op::put(keys::HEAD, to_json(&head))],
             failure: vec![Op::Range(RangeRequest::key(keys::HEAD))],
         };
@@ -130,23 +134,23 @@
         if answer.succeeded {
             return Ok(SnapshotOutcome::Written(snapshot));
         }
-        current = head_of(store, Step::Txn, answer.first_of(0))?;
+        current = parse_head(store, Step::Txn, answer.first_kv(0))?;
     }
     Ok(SnapshotOutcome::Superseded)
 }
 
-fn improves(current: &HeadRead, snapshot: &SnapshotRef) -> bool {
+fn is_newer(current: &HeadRead, snapshot: &SnapshotRef) -> bool {
     let newest = current.head.snapshot.as_ref();
     newest.is_none_or(|newest| newest.revision < snapshot.revision)
 }
 
-fn split(tree: &Bytes) -> Vec<Bytes> {
+fn split_parts(tree: &Bytes) -> Vec<Bytes> {
     let starts = (0..tree.len()).step_by(PART_BYTES);
     starts
         .map(|start| tree.slice(start..tree.len().min(start + PART_BYTES)))
         .collect()
 }
 
-fn hash_of(tree: &Bytes) -> Arc<str> {
+fn tree_hash(tree: &Bytes) -> Arc<str> {
     Digest::of_bytes(tree).to_string().into()
 }
--- a/crates/store/src/error.rs
+++ b/crates/store/src/error.rs
@@ -1,4 +1,4 @@
-//! Errors of calls on the platform, and whether a failed write may have been applied.
+//! Errors of calls to the platform. They tell whether a failed write may have been applied.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -6,31 +6,31 @@
 use heatherknot_types::prelude::*;
 use snafu::Snafu;
 
-/// What a failed call may have changed on the platform.
+/// Whether a failed call may have taken effect on the platform.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
-    /// The call certainly changed nothing and never will.
+    /// The call was not applied and cannot be applied later.
     NotApplied,
-    /// The call may have been applied, or may still be applied later.
+    /// The call may have been applied or may be applied later.
     MayBeApplied,
 }
 
-/// The call, or the part of a call, that failed.
+/// The operation that failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Step {
-    /// Waiting for the daemon's own allowance of calls.
+    /// Checking the daemon's own call budget.
     Budget,
     /// Opening a connection.
     Connect,
     /// Reading keys.
     Range,
-    /// A transaction.
+    /// Running a transaction.
     Txn,
     /// Granting a lease.
     LeaseGrant,
     /// Extending a lease.
     LeaseKeepalive,
-    /// Giving a lease back.
+    /// Revoking a lease.
     LeaseRevoke,
     /// Starting or reading a watch.
     Watch,
@@ -62,79 +62,79 @@
     /// The connection failed or was closed.
     #[snafu(display("connection failed: {message}"))]
     Connection {
-        /// What the operating system or the HTTP library said.
+        /// The error of the operating system or the HTTP library.
         message: String,
     },
-    /// No answer came in time.
-    #[snafu(display("no answer within {millis} ms"))]
+    /// No response arrived within the time limit.
+    #[snafu(display("no response within {millis} ms"))]
     Timeout {
-        /// The time allowed.
+        /// The time limit, in milliseconds.
         millis: u64,
     },
-    /// The platform allows no more calls for now.
-    #[snafu(display("too many calls"))]
+    /// The platform rejected the call because of its rate limit.
+    #[snafu(display("the platform's rate limit was exceeded"))]
     RateLimited,
-    /// The daemon's own budget allows no more calls for now.
-    #[snafu(display("held back for {retry_after} by the daemon's own limit of calls"))]
-    HeldBack {
-        /// When a call may be made again.
+    /// The daemon's own call budget is exhausted.
+    #[snafu(display("the daemon's call budget is exhausted; retry after {retry_after}"))]
+    BudgetExhausted {
+        /// The time until a call is allowed again.
         retry_after: Millis,
     },
-    /// The platform refused the call.
-    #[snafu(display("refused with HTTP status {status}: {message}"))]
+    /// The platform rejected the call.
+    #[snafu(display("rejected with HTTP status {status}: {message}"))]
     Refused {
         /// The HTTP status.
         status: u16,
-        /// The platform's message.
+        /// The message in the response.
         message: String,
     },
-    /// The revision asked for has been compacted.
-    #[snafu(display("revision was compacted; the oldest kept is {oldest}"))]
+    /// The requested revision has been compacted.
+    #[snafu(display("the requested revision was compacted; the oldest available is {oldest}"))]
     Compacted {
-        /// The oldest revision that is still kept, or zero where the platform did not say.
+        /// The oldest revision that is available, or zero if the platform did not report it.
         oldest: u64,
     },
     /// The lease has expired or never existed.
     #[snafu(display("lease not found"))]
     LeaseNotFound,
-    /// The answer or a stored value could not be read.
-    #[snafu(display("unreadable answer: {message}"))]
+    /// A response or a stored value could not be parsed.
+    #[snafu(display("cannot parse the response: {message}"))]
     Unreadable {
-        /// What was found instead.
+        /// The description of the problem.
         message: String,
     },
 }
 
-/// A failed call on the platform.
+/// A failed call to the platform.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 #[snafu(display("{step} at {peer}: {source}"), visibility(pub))]
 pub struct StoreError {
-    /// The call that failed.
+    /// The operation that failed.
     pub step: Step,
     /// The address of the platform's service.
     pub peer: SocketAddr,
-    /// Whether the call may have been applied all the same.
+    /// Whether the call may have been applied in spite of the error.
     pub effect: Effect,
-    /// Why it failed.
+    /// The cause of the failure.
     pub source: Cause,
 }
 
 impl StoreError {
-    /// Says whether the call certainly changed nothing.
+    /// Returns whether the call is guaranteed to have no effect.
     pub fn is_not_applied(&self) -> bool {
         self.effect == Effect::NotApplied
     }
 
-    /// Gives the time after which a call may be made again, where the daemon's own limit of
-    /// calls held this one back.
+    /// Returns the time after which a call is allowed again, if the daemon's call budget was
+    /// exhausted.
     pub fn retry_after(&self) -> Option<Millis> {
         match self.source {
-            Cause::HeldBack { retry_after } => Some(retry_after),
+            Cause::BudgetExhausted { retry_after } => Some(retry_after),
             _ => None,
         }
     }
 
-    /// Says whether the platform refused the call for exceeding its rate.
+    /// Returns whether the platform rejected the call because of its rate limit.
     pub fn is_rate_limited(&self) -> bool {
         self.source == Cause::RateLimited
     }
--- a/crates/store/src/follow.rs
+++ b/crates/store/src/follow.rs
@@ -1,5 +1,5 @@
-//! Follows the accepted settings: a watch on the head, with reads that make up for whatever
-//! the watch leaves out.
+//! Follows the accepted settings with a watch on the head. Periodic reads of the head find
+//! revisions that the watch did not report.
 
 use std::cell::Cell;
 use std::fmt;
@@ -21,74 +21,76 @@
     Event, RangeRequest, Store, StoreRevision, WatchMessage, WatchRequest, WatchStream,
 };
 
-/// What a follower brings, in the order of revisions.
+/// New settings delivered by a follower, in the order of revisions.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SettingsUpdate {
-    /// The changes that follow what the daemon holds.
+    /// The changes that follow the daemon's current revision.
     Changes(Vec<StoredChange>),
-    /// A whole tree, newer than what the daemon holds.
+    /// A full settings tree that is newer than the daemon's current revision.
     Snapshot {
-        /// Its revision.
+        /// The revision, number of parts and hash of the tree.
         at: SnapshotRef,
-        /// The tree.
+        /// The serialized tree.
         tree: Bytes,
     },
 }
 
-/// The daemon's side of a follower.
+/// The functions through which a follower reads and updates the daemon's state.
 #[derive(Clone)]
 pub struct FollowCallbacks {
-    /// Gives the revision that the daemon holds now, from the store or from a peer.
+    /// Returns the daemon's current revision, whether it came from the store or from a peer.
     pub current_revision: Rc<dyn Fn() -> Revision>,
-    /// Takes an update. The daemon may refuse it, and [`current_revision`](Self::current_revision) then stays.
+    /// Applies an update. The daemon may reject it and then leaves
+    /// [`current_revision`](Self::current_revision) unchanged.
     pub deliver: Rc<dyn Fn(SettingsUpdate)>,
 }
 
-/// How a follower follows.
+/// Configuration of a follower.
 #[derive(Clone, Debug)]
 pub struct FollowConfig {
-    /// How often the head is read beside the watch.
-    pub check_every: Duration,
-    /// The most changes that are read one by one; a daemon further behind takes the snapshot.
+    /// The interval at which the head is read in addition to the watch.
+    pub poll_interval: Duration,
+    /// The maximum number of revisions to catch up by reading changes; a daemon that is further
+    /// behind reads the snapshot.
     pub max_changes: u64,
-    /// The waits after failures.
+    /// The delays between attempts after failures.
     pub backoff: Backoff,
 }
 
 impl Default for FollowConfig {
     fn default() -> Self {
         Self {
-            check_every: Duration::from_secs(2),
+            poll_interval: Duration::from_secs(2),
             max_changes: 64,
             backoff: Backoff::default(),
         }
     }
 }
 
-/// What a follower has met so far.
+/// Counters of a follower.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct FollowStatus {
-    /// The newest accepted revision that it saw.
+    /// The newest accepted revision that the follower read.
     pub newest: Revision,
-    /// Watches that had to be started again because of an error.
+    /// The number of restarts caused by an error.
     pub failures: u64,
-    /// Watches found to have left out a revision that a read showed.
-    pub missed: u64,
+    /// The number of restarts because a read found a revision that the watch had not reported.
+    pub incomplete_watches: u64,
 }
 
-/// A running follower. Dropping the handle stops it.
+/// A handle to a running follower, which stops when the handle is dropped.
 pub struct Follower {
     abort: AbortHandle,
     status: Rc<Cell<FollowStatus>>,
 }
 
 impl Follower {
-    /// Gives what the follower has met so far.
+    /// Returns the counters of the follower.
     pub fn status(&self) -> FollowStatus {
         self.status.get()
     }
 
-    /// Stops the follower; its watch no longer counts on the platform.
+    /// Stops the follower and closes its watch on the platform.
     pub fn stop(self) {}
 }
 
@@ -104,10 +106,10 @@
     }
 }
 
-/// Starts following on a task of the current runtime.
+/// Starts a follower on a task of the current runtime.
 pub fn start(store: Store, follow: FollowCallbacks, cfg: FollowConfig) -> Follower {
     let status = Rc::new(Cell::new(FollowStatus::default()));
-    let task = Task {
+    let task = FollowTask {
         store,
         follow,
         cfg,
@@ -118,68 +120,70 @@
     Follower { abort, status }
 }
 
-struct Task {
+struct FollowTask {
     store: Store,
     follow: FollowCallbacks,
     cfg: FollowConfig,
     status: Rc<Cell<FollowStatus>>,
 }
 
-/// A head and the store's revision at the time it was read.
-struct Seen {
+/// A head and the store revision at which it was read.
+struct HeadAtRevision {
     head: Head,
-    at: StoreRevision,
+    store_revision: StoreRevision,
 }
 
-impl Task {
+impl FollowTask {
     async fn run(&self) {
         let mut failures = 0;
         loop {
             let progressed = Cell::new(false);
-            let Err(err) = self.follow_once(&progressed).await else {
-                // The watch was found wanting and is started again at once.
+            let Err(err) = self.follow_until_restart(&progressed).await else {
+                // The watch left out a revision; start a new one without delay.
                 failures = 0;
                 continue;
             };
             failures = if progressed.get() { 1 } else { failures + 1 };
-            self.count(|status| status.failures += 1);
-            log::warn!(err:% = err, failures; "following the settings failed");
+            self.update_status(|status| status.failures += 1);
+            log::warn!(err:% = err, failures; "cannot follow the settings; retrying");
             self.cfg.backoff.pause(failures).await;
         }
     }
 
-    /// Reads the head and watches it until the watch fails or is found to leave out changes.
-    async fn follow_once(&self, progressed: &Cell<bool>) -> Result<(), StoreError> {
-        let seen = self.read_head().await?;
-        self.catch_up(&seen.head).await?;
+    /// Reads the head and watches it. Returns `Ok` when a read finds that the watch left out a
+    /// revision, and sets `progressed` once the first read succeeded.
+    async fn follow_until_restart(&self, progressed: &Cell<bool>) -> Result<(), StoreError> {
+        let current = self.read_head().await?;
+        self.catch_up(&current.head).await?;
         progressed.set(true);
-        // The watch starts just after the read, so no change falls between the two.
+        // The watch starts at the store revision after the read, so that it reports every change
+        // made since.
         let req = WatchRequest {
             key: keys::HEAD.to_owned(),
             end: None,
-            start: StoreRevision(seen.at.0 + 1),
+            start: StoreRevision(current.store_revision.0 + 1),
         };
         let mut watch = (self.store.watch)(req).await?;
-        let mut newest = seen.head.revision;
-        let mut next_check = Instant::now() + self.cfg.check_every;
+        let mut newest = current.head.revision;
+        let mut next_poll = Instant::now() + self.cfg.poll_interval;
         loop {
-            match self.next(&mut watch, next_check).await {
+            match self.next_message(&mut watch, next_poll).await {
                 Some(message) => {
-                    if let Some(head) = self.newest_head(message?)? {
+                    if let Some(head) = self.last_head(message?)? {
                         newest = head.revision;
                         self.catch_up(&head).await?;
                     }
                 }
                 None => {
-                    next_check = Instant::now() + self.cfg.check_every;
-                    let seen = self.read_head().await?;
-                    self.catch_up(&seen.head).await?;
-                    // The watch is quiet, as after its connection was forgotten on the way,
-                    // or it leaves out changes. It shows in a read that is ahead of it. A
-                    // message that is merely late costs one more start of a watch.
-                    if seen.head.revision > newest {
-                        self.count(|status| status.missed += 1);
-                        log::warn!(newest:% = seen.head.revision; "watch left out a revision");
+                    next_poll = Instant::now() + self.cfg.poll_interval;
+                    let current = self.read_head().await?;
+                    self.catch_up(&current.head).await?;
+                    // A read ahead of the watch means that the watch has stalled, for example
+                    // because a middlebox dropped its connection, or that it skips changes. If
+                    // its message was only delayed, the cost is one needless restart.
+                    if current.head.revision > newest {
+                        self.update_status(|status| status.incomplete_watches += 1);
+                        log::warn!(newest:% = current.head.revision; "watch missed a revision; restarting it");
                         return Ok(());
                     }
                 }
@@ -187,14 +191,14 @@
         }
     }
 
-    /// Gives the next message, or `None` when it is time to read the head. The time stays
-    /// when messages come, since a watch that skips changes may still report progress.
-    async fn next(
+    /// Returns the next message of the watch, or `None` at `next_poll`. Messages do not postpone
+    /// the poll, since a watch that skips changes may still report progress.
+    async fn next_message(
         &self,
         watch: &mut WatchStream,
-        next_check: Instant,
+        next_poll: Instant,
     ) -> Option<Result<WatchMessage, StoreError>> {
-        let pause = Box::pin(monoio::time::sleep_until(next_check));
+        let pause = Box::pin(monoio::time::sleep_until(next_poll));
         match select(watch.next(), pause).await {
             Either::Left((Some(message), _)) => Some(message),
             Either::Left((None, _)) => {
@@ -205,26 +209,29 @@
         }
     }
 
-    fn newest_head(&self, message: WatchMessage) -> Result<Option<Head>, StoreError> {
+    fn last_head(&self, message: WatchMessage) -> Result<Option<Head>, StoreError> {
         match message.events.last() {
             Some(Event::Put(kv)) => from_json(&self.store, Step::Watch, kv).map(Some),
             Some(Event::Delete(..)) | None => Ok(None),
         }
     }
 
-    async fn read_head(&self) -> Result<Seen, StoreError> {
+    async fn read_head(&self) -> Result<HeadAtRevision, StoreError> {
         let found = self.store.range(RangeRequest::key(keys::HEAD)).await?;
         let head = match found.kvs.first() {
             Some(kv) => from_json(&self.store, Step::Range, kv)?,
             None => Head::default(),
         };
-        let at = found.revision;
-        Ok(Seen { head, at })
+        let store_revision = found.revision;
+        Ok(HeadAtRevision {
+            head,
+            store_revision,
+        })
     }
 
-    /// Delivers what lies between the daemon's revision and the head's.
+    /// Delivers updates until the daemon reaches the head's revision or rejects an update.
     async fn catch_up(&self, head: &Head) -> Result<(), StoreError> {
-        self.count(|status| status.newest = status.newest.max(head.revision));
+        self.update_status(|status| status.newest = status.newest.max(head.revision));
         loop {
             let held = (self.follow.current_revision)();
             if held >= head.revision {
@@ -235,8 +242,8 @@
                 return Err(unreadable(&self.store, Step::Range, message));
             };
             (self.follow.deliver)(update);
-            // A daemon that can't read a revision keeps its own; asking again would bring
-            // the same, so it waits for the next one.
+            // The daemon rejected the update, for example because it cannot parse it. Reading it
+            // again would return the same data, so wait for the next revision.
             if (self.follow.current_revision)() == held {
                 return Ok(());
             }
@@ -276,7 +283,7 @@
         }))
     }
 
-    fn count(&self, change: impl FnOnce(&mut FollowStatus)) {
+    fn update_status(&self, change: impl FnOnce(&mut FollowStatus)) {
         let mut status = self.status.get();
         change(&mut status);
         self.status.set(status);
--- a/crates/store/src/http_client.rs
+++ b/crates/store/src/http_client.rs
@@ -1,4 +1,4 @@
-//! HTTP calls on the platform, each with a time limit, over pools of connections.
+//! An HTTP client for the platform with connection pools and a time limit for each call.
 
 use std::borrow::Cow;
 use std::net::SocketAddr;
@@ -14,12 +14,12 @@
 
 use crate::error::{Cause, Effect, Step, StoreError};
 
-/// Connections to the platform that one daemon may have open.
+/// The maximum number of open connections in each pool.
 const MAX_CONNECTIONS: usize = 16;
-/// The longest answer that is read: a page of values of up to a megabyte each.
-const MAX_ANSWER: usize = 16 << 20;
+/// The maximum size of a response body, in bytes: a page of values of up to a megabyte each.
+const MAX_RESPONSE_BYTES: usize = 16 << 20;
 
-/// One address of the platform and the connections to it.
+/// A client for one address of the platform, with separate pools for reads, writes and watches.
 #[derive(Clone)]
 pub struct Client {
     peer: SocketAddr,
@@ -30,39 +30,40 @@
     watch_limit: Duration,
 }
 
-/// A call to make.
+/// A request to the platform.
 pub struct Call {
-    /// What it is for, named in errors; reads are sent again on a new connection.
+    /// The operation, named in errors. A read that fails on a stale connection is sent again on
+    /// a new one.
     pub step: Step,
-    /// The method.
+    /// The HTTP method.
     pub method: Method,
-    /// The path, with the query where there is one.
+    /// The path and the query, if any.
     pub path: Cow<'static, str>,
     /// The body, as JSON.
     pub body: Bytes,
-    /// The longest time of the call, connecting included.
+    /// The time limit of the call, including connecting.
     pub limit: Duration,
 }
 
-/// A whole answer.
+/// A response whose body was read completely.
 pub struct FullResponse {
-    /// The status.
+    /// The HTTP status.
     pub status: StatusCode,
-    /// The whole body.
+    /// The complete body.
     pub body: Bytes,
 }
 
-/// An answer whose body arrives bit by bit.
+/// A response whose body is read in chunks.
 pub struct StreamingResponse {
-    /// The status.
+    /// The HTTP status.
     pub status: StatusCode,
     body: Body,
     limit: Duration,
 }
 
 impl Client {
-    /// Makes a client whose calls take at most about `call_limit` and whose streamed
-    /// answers may be silent for `watch_limit`.
+    /// Creates a client. `call_limit` bounds the time of a call approximately; `watch_limit` is
+    /// the longest time without data on a streamed response.
     pub fn new(peer: SocketAddr, call_limit: Duration, watch_limit: Duration) -> Self {
         let clock = Clock::system();
         let writes = PoolConfig {
@@ -71,10 +72,10 @@
             body_timeout: call_limit,
             ..PoolConfig::default()
         };
-        // A connection that something on the way has forgotten takes a request and gives
-        // nothing. The platform answers in milliseconds, so a read that hears nothing for
-        // half of its limit gives the idle connections up, and one that went out on an idle
-        // connection still has the time to be sent again on a new one.
+        // A connection that a middlebox dropped silently accepts a request but never returns a
+        // response. The platform responds within milliseconds, so after half of the time limit
+        // without data a read discards the idle connections. A read that was sent on one of
+        // them still has time to be sent again on a new connection.
         let reads = PoolConfig {
             silence_limit: call_limit / 2,
             ..writes.clone()
@@ -94,7 +95,12 @@
         }
     }
 
-    /// Makes a call and reads the whole answer.
+    /// Sends a request and reads the complete response.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if the request or the response fails, exceeds the time limit, or the
+    /// body is longer than 16 MiB. The HTTP status is not checked.
     pub async fn call(&self, call: Call) -> Result<FullResponse, StoreError> {
         let deadline = self.deadline(&call);
         let pool = match is_read(&call) {
@@ -103,17 +109,22 @@
         };
         let resp = self.send(pool, &call, deadline).await?;
         let status = resp.status;
-        let left = Duration::from_millis(deadline.since(self.clock.now()).0);
-        let body = match monoio::time::timeout(left, resp.body.collect(MAX_ANSWER)).await {
-            Ok(body) => body.map_err(|err| body_cause(&err, call.limit)),
-            Err(_) => Err(timeout(call.limit)),
-        };
+        let remaining = Duration::from_millis(deadline.since(self.clock.now()).0);
+        let body =
+            match monoio::time::timeout(remaining, resp.body.collect(MAX_RESPONSE_BYTES)).await {
+                Ok(body) => body.map_err(|err| body_cause(&err, call.limit)),
+                Err(_) => Err(timeout_cause(call.limit)),
+            };
         let body = body.map_err(|source| self.error(call.step, Effect::MayBeApplied, source))?;
         Ok(FullResponse { status, body })
     }
 
-    /// Makes a call and reads the head of the answer.
-    pub async fn open(&self, call: Call) -> Result<StreamingResponse, StoreError> {
+    /// Sends a request and reads the head of the response.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if no head arrives within the time limit. The HTTP status is not checked.
+    pub async fn open_stream(&self, call: Call) -> Result<StreamingResponse, StoreError> {
         let deadline = self.deadline(&call);
         let resp = self.send(&self.watches, &call, deadline).await?;
         Ok(StreamingResponse {
@@ -135,12 +146,16 @@
             idempotent,
             new_connection: false,
         };
-        let mut outcome = pool.send(head(call), body(call), options).await;
-        // An idle connection may have been closed, or forgotten on the way, since its last
-        // use. A read is sent again at once; a write is not, since it may have been applied.
+        let mut outcome = pool
+            .send(request_head(call), request_body(call), options)
+            .await;
+        // An idle connection may have been closed or dropped since its last use. Only reads are
+        // sent again: a write may already have been applied.
         if idempotent && outcome.as_ref().is_err_and(SendError::is_stale_connection) {
             options.new_connection = true;
-            outcome = pool.send(head(call), body(call), options).await;
+            outcome = pool
+                .send(request_head(call), request_body(call), options)
+                .await;
         }
         outcome.map_err(|err| {
             let effect = match err.handed() {
@@ -155,7 +170,7 @@
         self.clock.now() + Millis(call.limit.as_millis() as u64)
     }
 
-    /// Makes the error of a call that failed.
+    /// Builds the error of a failed call.
     pub fn error(&self, step: Step, effect: Effect, source: Cause) -> StoreError {
         StoreError {
             step,
@@ -167,10 +182,10 @@
 }
 
 impl StreamingResponse {
-    /// Reads the next part of the body; `None` at its end.
-    pub async fn next(&mut self) -> Option<Result<Bytes, Cause>> {
-        let part = self.body.next_chunk().await?;
-        Some(part.map_err(|err| body_cause(&err, self.limit)))
+    /// Reads the next chunk of the body. Returns `None` at its end.
+    pub async fn next_chunk(&mut self) -> Option<Result<Bytes, Cause>> {
+        let chunk = self.body.next_chunk().await?;
+        Some(chunk.map_err(|err| body_cause(&err, self.limit)))
     }
 }
 
@@ -178,7 +193,7 @@
     matches!(call.step, Step::Range | Step::Watch | Step::VmList)
 }
 
-fn head(call: &Call) -> RequestHead {
+fn request_head(call: &Call) -> RequestHead {
     let uri = Uri::try_from(call.path.as_ref()).expect("adapters make valid paths");
     let mut head = RequestHead::new(call.method.clone(), uri);
     let json = HeaderValue::from_static("application/json");
@@ -186,34 +201,34 @@
     head
 }
 
-fn body(call: &Call) -> Body {
+fn request_body(call: &Call) -> Body {
     Body::full(call.body.clone())
 }
 
 fn send_cause(err: &SendError, limit: Duration) -> Cause {
     match err {
-        SendError::Expired { .. } => timeout(limit),
-        SendError::Silent { .. } => timeout(limit / 2),
-        other => connection(other.to_string()),
+        SendError::Expired { .. } => timeout_cause(limit),
+        SendError::Silent { .. } => timeout_cause(limit / 2),
+        other => connection_cause(other.to_string()),
     }
 }
 
 fn body_cause(err: &BodyError, limit: Duration) -> Cause {
     match err {
-        BodyError::TooSlow => timeout(limit),
+        BodyError::TooSlow => timeout_cause(limit),
         BodyError::TooLarge { limit } => {
             let message = format!("an answer longer than {limit} bytes");
             Cause::Unreadable { message }
         }
-        other => connection(other.to_string()),
+        other => connection_cause(other.to_string()),
     }
 }
 
-fn connection(message: String) -> Cause {
+fn connection_cause(message: String) -> Cause {
     Cause::Connection { message }
 }
 
-fn timeout(limit: Duration) -> Cause {
+fn timeout_cause(limit: Duration) -> Cause {
     let millis = limit.as_millis() as u64;
     Cause::Timeout { millis }
 }
--- a/crates/store/src/http_store/convert.rs
+++ b/crates/store/src/http_store/convert.rs
@@ -1,12 +1,12 @@
-//! Between the port's types and the messages of the service.
+//! Conversions between the types of [`crate::port`] and the messages of the service.
 
 use heatherknot_types::prelude::*;
 
-use super::first_of;
+use super::message_or_error;
 use super::wire::{
-    Base64, Int64, Streamed, WireCompare, WireDelete, WireKeyValue, WireLease, WireOp, WirePut,
-    WireRange, WireRangeAnswer, WireTxn, WireTxnAnswer, WireWatch, WireWatchAnswer,
-    WireWatchCreate,
+    Base64, Int64, StreamObject, WireCompare, WireDelete, WireKeyValue, WireLease, WireOp, WirePut,
+    WireRange, WireRangeResponse, WireTxn, WireTxnResponse, WireWatch, WireWatchCreate,
+    WireWatchResponse,
 };
 use crate::error::Cause;
 use crate::port::{
@@ -16,18 +16,18 @@
 
 pub(super) fn range_to_wire(req: &RangeRequest) -> WireRange {
     WireRange {
-        key: Base64::text(&req.key),
-        range_end: req.end.as_deref().map(Base64::text),
+        key: Base64::from_text(&req.key),
+        range_end: req.end.as_deref().map(Base64::from_text),
         limit: Int64(req.limit.into()),
     }
 }
 
-pub(super) fn range_from_wire(answer: WireRangeAnswer) -> Result<RangeResponse, Cause> {
-    let kvs: Result<Vec<_>, _> = answer.kvs.into_iter().map(kv_from_wire).collect();
+pub(super) fn range_from_wire(resp: WireRangeResponse) -> Result<RangeResponse, Cause> {
+    let kvs: Result<Vec<_>, _> = resp.kvs.into_iter().map(kv_from_wire).collect();
     Ok(RangeResponse {
-        revision: StoreRevision(answer.header.revision.to_u64()),
+        revision: StoreRevision(resp.header.revision.to_u64()),
         kvs: kvs?,
-        more: answer.more,
+        more: resp.more,
     })
 }
 
@@ -62,7 +62,7 @@
         Compare::CreateRevision(key, rev) => (key, "CREATE", None, Some(Int64::from_u64(rev.0))),
     };
     WireCompare {
-        key: Base64::text(key),
+        key: Base64::from_text(key),
         result: "EQUAL",
         target,
         mod_revision,
@@ -74,27 +74,27 @@
     match op {
         Op::Range(req) => WireOp::Range(range_to_wire(req)),
         Op::Put { key, value, lease } => WireOp::Put(WirePut {
-            key: Base64::text(key),
+            key: Base64::from_text(key),
             value: Base64(value.clone()),
             lease: Int64(lease.0),
         }),
         Op::Delete { key, end } => WireOp::Delete(WireDelete {
-            key: Base64::text(key),
-            range_end: end.as_deref().map(Base64::text),
+            key: Base64::from_text(key),
+            range_end: end.as_deref().map(Base64::from_text),
         }),
     }
 }
 
-pub(super) fn txn_from_wire(answer: WireTxnAnswer) -> Result<TxnResponse, Cause> {
-    let ranges: Result<Vec<_>, _> = answer
+pub(super) fn txn_from_wire(resp: WireTxnResponse) -> Result<TxnResponse, Cause> {
+    let ranges: Result<Vec<_>, _> = resp
         .responses
         .into_iter()
         .filter_map(|resp| resp.response_range)
         .map(range_from_wire)
         .collect();
     Ok(TxnResponse {
-        revision: StoreRevision(answer.header.revision.to_u64()),
-        succeeded: answer.succeeded,
+        revision: StoreRevision(resp.header.revision.to_u64()),
+        succeeded: resp.succeeded,
         ranges: ranges?,
     })
 }
@@ -109,30 +109,35 @@
 pub(super) fn watch_to_wire(req: &WatchRequest) -> WireWatch {
     WireWatch {
         create_request: WireWatchCreate {
-            key: Base64::text(&req.key),
-            range_end: req.end.as_deref().map(Base64::text),
+            key: Base64::from_text(&req.key),
+            range_end: req.end.as_deref().map(Base64::from_text),
             start_revision: Int64::from_u64(req.start.0),
             progress_notify: true,
         },
     }
 }
 
-pub(super) fn watch_from_wire(object: Streamed<WireWatchAnswer>) -> Result<WatchMessage, Cause> {
-    let Some(answer) = object.result else {
+pub(super) fn watch_from_wire(
+    object: StreamObject<WireWatchResponse>,
+) -> Result<WatchMessage, Cause> {
+    let Some(resp) = object.result else {
         let err = object.error.unwrap_or_default();
-        let message = format!("the watch failed: {}", first_of(err.message, err.error));
+        let message = format!(
+            "the watch failed: {}",
+            message_or_error(err.message, err.error)
+        );
         return Err(Cause::Connection { message });
     };
-    let compacted = answer.compact_revision.to_u64();
+    let compacted = resp.compact_revision.to_u64();
     if compacted > 0 {
         return Err(Cause::Compacted { oldest: compacted });
     }
-    if answer.canceled {
-        let message = format!("the watch was cancelled: {}", answer.cancel_reason);
+    if resp.canceled {
+        let message = format!("the watch was cancelled: {}", resp.cancel_reason);
         return Err(Cause::Connection { message });
     }
-    let mut events = Vec::with_capacity(answer.events.len());
-    for event in answer.events {
+    let mut events = Vec::with_capacity(resp.events.len());
+    for event in resp.events {
         events.push(match event.kind.as_str() {
             "DELETE" => {
                 let revision = StoreRevision(event.kv.mod_revision.to_u64());
@@ -142,7 +147,7 @@
         });
     }
     Ok(WatchMessage {
-        revision: StoreRevision(answer.header.revision.to_u64()),
+        revision: StoreRevision(resp.header.revision.to_u64()),
         events,
     })
 }
--- a/crates/store/src/http_store/mod.rs
+++ b/crates/store/src/http_store/mod.rs
@@ -1,4 +1,4 @@
-//! The adapter for the key-value service: the v3 key-value calls as JSON over HTTP.
+//! The adapter for the key-value service, which speaks its v3 API as JSON over HTTP.
 
 mod convert;
 mod watch;
@@ -16,10 +16,10 @@
 use self::convert::{
     lease_from_wire, range_from_wire, range_to_wire, txn_from_wire, txn_to_wire, watch_to_wire,
 };
-use self::watch::Watching;
+use self::watch::WatchReader;
 use self::wire::{
-    Int64, Streamed, WireError, WireLease, WireLeaseGrant, WireLeaseId, WireRangeAnswer,
-    WireTxnAnswer,
+    Int64, StreamObject, WireError, WireLease, WireLeaseGrant, WireLeaseId, WireRangeResponse,
+    WireTxnResponse,
 };
 use crate::error::{Cause, Effect, Step, StoreError};
 use crate::http_client::{Call, Client, FullResponse};
@@ -28,28 +28,28 @@
     WatchRequest, WatchStream,
 };
 
-/// The code with which the service refuses a call for exceeding its rate.
+/// The gRPC status code of a call that exceeded the rate limit.
 const CODE_RESOURCE_EXHAUSTED: u32 = 8;
-/// The code for a revision that has been compacted.
+/// The gRPC status code of a request for a compacted revision.
 const CODE_OUT_OF_RANGE: u32 = 11;
-/// The code for a lease that does not exist.
+/// The gRPC status code of a request for a lease that does not exist.
 const CODE_NOT_FOUND: u32 = 5;
-/// The code for a request that the service judged before running it.
+/// The gRPC status code of an invalid request, which the service rejects before it runs it.
 const CODE_INVALID_ARGUMENT: u32 = 3;
-/// Where the service is and how long a call may take.
+/// The address of the service and the time limits of calls.
 #[derive(Clone, Copy, Debug)]
 pub struct StoreConfig {
     /// The address of the service.
     pub peer: SocketAddr,
-    /// How long a call may take, connecting included.
+    /// The time limit of a call, including connecting.
     pub call_limit: Duration,
-    /// How long a watch may be silent before it counts as failed.
+    /// The time without a message after which a watch has failed.
     pub watch_limit: Duration,
 }
 
 impl StoreConfig {
-    /// Makes a configuration with the default limits: two seconds a call, and a watch that
-    /// may be silent for a minute.
+    /// Creates a configuration with the default limits: two seconds for a call and one minute
+    /// without a message for a watch.
     pub fn new(peer: SocketAddr) -> Self {
         Self {
             peer,
@@ -59,13 +59,14 @@
     }
 }
 
-/// Makes the port to the key-value service at `cfg.peer`.
+/// Creates a client for the key-value service at `cfg.peer`.
 ///
-/// Connections are opened when a call needs one, so this never fails. They belong to the
-/// runtime that made the first call, and so does the store. No call is sent
-/// twice: a call that failed halfway is reported with its [`Effect`].
+/// Connections are opened on demand, so this never fails. They are bound to the runtime of the
+/// first call, and so is the store. A write is never sent twice: if it fails after it may have
+/// been sent, the error reports this as its [`Effect`]. A read that fails on a stale connection
+/// is sent again.
 pub fn connect(cfg: StoreConfig) -> Store {
-    let adapter = Adapter {
+    let adapter = HttpStore {
         client: Client::new(cfg.peer, cfg.call_limit, cfg.watch_limit),
         cfg,
     };
@@ -83,25 +84,25 @@
 }
 
 #[derive(Clone)]
-struct Adapter {
+struct HttpStore {
     client: Client,
     cfg: StoreConfig,
 }
 
-impl Adapter {
+impl HttpStore {
     fn range(self, req: RangeRequest) -> StoreFuture<RangeResponse> {
         Box::pin(async move {
             let body = range_to_wire(&req);
-            let answer: WireRangeAnswer = self.call(Step::Range, "/v3/kv/range", &body).await?;
-            range_from_wire(answer).map_err(|cause| self.unreadable(Step::Range, cause))
+            let resp: WireRangeResponse = self.call(Step::Range, "/v3/kv/range", &body).await?;
+            range_from_wire(resp).map_err(|cause| self.unreadable(Step::Range, cause))
         })
     }
 
     fn txn(self, txn: Txn) -> StoreFuture<TxnResponse> {
         Box::pin(async move {
             let body = txn_to_wire(&txn);
-            let answer: WireTxnAnswer = self.call(Step::Txn, "/v3/kv/txn", &body).await?;
-            txn_from_wire(answer).map_err(|cause| self.unreadable(Step::Txn, cause))
+            let resp: WireTxnResponse = self.call(Step::Txn, "/v3/kv/txn", &body).await?;
+            txn_from_wire(resp).map_err(|cause| self.unreadable(Step::Txn, cause))
         })
     }
 
@@ -109,10 +110,10 @@
         Box::pin(async move {
             let ttl = Int64::from_u64(ttl.0.div_ceil(1000));
             let body = WireLeaseGrant { ttl };
-            let answer: WireLease = self
+            let resp: WireLease = self
                 .call(Step::LeaseGrant, "/v3/lease/grant", &body)
                 .await?;
-            Ok(lease_from_wire(&answer))
+            Ok(lease_from_wire(&resp))
         })
     }
 
@@ -120,11 +121,12 @@
         Box::pin(async move {
             let step = Step::LeaseKeepalive;
             let body = WireLeaseId { id: Int64(id.0) };
-            let answer: Streamed<WireLease> = self.call(step, "/v3/lease/keepalive", &body).await?;
-            // The service answers for a lapsed lease with a lease of no remaining time.
-            match answer.result {
+            let resp: StreamObject<WireLease> =
+                self.call(step, "/v3/lease/keepalive", &body).await?;
+            // For an expired lease, the service returns a time to live of zero.
+            match resp.result {
                 Some(lease) if lease.ttl.0 > 0 => Ok(lease_from_wire(&lease)),
-                _ => Err(self.refused(step, Cause::LeaseNotFound)),
+                _ => Err(self.not_applied(step, Cause::LeaseNotFound)),
             }
         })
     }
@@ -142,14 +144,14 @@
     fn watch(self, req: WatchRequest) -> StoreFuture<WatchStream> {
         Box::pin(async move {
             let call = self.request(Step::Watch, "/v3/watch", &watch_to_wire(&req));
-            let mut streaming = self.client.open(call).await?;
+            let mut streaming = self.client.open_stream(call).await?;
             if !streaming.status.is_success() {
-                let body = streaming.next().await.and_then(Result::ok);
+                let body = streaming.next_chunk().await.and_then(Result::ok);
                 let status = streaming.status;
                 let body = body.unwrap_or_default();
-                return Err(self.refusal(Step::Watch, &FullResponse { status, body }));
+                return Err(self.error_from_response(Step::Watch, &FullResponse { status, body }));
             }
-            Watching::confirm(self, streaming).await
+            WatchReader::open(self, streaming).await
         })
     }
 
@@ -170,21 +172,22 @@
         path: &'static str,
         body: &impl Serialize,
     ) -> Result<T, StoreError> {
-        let answer = self.client.call(self.request(step, path, body)).await?;
-        if !answer.status.is_success() {
-            return Err(self.refusal(step, &answer));
+        let resp = self.client.call(self.request(step, path, body)).await?;
+        if !resp.status.is_success() {
+            return Err(self.error_from_response(step, &resp));
         }
-        serde_json::from_slice(&answer.body).map_err(|err| {
+        serde_json::from_slice(&resp.body).map_err(|err| {
             let message = err.to_string();
             self.unreadable(step, Cause::Unreadable { message })
         })
     }
 
-    /// Reads a refusal. Only a refusal that the service gives before it runs a call counts
-    /// as "not applied"; a gateway's or a replica's failure leaves the effect open.
-    fn refusal(&self, step: Step, answer: &FullResponse) -> StoreError {
-        let err: WireError = serde_json::from_slice(&answer.body).unwrap_or_default();
-        let status = answer.status;
+    /// Builds the error for a response with an error status. The call counts as not applied only
+    /// if the service itself rejected it before running it; an error of a gateway or a replica
+    /// leaves this open.
+    fn error_from_response(&self, step: Step, resp: &FullResponse) -> StoreError {
+        let err: WireError = serde_json::from_slice(&resp.body).unwrap_or_default();
+        let status = resp.status;
         let cause = match err.code {
             CODE_RESOURCE_EXHAUSTED => Cause::RateLimited,
             CODE_OUT_OF_RANGE => Cause::Compacted { oldest: 0 },
@@ -192,21 +195,21 @@
             _ if status == StatusCode::TOO_MANY_REQUESTS => Cause::RateLimited,
             _ => Cause::Refused {
                 status: status.as_u16(),
-                message: first_of(err.message, err.error),
+                message: message_or_error(err.message, err.error),
             },
         };
-        let judged = matches!(
+        let rejected_before_execution = matches!(
             err.code,
             CODE_RESOURCE_EXHAUSTED | CODE_OUT_OF_RANGE | CODE_NOT_FOUND | CODE_INVALID_ARGUMENT
         );
-        let effect = match judged || status == StatusCode::TOO_MANY_REQUESTS {
+        let effect = match rejected_before_execution || status == StatusCode::TOO_MANY_REQUESTS {
             true => Effect::NotApplied,
             false => Effect::MayBeApplied,
         };
         self.client.error(step, effect, cause)
     }
 
-    fn refused(&self, step: Step, cause: Cause) -> StoreError {
+    fn not_applied(&self, step: Step, cause: Cause) -> StoreError {
         self.client.error(step, Effect::NotApplied, cause)
     }
 
@@ -215,6 +218,6 @@
     }
 }
 
-fn first_of(message: String, error: String) -> String {
+fn message_or_error(message: String, error: String) -> String {
     if message.is_empty() { error } else { message }
 }
--- a/crates/store/src/http_store/wire.rs
+++ b/crates/store/src/http_store/wire.rs
@@ -1,17 +1,17 @@
-//! The JSON messages of the key-value service: base64 keys and values, 64-bit numbers as
-//! strings, fields with a default value left out.
+//! The JSON messages of the key-value service. Keys and values are base64, 64-bit numbers are
+//! strings, and fields with their default value are omitted.
 
 use base64::Engine;
 use base64::engine::general_purpose::STANDARD;
 use bytes::Bytes;
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 
-/// Bytes as base64 text.
+/// Bytes that are serialized as base64.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(crate) struct Base64(pub Bytes);
 
 impl Base64 {
-    pub(crate) fn text(text: &str) -> Self {
+    pub(crate) fn from_text(text: &str) -> Self {
         Self(Bytes::copy_from_slice(text.as_bytes()))
     }
 }
@@ -32,7 +32,7 @@
     }
 }
 
-/// A 64-bit number, written as a string and read from a string or a number.
+/// A 64-bit integer that is serialized as a string and deserialized from a string or a number.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct Int64(pub i64);
 
@@ -56,13 +56,13 @@
     fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
         #[derive(Deserialize)]
         #[serde(untagged)]
-        enum Form {
+        enum Repr {
             Number(i64),
             Text(String),
         }
-        match Form::deserialize(deserializer)? {
-            Form::Number(value) => Ok(Self(value)),
-            Form::Text(text) => text.parse().map(Self).map_err(serde::de::Error::custom),
+        match Repr::deserialize(deserializer)? {
+            Repr::Number(value) => Ok(Self(value)),
+            Repr::Text(text) => text.parse().map(Self).map_err(serde::de::Error::custom),
         }
     }
 }
@@ -93,7 +93,7 @@
 
 #[derive(Debug, Default, Deserialize)]
 #[serde(default)]
-pub(crate) struct WireRangeAnswer {
+pub(crate) struct WireRangeResponse {
     pub header: Header,
     pub kvs: Vec<WireKeyValue>,
     pub more: bool,
@@ -143,16 +143,16 @@
 
 #[derive(Debug, Default, Deserialize)]
 #[serde(default)]
-pub(crate) struct WireTxnAnswer {
+pub(crate) struct WireTxnResponse {
     pub header: Header,
     pub succeeded: bool,
-    pub responses: Vec<WireOpAnswer>,
+    pub responses: Vec<WireOpResponse>,
 }
 
 #[derive(Debug, Default, Deserialize)]
 #[serde(default)]
-pub(crate) struct WireOpAnswer {
-    pub response_range: Option<WireRangeAnswer>,
+pub(crate) struct WireOpResponse {
+    pub response_range: Option<WireRangeResponse>,
 }
 
 #[derive(Debug, Serialize)]
@@ -176,9 +176,9 @@
     pub ttl: Int64,
 }
 
-/// One object of a streamed answer.
+/// An object of a streamed response, either a result or an error.
 #[derive(Debug, Deserialize)]
-pub(crate) struct Streamed<T> {
+pub(crate) struct StreamObject<T> {
     pub result: Option<T>,
     pub error: Option<WireError>,
 }
@@ -199,7 +199,7 @@
 
 #[derive(Debug, Default, Deserialize)]
 #[serde(default)]
-pub(crate) struct WireWatchAnswer {
+pub(crate) struct WireWatchResponse {
     pub header: Header,
     pub canceled: bool,
     pub compact_revision: Int64,
@@ -215,7 +215,7 @@
     pub kv: WireKeyValue,
 }
 
-/// The body of a refused call.
+/// The body of an error response.
 #[derive(Debug, Default, Deserialize)]
 #[serde(default)]
 pub(crate) struct WireError {
--- a/crates/store/src/http_vm_list.rs
+++ b/crates/store/src/http_vm_list.rs
@@ -1,4 +1,4 @@
-//! The adapter for the platform's VM list: `GET /v1/vms`, a JSON array of records.
+//! The HTTP adapter for the platform's VM list: `GET /v1/vms` returns a JSON array of records.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -13,7 +13,7 @@
 
 const PATH: &str = "/v1/vms";
 
-/// Makes the port to the VM list at `peer`; a read gives up after `limit`.
+/// Creates a client for the VM list at `peer`. A read fails after `limit`.
 pub fn connect(peer: SocketAddr, limit: Duration) -> VmList {
     let client = Client::new(peer, limit, limit);
     VmList {
@@ -32,14 +32,14 @@
         body: Bytes::new(),
         limit,
     };
-    let answer = client.call(call).await?;
-    if !answer.status.is_success() {
-        let status = answer.status.as_u16();
-        let message = String::from_utf8_lossy(&answer.body).into_owned();
+    let resp = client.call(call).await?;
+    if !resp.status.is_success() {
+        let status = resp.status.as_u16();
+        let message = String::from_utf8_lossy(&resp.body).into_owned();
         let refused = Cause::Refused { status, message };
         return Err(client.error(Step::VmList, Effect::NotApplied, refused));
     }
-    serde_json::from_slice(&answer.body).map_err(|err| {
+    serde_json::from_slice(&resp.body).map_err(|err| {
         let message = err.to_string();
         client.error(
             Step::VmList,
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -1,9 +1,10 @@
-//! What the daemons keep in the platform's key-value service, and how they reach it.
+//! Access to the platform's key-value service and VM list, and the data that daemons store there.
 //!
-//! [`port`] and [`vm_list`] are the ports, [`http_store`] and [`http_vm_list`] the adapters
-//! that speak the platform's published protocol. [`budget`] limits a daemon's calls. On these
-//! stand [`commit`] and [`follow`] for the settings, [`claim`] for idempotency keys and
-//! [`capacity`] for the parts of a failure domain's capacity.
+//! [`port`] and [`vm_list`] define the interfaces; [`http_store`] and [`http_vm_list`] implement
+//! them over the platform's published HTTP protocol, and [`budget`] limits the rate of a daemon's
+//! calls. Built on these are [`commit`], which writes the settings, and [`follow`], which reads
+//! them; [`claim`] for idempotency keys; and [`capacity`], which divides a failure domain's
+//! capacity among its VMs.
 
 pub mod backoff;
 pub mod budget;
@@ -15,6 +16,6 @@
 pub mod http_client;
 pub mod http_store;
 pub mod http_vm_list;
-pub mod lease_book;
 pub mod port;
+pub mod shared_leases;
 pub mod vm_list;
--- a/crates/store/src/port.rs
+++ b/crates/store/src/port.rs
@@ -1,4 +1,4 @@
-//! The port to the platform's key-value service.
+//! The interface to the platform's key-value service.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -11,13 +11,14 @@
 
 use crate::error::StoreError;
 
-/// What a call on the store gives.
+/// The future returned by a call to the store.
 pub type StoreFuture<T> = LocalBoxFuture<'static, Result<T, StoreError>>;
 
-/// The messages of one watch, until it ends or fails.
+/// The messages of a watch. The stream ends after an error.
 pub type WatchStream = LocalBoxStream<'static, Result<WatchMessage, StoreError>>;
 
-/// The store's own count of its transactions. Zero stands for "never" and "newest".
+/// The revision counter of the store, which grows with every write. Zero means "does not exist" in
+/// a comparison and "from the next change on" in a watch.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct StoreRevision(pub u64);
 
@@ -27,41 +28,41 @@
     }
 }
 
-/// The number of a lease. Zero stands for "no lease".
+/// The identifier of a lease. Zero means "no lease".
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct LeaseId(pub i64);
 
-/// One key as the store holds it.
+/// A key with its value and metadata.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct KeyValue {
     /// The key.
     pub key: String,
-    /// The value, at most a megabyte.
+    /// The value, at most one megabyte.
     pub value: Bytes,
     /// The revision at which the key was created.
     pub create_revision: StoreRevision,
-    /// The revision of the last change.
+    /// The revision at which the key was last modified.
     pub mod_revision: StoreRevision,
-    /// The lease that the key is tied to.
+    /// The lease that the key is attached to.
     pub lease: LeaseId,
 }
 
-/// Which keys to read.
+/// A request to read one key or a range of keys.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RangeRequest {
-    /// The only key, or the first key of a range.
+    /// The key, or the first key of the range.
     pub key: String,
-    /// The first key past the range; `None` reads the one key.
+    /// The exclusive end of the range, or `None` to read a single key.
     pub end: Option<String>,
-    /// The most keys to return; zero for no limit.
+    /// The maximum number of keys to return, or zero for no limit.
     pub limit: u32,
-    /// Whether an answer that is seconds old will do. A store may give such answers at less
-    /// cost; one that can't gives a current one.
+    /// Whether a response that is a few seconds old is acceptable. Some stores serve such reads at
+    /// lower cost; the others ignore this.
     pub may_be_stale: bool,
 }
 
 impl RangeRequest {
-    /// Reads one key.
+    /// Creates a request for a single key.
     pub fn key(key: impl Into<String>) -> Self {
         Self {
             key: key.into(),
@@ -71,7 +72,7 @@
         }
     }
 
-    /// Reads every key that starts with `prefix`.
+    /// Creates a request for all keys that start with `prefix`.
     pub fn prefix(prefix: impl Into<String>) -> Self {
         let key = prefix.into();
         let end = prefix_end(&key);
@@ -83,7 +84,7 @@
         }
     }
 
-    /// Reads the keys from `first` up to `end`, which is left out.
+    /// Creates a request for the keys from `first` up to, but not including, `end`.
     pub fn between(first: impl Into<String>, end: impl Into<String>) -> Self {
         Self {
             key: first.into(),
@@ -93,14 +94,14 @@
         }
     }
 
-    /// Sets the most keys to return.
+    /// Sets the maximum number of keys to return.
     pub fn limit(mut self, limit: u32) -> Self {
         self.limit = limit;
         self
     }
 }
 
-/// Gives the first key past all keys that start with `prefix`.
+/// Returns the exclusive end of the range of keys that start with `prefix`.
 pub fn prefix_end(prefix: &str) -> String {
     let mut chars: Vec<char> = prefix.chars().collect();
     while let Some(last) = chars.pop() {
@@ -113,23 +114,23 @@
     "\0".to_owned()
 }
 
-/// The keys that a read found.
+/// The result of a read.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RangeResponse {
     /// The store's revision at the time of the read.
     pub revision: StoreRevision,
-    /// The keys, in order.
+    /// The keys found, in ascending order.
     pub kvs: Vec<KeyValue>,
-    /// Whether keys were left out because of the limit.
+    /// Whether the range has more keys than the limit allowed.
     pub more: bool,
 }
 
-/// A condition of a transaction.
+/// A precondition of a transaction.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Compare {
-    /// The key was last changed at this revision; zero for a key that does not exist.
+    /// The key was last modified at this revision; zero if it does not exist.
     ModRevision(String, StoreRevision),
-    /// The key was created at this revision; zero for a key that does not exist.
+    /// The key was created at this revision; zero if it does not exist.
     CreateRevision(String, StoreRevision),
 }
 
@@ -139,13 +140,13 @@
         Self::CreateRevision(key.into(), StoreRevision(0))
     }
 
-    /// Requires that the key was last changed at `revision`.
+    /// Requires that the key was last modified at `revision`.
     pub fn unchanged(key: impl Into<String>, revision: StoreRevision) -> Self {
         Self::ModRevision(key.into(), revision)
     }
 }
 
-/// One step of a transaction.
+/// An operation of a transaction.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Op {
     /// Reads keys.
@@ -154,22 +155,22 @@
     Put {
         /// The key.
         key: String,
-        /// The value, at most a megabyte.
+        /// The value, at most one megabyte.
         value: Bytes,
-        /// The lease whose end deletes the key.
+        /// The lease that the key is attached to. The key is deleted when the lease ends.
         lease: LeaseId,
     },
-    /// Deletes a key, or the keys up to `end`, which is left out.
+    /// Deletes a key or a range of keys.
     Delete {
-        /// The only key, or the first key of a range.
+        /// The key, or the first key of the range.
         key: String,
-        /// The first key past the range.
+        /// The exclusive end of the range, or `None` to delete a single key.
         end: Option<String>,
     },
 }
 
 impl Op {
-    /// Writes a key that is tied to no lease.
+    /// Creates an operation that writes a key without a lease.
     pub fn put(key: impl Into<String>, value: impl Into<Bytes>) -> Self {
         Self::Put {
             key: key.into(),
@@ -178,12 +179,12 @@
         }
     }
 
-    /// Reads one key.
+    /// Creates an operation that reads one key.
     pub fn get(key: impl Into<String>) -> Self {
         Self::Range(RangeRequest::key(key))
     }
 
-    /// Deletes one key.
+    /// Creates an operation that deletes one key.
     pub fn delete(key: impl Into<String>) -> Self {
         Self::Delete {
             key: key.into(),
@@ -192,56 +193,57 @@
     }
 }
 
-/// Steps that the store applies together if every condition holds, or else the other steps.
+/// A transaction: the store atomically applies one of two lists of operations, depending on
+/// whether all preconditions hold.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Txn {
-    /// The conditions.
+    /// The preconditions.
     pub compares: Vec<Compare>,
-    /// Applied where every condition holds.
+    /// The operations applied if all preconditions hold.
     pub success: Vec<Op>,
-    /// Applied where a condition does not hold.
+    /// The operations applied otherwise.
     pub failure: Vec<Op>,
 }
 
-/// What a transaction did.
+/// The result of a transaction.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct TxnResponse {
     /// The store's revision after the transaction.
     pub revision: StoreRevision,
-    /// Whether every condition held.
+    /// Whether all preconditions held.
     pub succeeded: bool,
-    /// What each [`Op::Range`] of the applied steps found, in order.
+    /// The results of the applied [`Op::Range`] operations, in order.
     pub ranges: Vec<RangeResponse>,
 }
 
 impl TxnResponse {
-    /// Gives the first key that the `index`th read found.
-    pub fn first_of(&self, index: usize) -> Option<&KeyValue> {
+    /// Returns the first key found by the read at `index`.
+    pub fn first_kv(&self, index: usize) -> Option<&KeyValue> {
         self.ranges.get(index)?.kvs.first()
     }
 }
 
-/// A lease as the store granted or extended it.
+/// A lease as granted or extended by the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Lease {
-    /// Its number.
+    /// The identifier of the lease.
     pub id: LeaseId,
-    /// How long it lasts from the moment the store granted or extended it.
+    /// The time to live, counted from when the store granted or extended the lease.
     pub ttl: Millis,
 }
 
-/// Which keys to watch.
+/// A request to watch one key or a range of keys.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WatchRequest {
-    /// The only key, or the first key of a range.
+    /// The key, or the first key of the range.
     pub key: String,
-    /// The first key past the range.
+    /// The exclusive end of the range, or `None` to watch a single key.
     pub end: Option<String>,
-    /// The first revision to report; zero for the next one.
+    /// The first revision to report, or zero to start with the next change.
     pub start: StoreRevision,
 }
 
-/// A change that a watch reports.
+/// A change reported by a watch.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
     /// The key was written.
@@ -250,19 +252,19 @@
     Delete(String, StoreRevision),
 }
 
-/// One message of a watch. A message without events shows only that the watch is alive.
+/// A message of a watch. A message without events only shows that the watch is alive.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct WatchMessage {
     /// The store's revision when the message was sent.
     pub revision: StoreRevision,
-    /// The changes, the oldest first.
+    /// The changes, oldest first.
     pub events: Vec<Event>,
 }
 
-/// The platform's key-value service, as functions that an adapter or a fake supplies.
+/// The platform's key-value service, implemented by an adapter or a test fake.
 ///
-/// Every function ends within a time that the adapter sets. The handle is cheap to clone
-/// and belongs to one thread.
+/// The adapter bounds the duration of every call. The handle is cheap to clone and can be used on
+/// one thread only.
 #[derive(Clone)]
 pub struct Store {
     /// The address of the service, named in errors.
@@ -271,32 +273,32 @@
     pub range: Rc<dyn Fn(RangeRequest) -> StoreFuture<RangeResponse>>,
     /// Runs a transaction.
     pub txn: Rc<dyn Fn(Txn) -> StoreFuture<TxnResponse>>,
-    /// Grants a lease of at least the given span.
+    /// Grants a lease with at least the given time to live.
     pub lease_grant: Rc<dyn Fn(Millis) -> StoreFuture<Lease>>,
-    /// Extends a lease by its whole span.
+    /// Resets a lease to its full time to live.
     pub lease_keepalive: Rc<dyn Fn(LeaseId) -> StoreFuture<Lease>>,
-    /// Ends a lease and deletes the keys that are tied to it.
+    /// Revokes a lease and deletes the keys that are attached to it.
     pub lease_revoke: Rc<dyn Fn(LeaseId) -> StoreFuture<()>>,
-    /// Starts a watch. The future ends when the store has confirmed the watch.
+    /// Starts a watch. The future completes once the store has confirmed the watch.
     pub watch: Rc<dyn Fn(WatchRequest) -> StoreFuture<WatchStream>>,
 }
 
 impl Store {
-    /// Reads one key.
+    /// Reads one key. Returns `None` if it does not exist.
     ///
     /// # Errors
     ///
-    /// Returns an error where the store does not answer the read.
+    /// Returns an error if the read fails.
     pub async fn get(&self, key: &str) -> Result<Option<KeyValue>, StoreError> {
         let found = (self.range)(RangeRequest::key(key)).await?;
         Ok(found.kvs.into_iter().next())
     }
 
-    /// Reads the keys of a range.
+    /// Reads a range of keys.
     ///
     /// # Errors
     ///
-    /// Returns an error where the store does not answer the read.
+    /// Returns an error if the read fails.
     pub async fn range(&self, req: RangeRequest) -> Result<RangeResponse, StoreError> {
         (self.range)(req).await
     }
@@ -305,16 +307,16 @@
     ///
     /// # Errors
     ///
-    /// Returns an error that says whether the transaction may have been applied.
+    /// Returns an error if the call fails; it tells whether the transaction may have been applied.
     pub async fn txn(&self, txn: Txn) -> Result<TxnResponse, StoreError> {
         (self.txn)(txn).await
     }
 
-    /// Writes one key without a condition.
+    /// Writes one key without a precondition.
     ///
     /// # Errors
     ///
-    /// Returns an error that says whether the write may have been applied.
+    /// Returns an error if the call fails; it tells whether the write may have been applied.
     pub async fn put(
         &self,
         key: &str,
--- a/crates/store/src/vm_list.rs
+++ b/crates/store/src/vm_list.rs
@@ -1,4 +1,4 @@
-//! The port to the platform's lagging list of VMs.
+//! The interface to the platform's list of VMs, which lags behind the actual state.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -9,37 +9,37 @@
 
 use crate::port::StoreFuture;
 
-/// What the platform says of a VM. The list lags, so the state is that of a while ago.
+/// The state of a VM as the platform last reported it. The list lags behind the actual state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum VmState {
-    /// The VM runs.
+    /// The VM is running.
     Live,
-    /// The VM will be taken away soon.
+    /// The VM will be removed soon.
     Leaving,
-    /// The VM has been taken away. Its name is never given to another VM.
+    /// The VM has been removed. Its name is never reused.
     Gone,
 }
 
-/// One VM in the platform's list.
+/// An entry of the platform's list of VMs.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VmRecord {
     /// The name of the VM.
     pub name: VmName,
-    /// The failure domain that it lies in.
+    /// The failure domain of the VM.
     pub domain: DomainName,
-    /// Where its daemon accepts connections of peers.
+    /// The address at which the VM's daemon accepts connections from peers.
     pub address: SocketAddr,
-    /// Its state.
+    /// The reported state.
     pub state: VmState,
-    /// How long ago the platform last observed the VM.
+    /// The time since the platform last observed the VM, in milliseconds.
     pub age_ms: Millis,
 }
 
-/// The platform's VM list, as a function that an adapter or a fake supplies.
+/// The platform's VM list, implemented by an adapter or a test fake.
 #[derive(Clone)]
 pub struct VmList {
-    /// Reads the whole list.
+    /// Reads the complete list.
     pub read: Rc<dyn Fn() -> StoreFuture<Vec<VmRecord>>>,
 }
 
--- a/crates/store/tests/budget.rs
+++ b/crates/store/tests/budget.rs
@@ -48,7 +48,7 @@
     });
 
     let retry_after = Millis(500);
-    assert_eq!(refused.source, Cause::HeldBack { retry_after });
+    assert_eq!(refused.source, Cause::BudgetExhausted { retry_after });
     assert_eq!(
         (refused.step, refused.effect),
         (Step::Budget, Effect::NotApplied)
--- a/crates/store/tests/capacity.rs
+++ b/crates/store/tests/capacity.rs
@@ -17,20 +17,20 @@
 use support::{platform, store};
 
 struct Vm {
-    keeper: CapacityReconciler,
+    reconciler: CapacityReconciler,
     used: Rc<Cell<u16>>,
 }
 
 fn vm(store: &Store, name: &str, incarnation: u64) -> Vm {
     let used = Rc::new(Cell::new(0));
-    let holder = CapacityState::new(VmName::from(name), Incarnation(incarnation));
+    let state = CapacityState::new(VmName::from(name), Incarnation(incarnation));
     let domain = DomainName::from("north-a");
     let reported = used.clone();
-    let keeper = CapacityReconciler::new(store.clone(), &domain, holder, move || reported.get());
-    Vm { keeper, used }
+    let reconciler = CapacityReconciler::new(store.clone(), &domain, state, move || reported.get());
+    Vm { reconciler, used }
 }
 
-fn nobody() -> Departures {
+fn no_departures() -> Departures {
     Departures::default()
 }
 
@@ -40,16 +40,16 @@
     Departures { leaving, gone }
 }
 
-async fn rounds(vms: &[&Vm], departures: &Departures) {
+async fn reconcile_all(vms: &[&Vm], departures: &Departures) {
     for _ in 0..3 {
         for vm in vms {
-            vm.keeper.reconcile(departures).await.unwrap();
+            vm.reconciler.reconcile(departures).await.unwrap();
         }
     }
 }
 
 fn limits(vms: &[&Vm]) -> Vec<u16> {
-    vms.iter().map(|vm| vm.keeper.limit()).collect()
+    vms.iter().map(|vm| vm.reconciler.limit()).collect()
 }
 
 fn ledger(platform: &PlatformHandle) -> Ledger {
@@ -64,11 +64,11 @@
     let (a, b, c) = (vm(&store, "a", 1), vm(&store, "b", 2), vm(&store, "c", 3));
 
     let (alone, two, three) = block_on(async {
-        rounds(&[&a], &nobody()).await;
+        reconcile_all(&[&a], &no_departures()).await;
         let alone = limits(&[&a]);
-        rounds(&[&a, &b], &nobody()).await;
+        reconcile_all(&[&a, &b], &no_departures()).await;
         let two = limits(&[&a, &b]);
-        rounds(&[&a, &b, &c], &nobody()).await;
+        reconcile_all(&[&a, &b, &c], &no_departures()).await;
         (alone, two, limits(&[&a, &b, &c]))
     });
 
@@ -85,10 +85,10 @@
     let a = vm(&store, "a", 1);
 
     let calls = block_on(async {
-        rounds(&[&a], &nobody()).await;
+        reconcile_all(&[&a], &no_departures()).await;
         let before = platform.calls();
-        let round = a.keeper.reconcile(&nobody()).await.unwrap();
-        assert_eq!(round, ReconcileOutcome::Settled);
+        let outcome = a.reconciler.reconcile(&no_departures()).await.unwrap();
+        assert_eq!(outcome, ReconcileOutcome::Settled);
         platform.calls().total() - before.total()
     });
 
@@ -104,10 +104,10 @@
     let (a, b) = (vm(&store, "a", 1), vm(&store, "b", 2));
 
     let (before, after) = block_on(async {
-        rounds(&[&a, &b], &nobody()).await;
-        rounds(&[&a], &nobody()).await;
+        reconcile_all(&[&a, &b], &no_departures()).await;
+        reconcile_all(&[&a], &no_departures()).await;
         let before = limits(&[&a]);
-        rounds(&[&a], &gone("b")).await;
+        reconcile_all(&[&a], &gone("b")).await;
         (before, limits(&[&a]))
     });
 
@@ -123,8 +123,8 @@
     let new = vm(&store, "b", 3);
 
     let limit = block_on(async {
-        rounds(&[&a, &old], &nobody()).await;
-        new.keeper.reconcile(&nobody()).await.unwrap();
+        reconcile_all(&[&a, &old], &no_departures()).await;
+        new.reconciler.reconcile(&no_departures()).await.unwrap();
         limits(&[&a, &new])
     });
 
@@ -141,14 +141,14 @@
     let (old, new) = (vm(&store, "a", 1), vm(&store, "a", 2));
 
     let limits = block_on(async {
-        rounds(&[&old], &nobody()).await;
-        rounds(&[&new], &nobody()).await;
-        rounds(&[&old], &nobody()).await;
+        reconcile_all(&[&old], &no_departures()).await;
+        reconcile_all(&[&new], &no_departures()).await;
+        reconcile_all(&[&old], &no_departures()).await;
         limits(&[&old, &new])
     });
 
     assert_eq!(limits, [0, 1000]);
-    assert!(old.keeper.is_replaced());
+    assert!(old.reconciler.is_replaced());
     let held = ledger(&platform).part_of(&VmName::from("a"), Incarnation(2));
     assert_eq!(held, 1000);
 }
@@ -162,12 +162,12 @@
     let (a, b) = (vm(&store, "a", 1), vm(&store, "b", 2));
 
     let (busy, eased) = block_on(async {
-        rounds(&[&a], &nobody()).await;
+        reconcile_all(&[&a], &no_departures()).await;
         a.used.set(900);
-        rounds(&[&b, &a], &nobody()).await;
+        reconcile_all(&[&b, &a], &no_departures()).await;
         let busy = limits(&[&a, &b]);
         a.used.set(100);
-        rounds(&[&a, &b], &nobody()).await;
+        reconcile_all(&[&a, &b], &no_departures()).await;
         (busy, limits(&[&a, &b]))
     });
 
@@ -184,10 +184,10 @@
     let (a, b) = (vm(&store, "a", 1), vm(&store, "b", 2));
 
     let limits = block_on(async {
-        rounds(&[&a], &nobody()).await;
+        reconcile_all(&[&a], &no_departures()).await;
         platform.faults(|faults| faults.down = Some(Down::Closes));
-        assert!(a.keeper.reconcile(&nobody()).await.is_err());
-        assert!(b.keeper.reconcile(&nobody()).await.is_err());
+        assert!(a.reconciler.reconcile(&no_departures()).await.is_err());
+        assert!(b.reconciler.reconcile(&no_departures()).await.is_err());
         limits(&[&a, &b])
     });
 
@@ -204,14 +204,14 @@
     let (a, b) = (vm(&store, "a", 1), vm(&store, "b", 2));
 
     let (reread, after) = block_on(async {
-        rounds(&[&a], &nobody()).await;
-        b.keeper.reconcile(&nobody()).await.unwrap();
+        reconcile_all(&[&a], &no_departures()).await;
+        b.reconciler.reconcile(&no_departures()).await.unwrap();
         platform.faults(|faults| faults.hold_writes = 2);
-        assert!(a.keeper.reconcile(&nobody()).await.is_err());
-        assert!(a.keeper.reconcile(&nobody()).await.is_err());
-        let reread = a.keeper.limit();
+        assert!(a.reconciler.reconcile(&no_departures()).await.is_err());
+        assert!(a.reconciler.reconcile(&no_departures()).await.is_err());
+        let reread = a.reconciler.limit();
         platform.release_held();
-        rounds(&[&b, &a], &nobody()).await;
+        reconcile_all(&[&b, &a], &no_departures()).await;
         (reread, limits(&[&a, &b]))
     });
 
@@ -229,10 +229,10 @@
     platform.faults(|faults| faults.lose_answers = 1);
 
     let (lost, seen) = block_on(async {
-        assert!(a.keeper.reconcile(&nobody()).await.is_err());
-        let lost = a.keeper.limit();
-        a.keeper.reconcile(&nobody()).await.unwrap();
-        (lost, a.keeper.limit())
+        assert!(a.reconciler.reconcile(&no_departures()).await.is_err());
+        let lost = a.reconciler.limit();
+        a.reconciler.reconcile(&no_departures()).await.unwrap();
+        (lost, a.reconciler.limit())
     });
 
     assert_eq!(lost, 0);
@@ -245,13 +245,13 @@
     let store = store(&platform);
     let (a, b) = (vm(&store, "a", 1), vm(&store, "b", 2));
 
-    let round = block_on(async {
-        rounds(&[&a], &nobody()).await;
+    let outcome = block_on(async {
+        reconcile_all(&[&a], &no_departures()).await;
         platform.faults(|faults| faults.conflicts = 2);
-        b.keeper.reconcile(&nobody()).await.unwrap()
+        b.reconciler.reconcile(&no_departures()).await.unwrap()
     });
 
-    assert_eq!(round, ReconcileOutcome::Settled);
+    assert_eq!(outcome, ReconcileOutcome::Settled);
     assert_eq!(ledger(&platform).entries.len(), 2);
 }
 
@@ -263,7 +263,7 @@
     let broken = r#"{"e":[{"v":"x","i":1,"p":800},{"v":"y","i":2,"p":300}]}"#;
     platform.put("hk/capacity/north-a", broken);
 
-    let failure = block_on(a.keeper.reconcile(&nobody())).unwrap_err();
+    let failure = block_on(a.reconciler.reconcile(&no_departures())).unwrap_err();
 
     let text = failure.to_string();
     assert!(
@@ -281,7 +281,7 @@
     let fault = ledger.check().unwrap_err();
 
     let vm = VmName::from("x");
-    assert_eq!(fault, LedgerError::Order { vm });
+    assert_eq!(fault, LedgerError::OutOfOrder { vm });
 }
 
 #[test]
@@ -321,10 +321,10 @@
     };
 
     let (all_leaving, one_leaving) = block_on(async {
-        rounds(&[&a, &b], &nobody()).await;
-        rounds(&[&a, &b], &all).await;
+        reconcile_all(&[&a, &b], &no_departures()).await;
+        reconcile_all(&[&a, &b], &all).await;
         let all_leaving = limits(&[&a, &b]);
-        rounds(&[&a, &b], &one).await;
+        reconcile_all(&[&a, &b], &one).await;
         (all_leaving, limits(&[&a, &b]))
     });
 
@@ -344,18 +344,20 @@
         leaving: vec![VmName::from("b")],
         gone: Vec::new(),
     };
-    let mut holder = CapacityState::new(VmName::from("a"), Incarnation(1));
-    holder.observe(&ledger, before).unwrap();
-    let lowering = holder.plan_write(&ledger, before, 0, &nobody()).unwrap();
-    holder.record_send(&lowering);
-    holder.observe(&ledger, before).unwrap();
-    let raising = holder.plan_write(&ledger, before, 0, &b_leaves).unwrap();
-    holder.record_send(&raising);
-
-    holder.observe(&ledger, before).unwrap();
-    let unresolved = holder.limit();
-    holder.observe(&ledger, after).unwrap();
+    let mut state = CapacityState::new(VmName::from("a"), Incarnation(1));
+    state.observe(&ledger, before).unwrap();
+    let lowering = state
+        .plan_write(&ledger, before, 0, &no_departures())
+        .unwrap();
+    state.record_send(&lowering);
+    state.observe(&ledger, before).unwrap();
+    let raising = state.plan_write(&ledger, before, 0, &b_leaves).unwrap();
+    state.record_send(&raising);
+
+    state.observe(&ledger, before).unwrap();
+    let unresolved = state.limit();
+    state.observe(&ledger, after).unwrap();
 
     assert_eq!(unresolved, 500);
-    assert_eq!(holder.limit(), 1000);
+    assert_eq!(state.limit(), 1000);
 }
