--- a/crates/store/tests/capacity_model.rs
+++ b/crates/store/tests/capacity_model.rs
@@ -17,22 +17,22 @@
     Read(u8),
     Plan(u8),
     Apply { write: u8, answered: bool },
-    Lose(u8),
-    GiveUp(u8),
+    DropWrite(u8),
+    TimeOut(u8),
     Admit(u8),
     Finish(u8),
-    Die(u8),
-    TakeAway(u8),
+    Crash(u8),
+    RemoveVm(u8),
     ReportGone,
     SetLeaving(u8),
 }
 
 struct Process {
-    holder: CapacityState,
+    state: CapacityState,
     incarnation: Incarnation,
     used: u16,
     seen: Option<(Ledger, StoreRevision)>,
-    awaits: Option<u64>,
+    awaiting: Option<u64>,
 }
 
 #[derive(Clone)]
@@ -40,69 +40,69 @@
     id: u64,
     vm: usize,
     incarnation: Incarnation,
-    intent: PlannedWrite,
+    planned: PlannedWrite,
 }
 
 #[derive(Default)]
-struct World {
+struct Simulation {
     ledger: Ledger,
     revision: u64,
     next_id: u64,
     processes: [Option<Process>; VMS],
-    taken_away: [bool; VMS],
-    reported: Vec<VmName>,
+    removed: [bool; VMS],
+    reported_gone: Vec<VmName>,
     leaving: Vec<VmName>,
     network: Vec<Write>,
 }
 
-fn name(vm: usize) -> VmName {
+fn vm_name(vm: usize) -> VmName {
     VmName::from(format!("vm-{vm}"))
 }
 
-impl World {
+impl Simulation {
     fn step(&mut self, action: Action) {
         match action {
             Action::Start(vm) => self.start(usize::from(vm) % VMS),
             Action::Read(vm) => self.read(usize::from(vm) % VMS),
             Action::Plan(vm) => self.plan(usize::from(vm) % VMS),
             Action::Apply { write, answered } => self.apply(write.into(), answered),
-            Action::Lose(write) => self.lose(write.into()),
-            Action::GiveUp(vm) => self.on(vm, |process| process.awaits = None),
-            Action::Admit(vm) => self.on(vm, |process| {
-                process.used = process.used.max(process.holder.limit());
+            Action::DropWrite(write) => self.drop_write(write.into()),
+            Action::TimeOut(vm) => self.with_process(vm, |process| process.awaiting = None),
+            Action::Admit(vm) => self.with_process(vm, |process| {
+                process.used = process.used.max(process.state.limit());
             }),
-            Action::Finish(vm) => self.on(vm, |process| process.used /= 2),
-            Action::Die(vm) => self.processes[usize::from(vm) % VMS] = None,
-            Action::TakeAway(vm) => {
+            Action::Finish(vm) => self.with_process(vm, |process| process.used /= 2),
+            Action::Crash(vm) => self.processes[usize::from(vm) % VMS] = None,
+            Action::RemoveVm(vm) => {
                 self.processes[usize::from(vm) % VMS] = None;
-                self.taken_away[usize::from(vm) % VMS] = true;
+                self.removed[usize::from(vm) % VMS] = true;
             }
             Action::ReportGone => {
-                let gone = (0..VMS).filter(|vm| self.taken_away[*vm]);
-                self.reported = gone.map(name).collect();
+                let gone = (0..VMS).filter(|vm| self.removed[*vm]);
+                self.reported_gone = gone.map(vm_name).collect();
             }
-            Action::SetLeaving(vm) => self.leaving = vec![name(usize::from(vm) % VMS)],
+            Action::SetLeaving(vm) => self.leaving = vec![vm_name(usize::from(vm) % VMS)],
         }
     }
 
-    fn on(&mut self, vm: u8, change: impl FnOnce(&mut Process)) {
+    fn with_process(&mut self, vm: u8, change: impl FnOnce(&mut Process)) {
         if let Some(process) = &mut self.processes[usize::from(vm) % VMS] {
             change(process);
         }
     }
 
     fn start(&mut self, vm: usize) {
-        if self.taken_away[vm] || self.processes[vm].is_some() {
+        if self.removed[vm] || self.processes[vm].is_some() {
             return;
         }
         self.next_id += 1;
         let incarnation = Incarnation(self.next_id);
         self.processes[vm] = Some(Process {
-            holder: CapacityState::new(name(vm), incarnation),
+            state: CapacityState::new(vm_name(vm), incarnation),
             incarnation,
             used: 0,
             seen: None,
-            awaits: None,
+            awaiting: None,
         });
     }
 
@@ -112,8 +112,8 @@
         let Some(process) = &mut self.processes[vm] else {
             return;
         };
-        if process.awaits.is_none() {
-            process.holder.observe(&ledger, at).unwrap();
+        if process.awaiting.is_none() {
+            process.state.observe(&ledger, at).unwrap();
             process.seen = Some((ledger, at));
         }
     }
@@ -121,28 +121,28 @@
     fn plan(&mut self, vm: usize) {
         let departures = Departures {
             leaving: self.leaving.clone(),
-            gone: self.reported.clone(),
+            gone: self.reported_gone.clone(),
         };
         let Some(process) = &mut self.processes[vm] else {
             return;
         };
-        let Some((ledger, at)) = process.seen.clone().filter(|_| process.awaits.is_none()) else {
+        let Some((ledger, at)) = process.seen.clone().filter(|_| process.awaiting.is_none()) else {
             return;
         };
         let planned = process
-            .holder
+            .state
             .plan_write(&ledger, at, process.used, &departures);
-        let Some(intent) = planned else {
+        let Some(planned) = planned else {
             return;
         };
-        process.holder.record_send(&intent);
+        process.state.record_send(&planned);
         self.next_id += 1;
-        process.awaits = Some(self.next_id);
+        process.awaiting = Some(self.next_id);
         self.network.push(Write {
             id: self.next_id,
             vm,
             incarnation: process.incarnation,
-            intent,
+            planned,
         });
     }
 
@@ -151,23 +151,24 @@
             return;
         }
         let write = self.network.remove(index % self.network.len());
-        if write.intent.compare == StoreRevision(self.revision) {
+        if write.planned.expected_revision == StoreRevision(self.revision) {
             self.revision += 1;
-            self.ledger = write.intent.ledger.clone();
+            self.ledger = write.planned.ledger.clone();
         }
         let (ledger, at) = (self.ledger.clone(), StoreRevision(self.revision));
         let Some(process) = &mut self.processes[write.vm] else {
             return;
         };
-        let awaited = process.incarnation == write.incarnation && process.awaits == Some(write.id);
+        let awaited =
+            process.incarnation == write.incarnation && process.awaiting == Some(write.id);
         if awaited && answered {
-            process.holder.observe(&ledger, at).unwrap();
+            process.state.observe(&ledger, at).unwrap();
             process.seen = Some((ledger, at));
-            process.awaits = None;
+            process.awaiting = None;
         }
     }
 
-    fn lose(&mut self, index: usize) {
+    fn drop_write(&mut self, index: usize) {
         if !self.network.is_empty() {
             self.network.remove(index % self.network.len());
         }
@@ -177,15 +178,9 @@
         self.ledger.check().unwrap();
         let mut in_use = 0;
         for process in self.processes.iter().flatten() {
-            let own = process.holder.limit().max(process.used);
-            let entry = self
-                .ledger
-                .part_of(process.holder.vm(), process.incarnation);
-            assert!(
-                own <= entry,
-                "{} uses {own} of {entry}",
-                process.holder.vm()
-            );
+            let own = process.state.limit().max(process.used);
+            let entry = self.ledger.part_of(process.state.vm(), process.incarnation);
+            assert!(own <= entry, "{} uses {own} of {entry}", process.state.vm());
             in_use += own;
         }
         assert!(in_use <= TOTAL_PARTS, "{in_use} in use");
@@ -202,10 +197,10 @@
         .with_max_len(4096)
         .with_type::<Vec<Action>>()
         .for_each(|actions| {
-            let mut world = World::default();
+            let mut simulation = Simulation::default();
             for action in actions {
-                world.step(*action);
-                world.check();
+                simulation.step(*action);
+                simulation.check();
             }
         });
 }
@@ -215,12 +210,12 @@
 fn parts_in_use_never_pass_the_whole_in_long_runs() {
     for seed in 0..300 {
         let mut rng = fastrand::Rng::with_seed(seed);
-        let mut world = World::default();
+        let mut simulation = Simulation::default();
         let mut raised = 0;
         for _ in 0..400 {
-            world.step(random_action(&mut rng));
-            world.check();
-            raised += usize::from(world.ledger.entries.len() >= 2);
+            simulation.step(random_action(&mut rng));
+            simulation.check();
+            raised += usize::from(simulation.ledger.entries.len() >= 2);
         }
         assert!(raised > 0, "seed {seed} never had two VMs at once");
     }
@@ -236,12 +231,12 @@
             write: rng.u8(..),
             answered: rng.u8(0..4) > 0,
         },
-        70..72 => Action::Lose(rng.u8(..)),
-        72..78 => Action::GiveUp(vm),
+        70..72 => Action::DropWrite(rng.u8(..)),
+        72..78 => Action::TimeOut(vm),
         78..86 => Action::Admit(vm),
         86..94 => Action::Finish(vm),
-        94..96 => Action::Die(vm),
-        96..97 if rng.u8(0..8) == 0 => Action::TakeAway(vm),
+        94..96 => Action::Crash(vm),
+        96..97 if rng.u8(0..8) == 0 => Action::RemoveVm(vm),
         97..99 => Action::ReportGone,
         _ => Action::SetLeaving(vm),
     }
--- a/crates/store/tests/claim.rs
+++ b/crates/store/tests/claim.rs
@@ -9,7 +9,7 @@
 use futures_util::future::join_all;
 use heatherknot_store::budget::{CallLimits, with_call_limits};
 use heatherknot_store::claim::{
-    ClaimConfig, ClaimError, ClaimKey, ClaimOwner, ClaimResult, Claims, KEEP,
+    CLAIM_RETENTION, ClaimConfig, ClaimError, ClaimKey, ClaimOwner, ClaimResult, Claims,
 };
 use heatherknot_store::port::Store;
 use heatherknot_test_support::platform::Down;
@@ -205,9 +205,9 @@
         }
     });
     let asked = now.get();
-    now.set(asked + KEEP + KEEP);
+    now.set(asked + CLAIM_RETENTION + CLAIM_RETENTION);
 
-    assert!(start_by >= asked + KEEP);
+    assert!(start_by >= asked + CLAIM_RETENTION);
     assert!(now.get() > start_by);
 }
 
@@ -216,7 +216,7 @@
     let platform = platform();
     let store = store(&platform);
     let cfg = ClaimConfig {
-        max_waiting: 2,
+        max_queued: 2,
         ..config()
     };
     let clock = Clock::new(|| Millis(0));
--- a/crates/store/tests/follow.rs
+++ b/crates/store/tests/follow.rs
@@ -16,11 +16,11 @@
 use support::{backoff, platform, policy, proposal, store};
 
 /// How long a test waits for what must come before it fails.
-const PATIENCE: Duration = Duration::from_secs(20);
+const TIMEOUT: Duration = Duration::from_secs(20);
 /// A check so rare that no test lives to see one: what arrives came by the watch.
-const NEVER: Duration = Duration::from_secs(3_600);
+const NO_POLLING: Duration = Duration::from_secs(3_600);
 /// A check so frequent that a test soon sees one.
-const OFTEN: Duration = Duration::from_millis(20);
+const FREQUENT_POLLING: Duration = Duration::from_millis(20);
 
 #[derive(Clone, Default)]
 struct Daemon {
@@ -34,11 +34,11 @@
         let (held, daemon) = (self.held.clone(), self.clone());
         FollowCallbacks {
             current_revision: Rc::new(move || held.get()),
-            deliver: Rc::new(move |update| daemon.take(update)),
+            deliver: Rc::new(move |update| daemon.apply(update)),
         }
     }
 
-    fn take(&self, update: SettingsUpdate) {
+    fn apply(&self, update: SettingsUpdate) {
         if self.refuses.get() {
             self.log.borrow_mut().push("refused".to_owned());
             return;
@@ -62,7 +62,7 @@
         }
     }
 
-    async fn reaches(&self, revision: u64) {
+    async fn wait_for(&self, revision: u64) {
         eventually(|| self.held.get() == Revision(revision)).await;
     }
 
@@ -77,13 +77,13 @@
             monoio::time::sleep(Duration::from_millis(1)).await;
         }
     };
-    let waited = monoio::time::timeout(PATIENCE, wait).await;
+    let waited = monoio::time::timeout(TIMEOUT, wait).await;
     waited.expect("what the test waits for should come");
 }
 
-fn following(store: &Store, daemon: &Daemon, check_every: Duration) -> Follower {
+fn following(store: &Store, daemon: &Daemon, poll_interval: Duration) -> Follower {
     let cfg = FollowConfig {
-        check_every,
+        poll_interval,
         max_changes: 8,
         backoff: backoff(),
     };
@@ -104,10 +104,10 @@
 
     block_on(async {
         accept(&store, 0, 2).await;
-        let _follower = following(&store, &daemon, NEVER);
-        daemon.reaches(2).await;
+        let _follower = following(&store, &daemon, NO_POLLING);
+        daemon.wait_for(2).await;
         accept(&store, 2, 5).await;
-        daemon.reaches(5).await;
+        daemon.wait_for(5).await;
     });
 
     assert_eq!(daemon.log(), ["r1", "r2", "r3", "r4", "r5"]);
@@ -122,12 +122,12 @@
     let daemon = Daemon::default();
 
     let status = block_on(async {
-        let follower = following(&store, &daemon, OFTEN);
+        let follower = following(&store, &daemon, FREQUENT_POLLING);
         eventually(|| platform.calls().watching == 1).await;
         platform.faults(|faults| faults.watch_quiet = true);
         accept(&store, 0, 1).await;
-        daemon.reaches(1).await;
-        eventually(|| follower.status().missed > 0).await;
+        daemon.wait_for(1).await;
+        eventually(|| follower.status().incomplete_watches > 0).await;
         follower.status()
     });
 
@@ -143,13 +143,13 @@
     let daemon = Daemon::default();
 
     block_on(async {
-        let _follower = following(&store, &daemon, NEVER);
+        let _follower = following(&store, &daemon, NO_POLLING);
         eventually(|| platform.calls().watching == 1).await;
         platform.faults(|faults| faults.skip_events = 1);
         accept(&store, 0, 1).await;
         eventually(|| platform.current_faults().skip_events == 0).await;
         accept(&store, 1, 2).await;
-        daemon.reaches(2).await;
+        daemon.wait_for(2).await;
     });
 
     assert_eq!(daemon.log(), ["r1", "r2"]);
@@ -163,11 +163,11 @@
     let daemon = Daemon::default();
 
     block_on(async {
-        let _follower = following(&store, &daemon, OFTEN);
+        let _follower = following(&store, &daemon, FREQUENT_POLLING);
         eventually(|| platform.calls().watching == 1).await;
         platform.faults(|faults| faults.skip_events = 1);
         accept(&store, 0, 1).await;
-        daemon.reaches(1).await;
+        daemon.wait_for(1).await;
     });
 
     assert_eq!(daemon.log(), ["r1"]);
@@ -183,14 +183,14 @@
 
     let during = block_on(async {
         accept(&store, 0, 1).await;
-        let follower = following(&store, &daemon, OFTEN);
-        daemon.reaches(1).await;
+        let follower = following(&store, &daemon, FREQUENT_POLLING);
+        daemon.wait_for(1).await;
         platform.faults(|faults| faults.down = Some(Down::Closes));
         eventually(|| follower.status().failures > 1).await;
         let during = daemon.held.get();
         platform.faults(|faults| faults.down = None);
         accept(&store, 1, 3).await;
-        daemon.reaches(3).await;
+        daemon.wait_for(3).await;
         during
     });
 
@@ -208,14 +208,14 @@
 
     block_on(async {
         accept(&store, 0, 1).await;
-        let follower = following(&store, &daemon, NEVER);
-        daemon.reaches(1).await;
+        let follower = following(&store, &daemon, NO_POLLING);
+        daemon.wait_for(1).await;
         eventually(|| platform.calls().watching == 1).await;
         platform.faults(|faults| faults.watch_quiet = true);
         accept(&store, 1, 2).await;
         platform.compact();
         platform.faults(|faults| faults.watch_quiet = false);
-        daemon.reaches(2).await;
+        daemon.wait_for(2).await;
         assert!(follower.status().failures > 0);
     });
 
@@ -233,14 +233,14 @@
         let tree = Bytes::from("tree");
         snapshot::write(&store, Revision(12), &tree).await.unwrap();
         accept(&store, 12, 14).await;
-        let rule = pack::PackRule {
-            changes: 6,
-            keep: 2,
+        let policy = pack::PackPolicy {
+            max_changes: 6,
+            keep_unpacked: 2,
         };
-        let packed = pack::pack_oldest(&store, Revision(14), rule, &Bytes::clone).await;
+        let packed = pack::pack_oldest(&store, Revision(14), policy, &Bytes::clone).await;
         assert_eq!(packed.unwrap(), Some(Revision(6)));
-        let _follower = following(&store, &daemon, NEVER);
-        daemon.reaches(14).await;
+        let _follower = following(&store, &daemon, NO_POLLING);
+        daemon.wait_for(14).await;
     });
 
     assert_eq!(daemon.log(), ["tree at r12", "r13", "r14"]);
@@ -255,14 +255,14 @@
     let daemon = Daemon::default();
 
     block_on(async {
-        let _follower = following(&store, &daemon, NEVER);
+        let _follower = following(&store, &daemon, NO_POLLING);
         eventually(|| platform.calls().watching == 1).await;
         daemon.refuses.set(true);
         accept(&store, 0, 1).await;
         eventually(|| !daemon.log().is_empty()).await;
         daemon.refuses.set(false);
         accept(&store, 1, 2).await;
-        daemon.reaches(2).await;
+        daemon.wait_for(2).await;
     });
 
     assert_eq!(daemon.log(), ["refused", "r1", "r2"]);
@@ -275,7 +275,7 @@
     let daemon = Daemon::default();
 
     block_on(async {
-        let follower = following(&store, &daemon, NEVER);
+        let follower = following(&store, &daemon, NO_POLLING);
         eventually(|| platform.calls().watching == 1).await;
         follower.stop();
         eventually(|| platform.calls().watching == 0).await;
@@ -309,8 +309,8 @@
     };
 
     block_on(async {
-        let _follower = following(&racing, &daemon, NEVER);
-        daemon.reaches(1).await;
+        let _follower = following(&racing, &daemon, NO_POLLING);
+        daemon.wait_for(1).await;
     });
 
     assert_eq!(daemon.log(), ["r1"]);
--- a/crates/store/tests/history.rs
+++ b/crates/store/tests/history.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use heatherknot_store::commit::head::read_head;
 use heatherknot_store::commit::history::{HistoryPage, audit_after, changes_after};
-use heatherknot_store::commit::pack::{PackRule, pack_oldest};
+use heatherknot_store::commit::pack::{PackPolicy, pack_oldest};
 use heatherknot_store::commit::snapshot::{self, SnapshotOutcome};
 use heatherknot_store::commit::{commit, keys};
 use heatherknot_store::error::StoreError;
@@ -14,9 +14,9 @@
 use heatherknot_types::prelude::*;
 use support::{platform, policy, proposal, store};
 
-const RULE: PackRule = PackRule {
-    changes: 4,
-    keep: 2,
+const POLICY: PackPolicy = PackPolicy {
+    max_changes: 4,
+    keep_unpacked: 2,
 };
 
 async fn commit_many(store: &Store, count: u64) {
@@ -25,7 +25,7 @@
     }
 }
 
-async fn whole_audit(store: &Store) -> Vec<(u64, Bytes)> {
+async fn read_audit_trail(store: &Store) -> Vec<(u64, Bytes)> {
     let mut found = Vec::new();
     let mut after = Revision::NONE;
     loop {
@@ -84,12 +84,15 @@
         commit_many(&store, 11).await;
         let newest = Revision(11);
         let mut packed = Vec::new();
-        while let Some(last) = pack_oldest(&store, newest, RULE, &unchanged).await.unwrap() {
+        while let Some(last) = pack_oldest(&store, newest, POLICY, &unchanged)
+            .await
+            .unwrap()
+        {
             packed.push(last.0);
         }
         assert_eq!(packed, [4, 8]);
         let missed = changes_after(&store, Revision(2)).await.unwrap();
-        (whole_audit(&store).await, missed)
+        (read_audit_trail(&store).await, missed)
     });
 
     assert_eq!(audit, expected(11));
@@ -107,11 +110,11 @@
     let (first, audit) = block_on(async {
         commit_many(&store, 8).await;
         platform.faults(|faults| faults.lose_answers = 1);
-        let first = pack_oldest(&store, Revision(8), RULE, &unchanged).await;
-        pack_oldest(&store, Revision(8), RULE, &unchanged)
+        let first = pack_oldest(&store, Revision(8), POLICY, &unchanged).await;
+        pack_oldest(&store, Revision(8), POLICY, &unchanged)
             .await
             .unwrap();
-        (first, whole_audit(&store).await)
+        (first, read_audit_trail(&store).await)
     });
 
     assert!(first.is_err());
@@ -130,9 +133,9 @@
             long.change = vec![b'x'; 900_000].into();
             commit(&store, &long, &policy(3)).await;
         }
-        let packed = pack_oldest(&store, Revision(6), RULE, &shorten).await;
+        let packed = pack_oldest(&store, Revision(6), POLICY, &shorten).await;
         assert_eq!(packed.unwrap(), Some(Revision(2)));
-        let audit = whole_audit(&store).await;
+        let audit = read_audit_trail(&store).await;
         audit
             .iter()
             .map(|(_, change)| change.len())
@@ -270,7 +273,7 @@
     let (pack, middle, end) = block_on(async {
         commit_many(&store, 11).await;
         let newest = Revision(11);
-        while pack_oldest(&store, newest, RULE, &unchanged)
+        while pack_oldest(&store, newest, POLICY, &unchanged)
             .await
             .unwrap()
             .is_some()
--- a/crates/store/tests/maintenance.rs
+++ b/crates/store/tests/maintenance.rs
@@ -6,7 +6,7 @@
 use heatherknot_store::commit::head::read_head;
 use heatherknot_store::commit::history::audit_after;
 use heatherknot_store::commit::maintenance::{self, MaintenanceConfig, MaintenanceReport};
-use heatherknot_store::commit::pack::PackRule;
+use heatherknot_store::commit::pack::PackPolicy;
 use heatherknot_store::commit::{
     CommandId, CommitOutcome, Proposal, commands, commit, keys, resolve_command,
 };
@@ -16,17 +16,17 @@
 use serde_json::json;
 use support::{platform, policy, proposal, store};
 
-const RULES: MaintenanceConfig = MaintenanceConfig {
-    snapshot_every: 4,
-    pack: PackRule {
-        changes: 3,
-        keep: 2,
+const CONFIG: MaintenanceConfig = MaintenanceConfig {
+    snapshot_interval: 4,
+    pack: PackPolicy {
+        max_changes: 3,
+        keep_unpacked: 2,
     },
-    packs_at_once: 4,
-    keep_commands: 5,
+    max_packs_per_run: 4,
+    command_records_kept: 5,
 };
 
-fn whole(revision: u64) -> Snapshot {
+fn snapshot_at(revision: u64) -> Snapshot {
     let document = json!({"text": format!("tree {revision}")});
     let at = ChainPoint {
         revision: Revision(revision),
@@ -35,17 +35,17 @@
     Snapshot::new(at, &document)
 }
 
-async fn accept_with_upkeep(store: &Store, from: u64, to: u64) -> Vec<MaintenanceReport> {
-    let mut done = Vec::new();
+async fn accept_with_maintenance(store: &Store, from: u64, to: u64) -> Vec<MaintenanceReport> {
+    let mut reports = Vec::new();
     for base in from..to {
         commit(store, &proposal(&format!("c{base}"), base), &policy(3)).await;
-        done.push(
-            maintenance::run(store, &whole(base + 1), &RULES)
+        reports.push(
+            maintenance::run(store, &snapshot_at(base + 1), &CONFIG)
                 .await
                 .unwrap(),
         );
     }
-    done
+    reports
 }
 
 #[test]
@@ -53,16 +53,16 @@
     let platform = platform();
     let store = store(&platform);
 
-    let (done, audit) = block_on(async {
-        let done = accept_with_upkeep(&store, 0, 8).await;
+    let (reports, audit) = block_on(async {
+        let reports = accept_with_maintenance(&store, 0, 8).await;
         let audit = audit_after(&store, Revision::NONE).await.unwrap();
-        (done, audit)
+        (reports, audit)
     });
 
-    let wrote: Vec<bool> = done.iter().map(|upkeep| upkeep.wrote_snapshot).collect();
+    let wrote: Vec<bool> = reports.iter().map(|report| report.wrote_snapshot).collect();
     let expected = [false, false, false, true, false, false, false, true];
     assert_eq!(wrote, expected);
-    assert_eq!(done[7].packs, 2);
+    assert_eq!(reports[7].packs_written, 2);
     assert_eq!(audit.changes.len(), 3);
     assert_eq!(platform.keys(keys::PACKS).len(), 2);
     assert_eq!(platform.keys(keys::CHANGES).len(), 2);
@@ -72,11 +72,11 @@
 /// Changes add up for ever. The number of keys must not: only packs of the audit trail may
 /// grow, and they hold many changes each.
 #[test]
-fn the_number_of_keys_stays_small() {
+fn maintenance_bounds_the_number_of_keys() {
     let platform = platform();
     let store = store(&platform);
 
-    block_on(accept_with_upkeep(&store, 0, 40));
+    block_on(accept_with_maintenance(&store, 0, 40));
 
     assert_eq!(platform.keys(keys::SNAPSHOTS).len(), 2);
     assert!(platform.keys(keys::CHANGES).len() <= 7);
@@ -87,18 +87,18 @@
 /// A daemon dies after its change was accepted and before the upkeep. The next daemon's
 /// change must bring what is due.
 #[test]
-fn an_upkeep_that_was_left_out_is_made_up_for() {
+fn skipped_maintenance_is_done_with_the_next_change() {
     let platform = platform();
     let store = store(&platform);
 
-    let done = block_on(async {
+    let reports = block_on(async {
         for base in 0..5 {
             commit(&store, &proposal(&format!("c{base}"), base), &policy(3)).await;
         }
-        accept_with_upkeep(&store, 5, 6).await
+        accept_with_maintenance(&store, 5, 6).await
     });
 
-    assert!(done[0].wrote_snapshot);
+    assert!(reports[0].wrote_snapshot);
     let named = block_on(read_head(&support::store(&platform)))
         .unwrap()
         .head
@@ -111,14 +111,16 @@
     let platform = platform();
     let store = store(&platform);
 
-    let done = block_on(async {
+    let reports = block_on(async {
         for base in 0..5 {
             commit(&store, &proposal(&format!("c{base}"), base), &policy(3)).await;
         }
-        maintenance::run(&store, &whole(4), &RULES).await.unwrap()
+        maintenance::run(&store, &snapshot_at(4), &CONFIG)
+            .await
+            .unwrap()
     });
 
-    assert_eq!(done, MaintenanceReport::default());
+    assert_eq!(reports, MaintenanceReport::default());
     assert_eq!(platform.keys(keys::SNAPSHOTS).len(), 0);
 }
 
@@ -144,7 +146,9 @@
             };
             commit(&store, &long, &policy(3)).await;
         }
-        maintenance::run(&store, &whole(8), &RULES).await.unwrap();
+        maintenance::run(&store, &snapshot_at(8), &CONFIG)
+            .await
+            .unwrap();
         audit_after(&store, Revision::NONE).await.unwrap().changes
     });
 
--- a/crates/store/tests/protocol.rs
+++ b/crates/store/tests/protocol.rs
@@ -25,7 +25,7 @@
     connect(StoreConfig::new(platform.address()))
 }
 
-fn impatient_store(platform: &PlatformHandle) -> Store {
+fn store_with_short_timeout(platform: &PlatformHandle) -> Store {
     connect(StoreConfig {
         call_limit: Duration::from_millis(500),
         ..StoreConfig::new(platform.address())
@@ -77,7 +77,7 @@
 
     assert!(first.succeeded);
     assert!(!second.succeeded);
-    assert_eq!(second.first_of(0).unwrap().value, Bytes::from("one"));
+    assert_eq!(second.first_kv(0).unwrap().value, Bytes::from("one"));
 }
 
 #[test]
@@ -206,7 +206,7 @@
 #[test]
 fn a_write_that_hangs_may_have_been_applied() {
     let platform = platform();
-    let store = impatient_store(&platform);
+    let store = store_with_short_timeout(&platform);
     platform.faults(|faults| faults.down = Some(Down::Hangs));
 
     let failure = block_on(store.put("k", "v")).unwrap_err();
@@ -264,7 +264,7 @@
 #[test]
 fn a_late_answer_is_never_given_to_the_next_call() {
     let platform = platform();
-    let store = impatient_store(&platform);
+    let store = store_with_short_timeout(&platform);
 
     let (late, next) = block_on(async {
         store.put("a", "answer of a").await.unwrap();
--- a/crates/store/tests/support/mod.rs
+++ b/crates/store/tests/support/mod.rs
@@ -19,8 +19,8 @@
 }
 
 pub fn backoff() -> Backoff {
-    let (first, longest) = (Duration::from_millis(1), Duration::from_millis(4));
-    Backoff::new(first, longest, fastrand::Rng::with_seed(7))
+    let (initial, max) = (Duration::from_millis(1), Duration::from_millis(4));
+    Backoff::new(initial, max, fastrand::Rng::with_seed(7))
 }
 
 pub fn policy(tries: u32) -> ResolvePolicy {
