--- a/crates/store/examples/store_cost.rs
+++ b/crates/store/examples/store_cost.rs
@@ -1,11 +1,12 @@
-//! Measures what commits, claims, the capacity ledger and followers cost on the platform.
+//! Measures the calls and the latency of commits, claims, the capacity ledger and followers.
 //!
-//! Runs against the stand-in on this machine for some seconds and prints one line a figure:
+//! Runs against the fake platform on this machine for some seconds and prints one line per
+//! measurement:
 //!
 //!     cargo run --release --locked -p heatherknot-store --example store_cost
 //!
-//! Every answer of the stand-in takes at least the time that the first argument gives in
-//! milliseconds, two if there is none.
+//! Each response of the fake platform is delayed by the first argument, in milliseconds; the
+//! default is 2.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -26,13 +27,13 @@
 use heatherknot_test_support::runtime::block_on;
 use heatherknot_types::prelude::*;
 
-/// Commits in one run.
+/// The number of consecutive commits.
 const COMMITS: u64 = 300;
-/// Writers that race for the same settings.
-const RACING_WRITERS: u64 = 4;
-/// How long claims are made at each number of callers.
+/// The number of writers that commit concurrently.
+const CONCURRENT_WRITERS: u64 = 4;
+/// The duration of each measurement of claims.
 const CLAIM_DURATION: Duration = Duration::from_secs(2);
-/// Rates so high that nothing is refused.
+/// Rate limits that are never reached.
 const UNLIMITED: Rates = Rates {
     writes: 1_000_000,
     reads: 1_000_000,
@@ -41,9 +42,9 @@
 fn main() {
     let delay = std::env::args().nth(1).and_then(|text| text.parse().ok());
     let delay = Duration::from_millis(delay.unwrap_or(2));
-    println!("stand-in answers after {} ms", delay.as_millis());
+    println!("the fake platform responds after {} ms", delay.as_millis());
     commits(delay);
-    racing_commits(delay);
+    concurrent_commits(delay);
     for callers in [1, 8, 64] {
         claims(delay, UNLIMITED, callers);
     }
@@ -93,30 +94,30 @@
     });
     let calls = platform.calls().total() as f64 / COMMITS as f64;
     println!(
-        "commit: {COMMITS} one after the other, {calls:.2} calls each, {}",
+        "commit: {COMMITS} consecutive commits, {calls:.2} calls each, {}",
         percentiles(times)
     );
 }
 
-fn racing_commits(delay: Duration) {
+fn concurrent_commits(delay: Duration) {
     let platform = platform(delay, UNLIMITED);
     let store = store(&platform);
-    let tries = Cell::new(0);
-    let each = COMMITS / RACING_WRITERS / 3;
-    block_on(join_all((0..RACING_WRITERS).map(|writer| {
-        let (store, tries) = (&store, &tries);
+    let attempts = Cell::new(0);
+    let commits_per_writer = COMMITS / CONCURRENT_WRITERS / 3;
+    block_on(join_all((0..CONCURRENT_WRITERS).map(|writer| {
+        let (store, attempts) = (&store, &attempts);
         async move {
             let mut base = 0;
-            for round in 0..each {
-                base = commit_until_accepted(store, writer, round, base, tries).await;
+            for round in 0..commits_per_writer {
+                base = commit_until_accepted(store, writer, round, base, attempts).await;
             }
         }
     })));
-    let accepted = RACING_WRITERS * each;
+    let accepted = CONCURRENT_WRITERS * commits_per_writer;
     let calls = platform.calls().total() as f64 / accepted as f64;
-    let tries = tries.get() as f64 / accepted as f64;
+    let attempts = attempts.get() as f64 / accepted as f64;
     println!(
-        "commit: {RACING_WRITERS} racing writers, {accepted} accepted, {tries:.2} tries and {calls:.2} calls each"
+        "commit: {CONCURRENT_WRITERS} concurrent writers, {accepted} accepted, {attempts:.2} attempts and {calls:.2} calls each"
     );
 }
 
@@ -125,10 +126,10 @@
     writer: u64,
     round: u64,
     mut base: u64,
-    tries: &Cell<u64>,
+    attempts: &Cell<u64>,
 ) -> u64 {
     loop {
-        tries.set(tries.get() + 1);
+        attempts.set(attempts.get() + 1);
         let next = proposal(format!("r{writer}-{round}"), base);
         match commit(store, &next, &ResolvePolicy::default()).await {
             CommitOutcome::Accepted(revision) => return revision.0,
@@ -156,9 +157,9 @@
             let mut round = 0;
             while started.elapsed() < CLAIM_DURATION {
                 round += 1;
-                let asked = Instant::now();
+                let started_at = Instant::now();
                 match claims.claim(claim_key(caller, round), owner()).await {
-                    Ok(ClaimResult::Won { .. }) => times.borrow_mut().push(asked.elapsed()),
+                    Ok(ClaimResult::Won { .. }) => times.borrow_mut().push(started_at.elapsed()),
                     Ok(ClaimResult::Held(_)) => panic!("every key is claimed once"),
                     Err(_) => failed.set(failed.get() + 1),
                 }
@@ -202,20 +203,20 @@
         })
         .collect();
     let started = Instant::now();
-    let rounds = block_on(settle_all(&reconcilers, vms));
+    let rounds = block_on(reconcile_until_equal(&reconcilers, vms));
     let elapsed = started.elapsed().as_millis();
     let calls = platform.calls().total();
     println!(
-        "capacity: {vms} VMs that start together settle in {rounds} rounds, {calls} calls, {elapsed} ms without pauses"
+        "capacity: {vms} VMs that start together get equal parts in {rounds} rounds, {calls} calls, {elapsed} ms without pauses"
     );
 }
 
-async fn settle_all(reconcilers: &[CapacityReconciler], vms: u64) -> u32 {
-    let fair = 1000 / vms as u16;
+async fn reconcile_until_equal(reconcilers: &[CapacityReconciler], vms: u64) -> u32 {
+    let equal_part = 1000 / vms as u16;
     let mut rounds = 0;
     while reconcilers
         .iter()
-        .any(|reconciler| reconciler.limit() < fair)
+        .any(|reconciler| reconciler.limit() < equal_part)
     {
         rounds += 1;
         let outcomes = join_all(
@@ -224,17 +225,17 @@
                 .map(|reconciler| async { reconciler.reconcile(&Departures::default()).await }),
         );
         for outcome in outcomes.await {
-            let _: ReconcileOutcome = outcome.expect("the stand-in answers");
+            let _: ReconcileOutcome = outcome.expect("the fake platform responds");
         }
     }
     rounds
 }
 
-fn followers(delay: Duration, silent: bool) {
+fn followers(delay: Duration, stalled: bool) {
     let platform = platform(delay, UNLIMITED);
     let store = store(&platform);
-    let held = Rc::new(Cell::new(Revision::NONE));
-    let (read, write) = (held.clone(), held.clone());
+    let current = Rc::new(Cell::new(Revision::NONE));
+    let (read, write) = (current.clone(), current.clone());
     let follow = FollowCallbacks {
         current_revision: Rc::new(move || read.get()),
         deliver: Rc::new(move |update| match update {
@@ -244,7 +245,7 @@
             SettingsUpdate::Snapshot { at, .. } => write.set(at.revision),
         }),
     };
-    let commits = if silent { 6 } else { 100 };
+    let commits = if stalled { 6 } else { 100 };
     let (times, idle_calls) = block_on(async {
         let _follower = start(store.clone(), follow, FollowConfig::default());
         while platform.calls().watching == 0 {
@@ -253,34 +254,34 @@
         let before = platform.calls().total();
         monoio::time::sleep(Duration::from_secs(4)).await;
         let idle_calls = platform.calls().total() - before;
-        platform.faults(|faults| faults.watch_quiet = silent);
+        platform.faults(|faults| faults.watch_quiet = stalled);
         let mut times = Vec::new();
         for base in 0..commits {
             let next = proposal(format!("f{base}"), base);
             commit(&store, &next, &ResolvePolicy::default()).await;
             let accepted = Instant::now();
-            while held.get() < Revision(base + 1) {
+            while current.get() < Revision(base + 1) {
                 monoio::time::sleep(Duration::from_micros(200)).await;
             }
             times.push(accepted.elapsed());
         }
         (times, idle_calls)
     });
-    let watch = if silent { "quiet" } else { "sound" };
+    let watch = if stalled { "stalled" } else { "working" };
     let per_second = idle_calls as f64 / 4.0;
     println!(
-        "follower, {watch} watch: {per_second:.2} reads/s at rest, accepted to delivered {}",
+        "follower, {watch} watch: {per_second:.2} reads/s while idle, accepted to delivered {}",
         percentiles(times)
     );
 }
 
 fn percentiles(mut times: Vec<Duration>) -> String {
     if times.is_empty() {
-        return "no times".to_owned();
+        return "no measurements".to_owned();
     }
     times.sort();
-    let at = |part: f64| {
-        let index = ((times.len() - 1) as f64 * part).round() as usize;
+    let at = |quantile: f64| {
+        let index = ((times.len() - 1) as f64 * quantile).round() as usize;
         times[index].as_secs_f64() * 1000.0
     };
     format!(
--- a/crates/store/src/capacity/mod.rs
+++ b/crates/store/src/capacity/mod.rs
@@ -28,14 +28,14 @@
 
 /// Returns the VMs of a failure domain that the platform reports as leaving or gone.
 pub fn departures(list: &[VmRecord], domain: &DomainName) -> Departures {
-    let named = |state: VmState| -> Vec<VmName> {
+    let with_state = |state: VmState| -> Vec<VmName> {
         let found = list.iter();
         let found = found.filter(|vm| vm.domain == *domain && vm.state == state);
         found.map(|vm| vm.name.clone()).collect()
     };
     Departures {
-        leaving: named(VmState::Leaving),
-        gone: named(VmState::Gone),
+        leaving: with_state(VmState::Leaving),
+        gone: with_state(VmState::Gone),
     }
 }
 
@@ -55,7 +55,7 @@
     key: Rc<str>,
     state: Rc<RefCell<CapacityState>>,
     used: Rc<dyn Fn() -> u16>,
-    seen: Rc<RefCell<ObservedLedger>>,
+    newest: Rc<RefCell<ObservedLedger>>,
 }
 
 /// The newest ledger that a reconciler has observed.
@@ -89,7 +89,7 @@
             key: key(domain).into(),
             state: Rc::new(RefCell::new(state)),
             used: Rc::new(used),
-            seen: Rc::default(),
+            newest: Rc::default(),
         }
     }
 
@@ -100,7 +100,7 @@
 
     /// Returns the newest ledger observed.
     pub fn newest_ledger(&self) -> ObservedLedger {
-        self.seen.borrow().clone()
+        self.newest.borrow().clone()
     }
 
     /// Returns whether a later incarnation of the VM's daemon has taken over the entry.
@@ -129,11 +129,11 @@
             let Some(planned) = planned else {
                 return Ok(ReconcileOutcome::Settled);
             };
-            let answer = self.write(&planned).await?;
-            if answer.succeeded {
-                read = self.observe_ledger(Step::Txn, planned.ledger, answer.revision)?;
+            let resp = self.write(&planned).await?;
+            if resp.succeeded {
+                read = self.observe_ledger(Step::Txn, planned.ledger, resp.revision)?;
             } else {
-                read = self.observe_kv(Step::Txn, answer.first_kv(0))?;
+                read = self.observe_kv(Step::Txn, resp.first_kv(0))?;
             }
         }
         Ok(ReconcileOutcome::Contended)
@@ -168,10 +168,10 @@
             let message = format!("{}: {fault}", self.key);
             unreadable(&self.store, step, message)
         })?;
-        let mut seen = self.seen.borrow_mut();
-        if at >= seen.revision {
-            seen.ledger.clone_from(&ledger);
-            seen.revision = at;
+        let mut newest = self.newest.borrow_mut();
+        if at >= newest.revision {
+            newest.ledger.clone_from(&ledger);
+            newest.revision = at;
         }
         Ok(LedgerRead { ledger, at })
     }
--- a/crates/store/src/capacity/state.rs
+++ b/crates/store/src/capacity/state.rs
@@ -169,15 +169,15 @@
 
     /// Records that a write is about to be sent. From now on the limit is at most the part that it
     /// sets, since the store may apply it at any time, with or without a response.
-    pub fn record_send(&mut self, intent: &PlannedWrite) {
-        let part = intent.ledger.part_of(&self.vm, self.incarnation);
+    pub fn record_send(&mut self, write: &PlannedWrite) {
+        let part = write.ledger.part_of(&self.vm, self.incarnation);
         let pending = self.pending;
         let pending =
-            pending.filter(|pending| pending.expected_revision == intent.expected_revision);
+            pending.filter(|pending| pending.expected_revision == write.expected_revision);
         let part = pending.map_or(part, |pending| part.min(pending.part));
         self.guaranteed = self.guaranteed.min(part);
         self.pending = Some(UnansweredWrite {
-            expected_revision: intent.expected_revision,
+            expected_revision: write.expected_revision,
             part,
         });
     }
--- a/crates/store/src/claim/batch.rs
+++ b/crates/store/src/claim/batch.rs
@@ -40,7 +40,7 @@
         };
         monoio::time::sleep(wait).await;
     }
-    let ended = outcomes
+    let results = outcomes
         .into_iter()
         .map(|outcome| match (outcome, &failure) {
             (Some(claim), _) => Ok(claim),
@@ -49,7 +49,7 @@
             }),
             (None, None) => Err(ClaimError::Stopped),
         });
-    ended.collect()
+    results.collect()
 }
 
 /// Returns the delay before the next attempt, or `None` to give up.
@@ -75,10 +75,10 @@
         .filter(|index| outcomes[*index].is_none())
         .collect();
     let txn = claim_txn(requests, &pending, term);
-    let answer = match store.txn(txn).await {
-        Ok(answer) => answer,
+    let resp = match store.txn(txn).await {
+        Ok(resp) => resp,
         Err(err) => {
-            // The lease ended early, for example because the store lost its data.
+            // The lease expired early, for example because the store lost its data.
             if err.source == Cause::LeaseNotFound {
                 leases.invalidate(term.id);
             }
@@ -86,7 +86,7 @@
         }
     };
     for (position, index) in pending.into_iter().enumerate() {
-        outcomes[index] = claim_result(store, &requests[index], term, position, &answer)?;
+        outcomes[index] = claim_result(store, &requests[index], term, position, &resp)?;
     }
     Ok(())
 }
@@ -117,22 +117,22 @@
     request: &ClaimRequest,
     term: LeaseTerm,
     position: usize,
-    answer: &TxnResponse,
+    resp: &TxnResponse,
 ) -> Result<Option<ClaimResult>, StoreError> {
     let won = ClaimResult::Won {
         start_by: term.valid_until,
     };
-    if answer.succeeded {
+    if resp.succeeded {
         return Ok(Some(won));
     }
-    let Some(kv) = answer.first_kv(position) else {
+    let Some(kv) = resp.first_kv(position) else {
         return Ok(None);
     };
-    let held = parse_value(store, kv)?;
+    let stored = parse_value(store, kv)?;
     // The nonce of this request was written by an earlier attempt whose response was lost.
-    match held.nonce == request.nonce {
+    match stored.nonce == request.nonce {
         true => Ok(Some(won)),
-        false => Ok(Some(ClaimResult::Held(held.owner))),
+        false => Ok(Some(ClaimResult::Held(stored.owner))),
     }
 }
 
--- a/crates/store/src/claim/mod.rs
+++ b/crates/store/src/claim/mod.rs
@@ -110,7 +110,7 @@
 }
 
 struct QueuedClaim {
-    record: ClaimRequest,
+    request: ClaimRequest,
     tx: oneshot::Sender<Result<ClaimResult, ClaimError>>,
 }
 
@@ -148,7 +148,7 @@
     /// Returns an error if the result is unknown. The claimant must not run the request then.
     pub async fn claim(&self, key: ClaimKey, owner: ClaimOwner) -> Result<ClaimResult, ClaimError> {
         let nonce = Nonce(self.inner.nonce_rng.borrow_mut().u64(..));
-        let record = ClaimRequest { key, owner, nonce };
+        let request = ClaimRequest { key, owner, nonce };
         let (tx, rx) = oneshot::channel();
         {
             let mut queue = self.inner.queue.borrow_mut();
@@ -156,7 +156,7 @@
             if waiting >= self.inner.cfg.max_queued {
                 return BusySnafu { waiting }.fail();
             }
-            queue.push_back(QueuedClaim { record, tx });
+            queue.push_back(QueuedClaim { request, tx });
         }
         if !self.inner.task_running.replace(true) {
             monoio::spawn(run(self.inner.clone()));
@@ -173,12 +173,13 @@
 
 async fn run(inner: Rc<Inner>) {
     while let Some(batch) = next_batch(&inner) {
-        let records: Vec<ClaimRequest> = batch.iter().map(|queued| queued.record.clone()).collect();
-        let outcomes = batch::claim_all(&inner.store, &inner.leases, &inner.cfg, &records).await;
-        for (queued, outcome) in batch.into_iter().zip(outcomes) {
+        let requests: Vec<ClaimRequest> =
+            batch.iter().map(|queued| queued.request.clone()).collect();
+        let results = batch::claim_all(&inner.store, &inner.leases, &inner.cfg, &requests).await;
+        for (queued, result) in batch.into_iter().zip(results) {
             // The receiver is dropped if the caller has gone. Its claim remains in the store, but
             // the request is not run.
-            let _ = queued.tx.send(outcome);
+            let _ = queued.tx.send(result);
         }
     }
 }
@@ -196,7 +197,7 @@
         // A transaction can write each key only once.
         match batch
             .iter()
-            .any(|other| other.record.key == queued.record.key)
+            .any(|other| other.request.key == queued.request.key)
         {
             true => deferred.push_back(queued),
             false => batch.push(queued),
--- a/crates/store/src/commit/commands.rs
+++ b/crates/store/src/commit/commands.rs
@@ -26,19 +26,19 @@
     let is_old =
         |record: &StoredCommand| matches!(record.revision, Some(revision) if revision <= last);
     let old = records.iter().filter(|record| is_old(record));
-    let Some(before) = old.map(|record| record.mod_revision).max() else {
+    let Some(cutoff) = old.map(|record| record.mod_revision).max() else {
         return Ok(0);
     };
-    let removed: Vec<&StoredCommand> = records
+    let deletable: Vec<&StoredCommand> = records
         .iter()
         .filter(|record| {
-            is_old(record) || (record.revision.is_none() && record.mod_revision < before)
+            is_old(record) || (record.revision.is_none() && record.mod_revision < cutoff)
         })
         .collect();
-    for batch in removed.chunks(MAX_DELETES_PER_TXN) {
+    for batch in deletable.chunks(MAX_DELETES_PER_TXN) {
         store.txn(delete_txn(batch)).await?;
     }
-    Ok(removed.len())
+    Ok(deletable.len())
 }
 
 /// The fields of a command record that determine its age.
--- a/crates/store/src/commit/head.rs
+++ b/crates/store/src/commit/head.rs
@@ -85,7 +85,7 @@
     })
 }
 
-/// Builds the error for a stored value that cannot be parsed.
+/// Builds the error for an invalid stored value.
 pub(crate) fn unreadable(store: &Store, step: Step, message: String) -> StoreError {
     StoreError {
         step,
--- a/crates/store/src/commit/history.rs
+++ b/crates/store/src/commit/history.rs
@@ -135,9 +135,9 @@
         success: vec![Op::Range(unpacked_range(after)), Op::get(keys::HEAD)],
         ..Txn::default()
     };
-    let mut answer = store.txn(reads).await?;
-    let head = parse_head(store, Step::Txn, answer.first_kv(1))?.head;
-    let found = answer.ranges.swap_remove(0);
+    let mut resp = store.txn(reads).await?;
+    let head = parse_head(store, Step::Txn, resp.first_kv(1))?.head;
+    let found = resp.ranges.swap_remove(0);
     let run = match collect_contiguous(store, found.kvs, after)? {
         ChangeRun::Contiguous(changes) if !found.more => {
             check_reaches(changes, after, head.revision)
--- a/crates/store/src/commit/mod.rs
+++ b/crates/store/src/commit/mod.rs
@@ -143,22 +143,22 @@
     previous: &HeadRead,
     policy: &ResolvePolicy,
 ) -> Attempt {
-    let answer = match store.txn(accept_txn(proposal, previous)).await {
-        Ok(answer) => answer,
-        Err(err) if err.is_not_applied() => return Attempt::Done(failed(err)),
+    let resp = match store.txn(accept_txn(proposal, previous)).await {
+        Ok(resp) => resp,
+        Err(err) if err.is_not_applied() => return Attempt::Done(not_accepted(err)),
         Err(err) => {
             log::warn!(command = proposal.command.as_str(), err:% = err; "no response to the commit; resolving its outcome");
             let outcome = resolve_command(store, &proposal.command, policy).await;
             return Attempt::Done(outcome);
         }
     };
-    if answer.succeeded {
+    if resp.succeeded {
         return Attempt::Done(CommitOutcome::Accepted(proposal.base.next()));
     }
     let found = StoredState {
-        head: answer.first_kv(0),
-        command: answer.first_kv(1),
-        winner: answer.first_kv(2),
+        head: resp.first_kv(0),
+        command: resp.first_kv(1),
+        winner: resp.first_kv(2),
     };
     evaluate(store, proposal, &found)
 }
@@ -209,7 +209,7 @@
 fn evaluate(store: &Store, proposal: &Proposal, found: &StoredState<'_>) -> Attempt {
     let record = match parse_command(store, found.command) {
         Ok(record) => record,
-        Err(err) => return Attempt::Done(failed(err)),
+        Err(err) => return Attempt::Done(not_accepted(err)),
     };
     match record {
         Some(CommandRecord::Accepted(revision)) => {
@@ -222,7 +222,7 @@
     }
     let head = match parse_head(store, Step::Txn, found.head) {
         Ok(head) => head,
-        Err(err) => return Attempt::Done(failed(err)),
+        Err(err) => return Attempt::Done(not_accepted(err)),
     };
     if head.head.revision != proposal.base {
         let rejection = Rejection::Conflict {
@@ -241,13 +241,13 @@
     kv.map(|kv| from_json(store, Step::Txn, kv)).transpose()
 }
 
-fn failed(err: StoreError) -> CommitOutcome {
+fn not_accepted(err: StoreError) -> CommitOutcome {
     CommitOutcome::NotAccepted(Rejection::Failed(err))
 }
 
 /// Returns the outcome of a commit whose initial read failed, and which has thus written nothing.
 fn failed_read(err: StoreError) -> CommitOutcome {
-    failed(StoreError {
+    not_accepted(StoreError {
         effect: Effect::NotApplied,
         ..err
     })
--- a/crates/store/src/commit/pack.rs
+++ b/crates/store/src/commit/pack.rs
@@ -82,12 +82,12 @@
 pub(crate) fn unpack(pack: &Bytes) -> Result<Vec<StoredChange>, String> {
     let line_end = pack.iter().position(|byte| *byte == b'\n');
     let line_end = line_end.ok_or("a pack without a first line")?;
-    let head: PackHeader =
+    let header: PackHeader =
         serde_json::from_slice(&pack[..line_end]).map_err(|err| err.to_string())?;
-    let mut changes = Vec::with_capacity(head.lengths.len());
+    let mut changes = Vec::with_capacity(header.lengths.len());
     let mut rest = pack.slice(line_end + 1..);
-    let mut revision = head.first;
-    for length in head.lengths {
+    let mut revision = header.first;
+    for length in header.lengths {
         if length > rest.len() {
             return Err(format!("a pack that ends within {revision}"));
         }
@@ -105,7 +105,7 @@
     policy: PackPolicy,
     shorten: &dyn Fn(&Bytes) -> Bytes,
 ) -> Result<Option<Vec<StoredChange>>, StoreError> {
-    let mut chosen: Vec<StoredChange> = Vec::new();
+    let mut changes: Vec<StoredChange> = Vec::new();
     let mut bytes = 0;
     let mut from = keys::CHANGES.to_owned();
     loop {
@@ -116,14 +116,14 @@
             let change = shorten(&kv.value);
             bytes += change.len();
             if bytes > MAX_PACK_BYTES {
-                return Ok(Some(chosen));
+                return Ok(Some(changes));
             }
-            chosen.push(StoredChange { revision, change });
-            if chosen.len() == policy.max_changes as usize {
-                return Ok(Some(chosen));
+            changes.push(StoredChange { revision, change });
+            if changes.len() == policy.max_changes as usize {
+                return Ok(Some(changes));
             }
         }
-        let Some(last) = chosen.last().filter(|_| found.more) else {
+        let Some(last) = changes.last().filter(|_| found.more) else {
             return Ok(None);
         };
         from = keys::change(last.revision.next());
@@ -132,8 +132,8 @@
 
 fn encode(first: Revision, changes: &[StoredChange]) -> Bytes {
     let lengths = changes.iter().map(|stored| stored.change.len()).collect();
-    let head = PackHeader { first, lengths };
-    let mut pack = BytesMut::from(&super::head::to_json(&head)[..]);
+    let header = PackHeader { first, lengths };
+    let mut pack = BytesMut::from(&super::head::to_json(&header)[..]);
     pack.extend_from_slice(b"\n");
     for stored in changes {
         pack.extend_from_slice(&stored.change);
--- a/crates/store/src/commit/resolve.rs
+++ b/crates/store/src/commit/resolve.rs
@@ -66,11 +66,11 @@
         success: vec![Op::put(&*key, withdrawn)],
         failure: vec![Op::get(key)],
     };
-    let answer = store.txn(txn).await?;
-    if answer.succeeded {
+    let resp = store.txn(txn).await?;
+    if resp.succeeded {
         return Ok(CommandRecord::Withdrawn);
     }
-    let record = parse_command(store, answer.first_kv(0))?;
+    let record = parse_command(store, resp.first_kv(0))?;
     record.ok_or_else(|| {
         let message = format!("the record of command {command} is neither there nor absent");
         unreadable(store, Step::Txn, message)
--- a/crates/store/src/commit/snapshot.rs
+++ b/crates/store/src/commit/snapshot.rs
@@ -130,11 +130,11 @@
             success: vec![Op::put(keys::HEAD, to_json(&head))],
             failure: vec![Op::Range(RangeRequest::key(keys::HEAD))],
         };
-        let answer = store.txn(txn).await?;
-        if answer.succeeded {
+        let resp = store.txn(txn).await?;
+        if resp.succeeded {
             return Ok(SnapshotOutcome::Written(snapshot));
         }
-        current = parse_head(store, Step::Txn, answer.first_kv(0))?;
+        current = parse_head(store, Step::Txn, resp.first_kv(0))?;
     }
     Ok(SnapshotOutcome::Superseded)
 }
--- a/crates/store/src/error.rs
+++ b/crates/store/src/error.rs
@@ -97,8 +97,8 @@
     /// The lease has expired or never existed.
     #[snafu(display("lease not found"))]
     LeaseNotFound,
-    /// A response or a stored value could not be parsed.
-    #[snafu(display("cannot parse the response: {message}"))]
+    /// A response or a stored value is invalid.
+    #[snafu(display("invalid data from the platform: {message}"))]
     Unreadable {
         /// The description of the problem.
         message: String,
--- a/crates/store/src/http_client.rs
+++ b/crates/store/src/http_client.rs
@@ -194,7 +194,7 @@
 }
 
 fn request_head(call: &Call) -> RequestHead {
-    let uri = Uri::try_from(call.path.as_ref()).expect("adapters make valid paths");
+    let uri = Uri::try_from(call.path.as_ref()).expect("adapters build valid paths");
     let mut head = RequestHead::new(call.method.clone(), uri);
     let json = HeaderValue::from_static("application/json");
     head.headers.insert(CONTENT_TYPE, json);
--- a/crates/store/src/http_store/mod.rs
+++ b/crates/store/src/http_store/mod.rs
@@ -156,7 +156,8 @@
     }
 
     fn request(&self, step: Step, path: &'static str, body: &impl Serialize) -> Call {
-        let body = serde_json::to_vec(body).expect("messages of this module always serialise");
+        let body =
+            serde_json::to_vec(body).expect("messages of this module can always be serialized");
         Call {
             step,
             method: Method::POST,
--- a/crates/store/tests/budget.rs
+++ b/crates/store/tests/budget.rs
@@ -1,4 +1,4 @@
-//! The daemon's own limit of calls.
+//! Tests of the daemon's call budget.
 
 mod support;
 
@@ -33,8 +33,9 @@
     Fixture { store, now }
 }
 
+/// A call above the burst is sent or waits, instead of failing with the time to retry after.
 #[test]
-fn calls_past_the_burst_are_refused_at_once_with_the_time_to_come_back() {
+fn calls_above_the_burst_fail_with_the_time_to_retry_after() {
     let platform = platform();
     let fixture = fixture(&platform);
 
@@ -57,8 +58,9 @@
     assert_eq!(platform.calls().range, 4);
 }
 
+/// Reads use up the budget of writes, or writes that of reads.
 #[test]
-fn reads_and_writes_have_limits_of_their_own() {
+fn reads_and_writes_have_separate_limits() {
     let platform = platform();
     let fixture = fixture(&platform);
 
@@ -74,36 +76,36 @@
     assert_eq!(platform.calls().txn, 2);
 }
 
-/// The platform says "too many". The daemon leaves it alone for a while, for reads and
-/// writes alike, and then goes on.
+/// The platform rejects a call because of its rate limit. The daemon must pause its calls for a
+/// while and then continue.
 #[test]
-fn a_rate_limit_holds_back_the_next_calls() {
+fn rate_limited_call_pauses_the_next_calls() {
     let platform = platform();
     let fixture = fixture(&platform);
     platform.faults(|faults| faults.rate_limited = 1);
 
-    let (first, held_back, later) = block_on(async {
+    let (first, paused, later) = block_on(async {
         let first = fixture.store.get("k").await.unwrap_err();
-        let held_back = fixture.store.get("k").await.unwrap_err();
+        let paused = fixture.store.get("k").await.unwrap_err();
         fixture.now.set(Millis(10_000));
-        (first, held_back, fixture.store.get("k").await)
+        (first, paused, fixture.store.get("k").await)
     });
 
     assert!(first.is_rate_limited());
-    assert_eq!(held_back.step, Step::Budget);
+    assert_eq!(paused.step, Step::Budget);
     assert!(later.is_ok());
     assert_eq!(platform.calls().range, 2);
 }
 
-/// The platform is down. After a few failures the daemon tries only now and then, so that a
-/// fleet does not keep a platform down that is coming back.
+/// The platform is down. After a few failures the daemon must pause its calls, so that the retries
+/// of many daemons do not keep a recovering platform overloaded.
 #[test]
-fn a_platform_that_is_down_is_tried_less_often() {
+fn consecutive_failures_pause_the_next_calls() {
     let platform = platform();
     let fixture = fixture(&platform);
     platform.faults(|faults| faults.down = Some(Down::Closes));
 
-    let held_back = block_on(async {
+    let paused = block_on(async {
         for _ in 0..3 {
             let failure = fixture.store.get("k").await.unwrap_err();
             assert_ne!(failure.step, Step::Budget);
@@ -113,12 +115,13 @@
         fixture.store.get("k").await.unwrap_err()
     });
 
-    assert_eq!(held_back.step, Step::Budget);
+    assert_eq!(paused.step, Step::Budget);
     assert_eq!(platform.calls().range, 3);
 }
 
+/// The limits of all daemons together exceed the planned part of the platform's rates.
 #[test]
-fn a_fleets_limits_together_stay_below_the_platforms_rates() {
+fn limits_of_all_daemons_stay_below_the_platforms_rates() {
     let daemons = 570;
     let rates = PlatformRates {
         reads_per_second: 2_000.0,
@@ -132,8 +135,9 @@
     assert!(limits.write_burst >= 1.0);
 }
 
+/// Lower limits, as after daemons were added, take effect only after the old burst was used up.
 #[test]
-fn a_share_shrinks_at_once_when_the_fleet_grows() {
+fn lower_limits_take_effect_immediately() {
     let platform = platform();
     let limits = Rc::new(Cell::new(LIMITS));
     let read = limits.clone();
--- a/crates/store/tests/capacity.rs
+++ b/crates/store/tests/capacity.rs
@@ -1,4 +1,4 @@
-//! The capacity ledger against the stand-in.
+//! Tests of the capacity ledger against the fake platform.
 
 mod support;
 
@@ -57,8 +57,9 @@
     serde_json::from_slice(&value).unwrap()
 }
 
+/// VMs that join do not get equal parts, or a part of the capacity stays unallocated.
 #[test]
-fn vms_that_join_come_to_equal_parts() {
+fn vms_that_join_get_equal_parts() {
     let platform = platform();
     let store = store(&platform);
     let (a, b, c) = (vm(&store, "a", 1), vm(&store, "b", 2), vm(&store, "c", 3));
@@ -78,8 +79,9 @@
     assert_eq!(ledger(&platform).sum(), 1000);
 }
 
+/// A reconciliation without changes takes more calls than one read.
 #[test]
-fn a_settled_ledger_costs_one_read_a_round() {
+fn reconciliation_without_changes_takes_one_read() {
     let platform = platform();
     let store = store(&platform);
     let a = vm(&store, "a", 1);
@@ -95,10 +97,10 @@
     assert_eq!(calls, 1);
 }
 
-/// A VM dies and its capacity is missing until the platform's late list says so. Only then
-/// do the others take its part; a suspicion of their own is not enough.
+/// A VM crashes. The others must not take its part before the platform's list, which lags, reports
+/// the VM as gone; that it does not respond is not sufficient.
 #[test]
-fn the_part_of_a_dead_vm_is_taken_only_once_the_list_reports_it_gone() {
+fn part_of_a_vm_is_taken_only_after_the_list_reports_it_gone() {
     let platform = platform();
     let store = store(&platform);
     let (a, b) = (vm(&store, "a", 1), vm(&store, "b", 2));
@@ -115,8 +117,9 @@
     assert_eq!(after, [1000]);
 }
 
+/// A restarted daemon has no capacity until the entry of its earlier process is removed.
 #[test]
-fn a_restarted_daemon_takes_its_entry_over_at_once() {
+fn restarted_daemon_takes_over_its_entry_immediately() {
     let platform = platform();
     let store = store(&platform);
     let (a, old) = (vm(&store, "a", 1), vm(&store, "b", 2));
@@ -131,11 +134,11 @@
     assert_eq!(limit, [500, 500]);
 }
 
-/// A process is paused past the restart of its VM's daemon and wakes up with its old limit.
-/// It finds the entry in the later run's hands at its first look, uses nothing more and
-/// does not take the entry back, however often it looks.
+/// A process is paused while its VM's daemon is restarted, and resumes with its old limit. At its
+/// next reconciliation it must find that its entry was taken over, stop using the capacity and
+/// never take the entry back.
 #[test]
-fn a_run_that_was_replaced_stops_and_stays_out() {
+fn replaced_process_stops_using_its_part() {
     let platform = platform();
     let store = store(&platform);
     let (old, new) = (vm(&store, "a", 1), vm(&store, "a", 2));
@@ -153,10 +156,10 @@
     assert_eq!(held, 1000);
 }
 
-/// A second VM joins while the first still runs requests for its whole part. The newcomer
-/// must wait for them to end, or both together would pass the places' caps.
+/// A second VM joins while the first one still runs requests that use its part. The second VM must
+/// not get this capacity until they end, or both together would exceed the places' caps.
 #[test]
-fn a_part_that_requests_in_flight_still_use_is_not_given_away() {
+fn capacity_of_requests_in_progress_is_not_released() {
     let platform = platform();
     let store = store(&platform);
     let (a, b) = (vm(&store, "a", 1), vm(&store, "b", 2));
@@ -175,10 +178,10 @@
     assert_eq!(eased, [500, 500]);
 }
 
-/// The store goes down while VMs hold their parts. They go on with what they have, and a VM
-/// that starts meanwhile gets nothing, since nobody can tell what is free.
+/// The store goes down. VMs must keep their parts, and a VM that starts during the outage must get
+/// nothing, since the unallocated capacity is unknown.
 #[test]
-fn limits_stay_while_the_store_is_down() {
+fn limits_are_kept_while_the_store_is_down() {
     let platform = platform();
     let store = store(&platform);
     let (a, b) = (vm(&store, "a", 1), vm(&store, "b", 2));
@@ -194,11 +197,11 @@
     assert_eq!(limits, [1000, 0]);
 }
 
-/// A VM lowers its entry, and the write hangs in the network: no answer, no effect yet. The
-/// VM reads the old ledger back. It must not go on with the old part, because the write can
-/// still land and another VM take the difference.
+/// A VM lowers its entry, and the write is delayed in the network without a response. The VM then
+/// reads the old ledger. It must not use the old part again, because the write may still be
+/// applied and another VM may take the difference.
 #[test]
-fn a_lowering_that_lands_late_was_already_counted() {
+fn unanswered_write_that_lowers_the_entry_lowers_the_limit() {
     let platform = platform();
     let store = store(&platform);
     let (a, b) = (vm(&store, "a", 1), vm(&store, "b", 2));
@@ -219,10 +222,10 @@
     assert_eq!(after, [500, 500]);
 }
 
-/// Raising an entry takes effect and the answer is lost. The VM stays at its old limit until
-/// it has seen the new entry.
+/// An entry is raised and the response is lost. The VM must keep its old limit until it has read
+/// the new entry.
 #[test]
-fn a_raise_counts_only_once_it_was_seen() {
+fn limit_is_raised_only_after_the_entry_was_read() {
     let platform = platform();
     let store = store(&platform);
     let a = vm(&store, "a", 1);
@@ -239,8 +242,9 @@
     assert_eq!(seen, 1000);
 }
 
+/// A write that conflicts with those of other VMs is not retried by the same reconciliation.
 #[test]
-fn a_conflict_is_tried_again_in_the_same_round() {
+fn conflicting_write_is_retried_by_the_same_reconciliation() {
     let platform = platform();
     let store = store(&platform);
     let (a, b) = (vm(&store, "a", 1), vm(&store, "b", 2));
@@ -255,8 +259,9 @@
     assert_eq!(ledger(&platform).entries.len(), 2);
 }
 
+/// An invalid ledger is used or overwritten, or the error does not name its key.
 #[test]
-fn a_ledger_that_breaks_its_rules_is_refused_and_left_alone() {
+fn invalid_ledger_is_rejected_and_not_modified() {
     let platform = platform();
     let store = store(&platform);
     let a = vm(&store, "a", 1);
@@ -273,8 +278,9 @@
     assert_eq!(platform.get("hk/capacity/north-a").unwrap(), broken);
 }
 
+/// A ledger with two entries of the same VM is accepted.
 #[test]
-fn entries_out_of_order_are_a_fault() {
+fn duplicate_entries_are_an_error() {
     let twice = r#"{"e":[{"v":"x","i":1,"p":1},{"v":"x","i":2,"p":1}]}"#;
     let ledger: Ledger = serde_json::from_str(twice).unwrap();
 
@@ -284,8 +290,9 @@
     assert_eq!(fault, LedgerError::OutOfOrder { vm });
 }
 
+/// VMs of other failure domains are taken for departures.
 #[test]
-fn departures_are_those_of_the_own_domain() {
+fn departures_are_limited_to_the_given_failure_domain() {
     let record = |name: &str, domain: &str, state| VmRecord {
         name: VmName::from(name),
         domain: DomainName::from(domain),
@@ -306,8 +313,9 @@
     assert_eq!(found.gone, [VmName::from("c")]);
 }
 
+/// All VMs of a failure domain are leaving and give up their parts before others have joined.
 #[test]
-fn a_domain_whose_vms_are_all_leaving_keeps_its_parts() {
+fn vms_keep_their_parts_while_all_are_leaving() {
     let platform = platform();
     let store = store(&platform);
     let (a, b) = (vm(&store, "a", 1), vm(&store, "b", 2));
@@ -332,11 +340,11 @@
     assert_eq!(one_leaving, [0, 1000]);
 }
 
-/// A VM lowers its entry and hears nothing; then the other VM starts to leave, it raises the
-/// entry back, and hears nothing again. Of the two writes the store may still apply either
-/// one first, so the lower part counts until the ledger is seen to have moved.
+/// A VM lowers its entry without a response; then the other VM starts to leave and the first one
+/// raises its entry again, also without a response. The store may still apply either write first,
+/// so the lower part must limit the VM until it observes a later revision of the ledger.
 #[test]
-fn of_two_unanswered_writes_the_lower_part_counts() {
+fn lower_of_two_unanswered_writes_limits_the_vm() {
     let entries = r#"{"e":[{"v":"a","i":1,"p":1000},{"v":"b","i":2,"p":0}]}"#;
     let ledger: Ledger = serde_json::from_str(entries).unwrap();
     let (before, after) = (StoreRevision(5), StoreRevision(6));
--- a/crates/store/tests/capacity_model.rs
+++ b/crates/store/tests/capacity_model.rs
@@ -1,8 +1,8 @@
-//! The capacity ledger under random interleavings of everything that can go wrong.
+//! Model test of the capacity ledger with random interleavings of failures.
 //!
-//! Each step of each process is scheduled on its own, so a process pauses between any two of
-//! them; a write may be applied at any later time, its answer lost, or never arrive; the VM
-//! list lags; processes die and come back. After every step the parts in use are checked.
+//! Every step of every process is scheduled separately, so that a process may be paused between
+//! any two steps. A write may be applied at any later time, lose its response or never arrive; the
+//! VM list lags; processes crash and restart. The parts in use are checked after each step.
 
 use bolero::TypeGenerator;
 use heatherknot_store::capacity::{CapacityState, Departures, Ledger, PlannedWrite, TOTAL_PARTS};
@@ -187,11 +187,11 @@
     }
 }
 
-/// A domain's callers see its places run past their cap. Two VMs hold the same part: one
-/// lowered it, the answer was lost, it read the old ledger and went on with the old part,
-/// and then its delayed write landed and another VM took what it had set free.
+/// The VMs of a failure domain together use more than its capacity. This happens if a VM lowers
+/// its entry, loses the response, reads the old ledger and continues to use the old part, and then
+/// its delayed write is applied and another VM takes the released capacity.
 #[test]
-fn parts_in_use_never_pass_the_whole() {
+fn parts_in_use_never_exceed_the_total() {
     heatherknot_test_support::property::check()
         .with_iterations(20_000)
         .with_max_len(4096)
@@ -205,9 +205,9 @@
         });
 }
 
-/// The same with long runs from seeds, which reach states of four busy VMs more often.
+/// As above, with long runs from fixed seeds, which reach states with four busy VMs more often.
 #[test]
-fn parts_in_use_never_pass_the_whole_in_long_runs() {
+fn parts_in_use_never_exceed_the_total_in_long_runs() {
     for seed in 0..300 {
         let mut rng = fastrand::Rng::with_seed(seed);
         let mut simulation = Simulation::default();
--- a/crates/store/tests/claim.rs
+++ b/crates/store/tests/claim.rs
@@ -1,4 +1,4 @@
-//! Claims against the stand-in.
+//! Tests of claims against the fake platform.
 
 mod support;
 
@@ -56,10 +56,10 @@
     matches!(claim, Ok(ClaimResult::Won { .. }))
 }
 
-/// A caller sends the same approval to two entry VMs at once. One of them wins the claim;
-/// the other is told which, so that it can pass the request on and nothing runs twice.
+/// A caller sends the same request to two entry VMs. Only one of them may win the claim, and the
+/// other must learn the owner so that it can forward the request; otherwise the request runs twice.
 #[test]
-fn of_two_claims_of_a_key_one_wins_and_the_other_hears_the_owner() {
+fn second_claim_of_a_key_returns_the_owner() {
     let platform = platform();
     let store = store(&platform);
     let (a, b) = (claims(&store, 1), claims(&store, 2));
@@ -73,10 +73,10 @@
     assert_eq!(second, Ok(ClaimResult::Held(owner("vm-a"))));
 }
 
-/// The claim takes effect and its answer is lost. The daemon must find out that the claim
-/// is its own, or the caller's request would be refused by everyone for a day.
+/// A claim is applied and its response is lost. The daemon must recognize its own claim by the
+/// nonce, or all daemons would refuse the caller's request for a day.
 #[test]
-fn a_lost_answer_is_resolved_by_the_own_nonce() {
+fn lost_response_is_resolved_by_the_nonce() {
     let platform = platform();
     let store = store(&platform);
     let claims = claims(&store, 1);
@@ -91,10 +91,10 @@
     assert_eq!(platform.keys("hk/claim/").len(), 2);
 }
 
-/// A caller repeats a request at the same VM while the first claim stands. The second claim
-/// is of the same run and yet another try, so it must not win.
+/// A caller repeats a request at the same VM while the first claim exists. The second claim has the
+/// same owner but must not win.
 #[test]
-fn a_second_claim_of_the_same_run_does_not_win() {
+fn second_claim_of_the_same_owner_does_not_win() {
     let platform = platform();
     let store = store(&platform);
     let claims = claims(&store, 1);
@@ -107,8 +107,9 @@
     assert_eq!(second, Ok(ClaimResult::Held(owner("vm-a"))));
 }
 
+/// Claims requested at the same time are sent in one transaction or lease each.
 #[test]
-fn claims_that_are_asked_for_together_share_writes() {
+fn concurrent_claims_share_transactions() {
     let platform = platform();
     let store = store(&platform);
     let claims = claims(&store, 1);
@@ -124,10 +125,10 @@
     assert_eq!(platform.calls().lease, 1);
 }
 
-/// One key of a batch is another daemon's. The others of the batch must win all the same,
-/// and each caller must hear of its own key.
+/// One key of a batch is claimed by another daemon. The other claims of the batch must still win,
+/// and each caller must get the result for its own key.
 #[test]
-fn a_held_key_does_not_spoil_the_rest_of_its_batch() {
+fn claimed_key_does_not_affect_the_rest_of_its_batch() {
     let platform = platform();
     let store = store(&platform);
     let (a, b) = (claims(&store, 1), claims(&store, 2));
@@ -143,8 +144,9 @@
     assert_eq!(outcomes[2], Ok(ClaimResult::Held(owner("vm-a"))));
 }
 
+/// A key that is queued several times is written twice in one transaction, or won twice.
 #[test]
-fn the_same_key_twice_in_one_batch_has_one_winner() {
+fn key_queued_several_times_has_one_winner() {
     let platform = platform();
     let store = store(&platform);
     let claims = claims(&store, 1);
@@ -157,8 +159,8 @@
     assert_eq!(outcomes.iter().filter(|claim| is_won(claim)).count(), 1);
 }
 
-/// The store is down. The claim fails within its tries, and the request is refused; nothing
-/// is run on the guess that nobody else claimed the key.
+/// The store is down. The claim must fail after its attempts; it must not be won on the assumption
+/// that no other daemon has claimed the key.
 #[test]
 fn no_claim_is_won_while_the_store_is_down() {
     let platform = platform();
@@ -171,10 +173,10 @@
     assert!(matches!(claim, Err(ClaimError::Store { .. })), "{claim:?}");
 }
 
-/// Every lease ends early on the platform. The next claim gets a new lease instead of
-/// failing until the old one would have ended.
+/// The platform expires all leases early. The next claim must request a new lease instead of
+/// failing until the regular end of the old one.
 #[test]
-fn a_lapsed_lease_is_replaced() {
+fn lease_that_expired_early_is_replaced() {
     let platform = platform();
     let store = store(&platform);
     let claims = claims(&store, 1);
@@ -188,10 +190,10 @@
     assert!(is_won(&claim), "{claim:?}");
 }
 
-/// A daemon wins a claim and is paused for longer than claims are kept. The store has
-/// dropped the claim and another daemon may have won it, so the first one must not start.
+/// A daemon wins a claim and is paused until after the claim has expired. Another daemon may have
+/// won the key meanwhile, so the first one must be able to tell that it must not start the request.
 #[test]
-fn a_holder_paused_past_its_claim_sees_that_it_may_not_start() {
+fn claim_reports_the_time_by_which_the_request_must_start() {
     let platform = platform();
     let store = store(&platform);
     let now = Rc::new(Cell::new(Millis(1_000)));
@@ -211,8 +213,9 @@
     assert!(now.get() > start_by);
 }
 
+/// A claim is queued beyond the limit instead of failing immediately.
 #[test]
-fn a_full_queue_refuses_at_once() {
+fn full_queue_rejects_a_claim() {
     let platform = platform();
     let store = store(&platform);
     let cfg = ClaimConfig {
@@ -231,10 +234,10 @@
     assert_eq!(outcomes[2], Err(ClaimError::Busy { waiting: 2 }));
 }
 
-/// The daemon has used up its own allowance of writes. The caller is told at once when to
-/// come back, and is not kept waiting until then.
+/// The daemon's call budget is exhausted for a long time. The claim must fail immediately with the
+/// time to retry after, and not keep the caller waiting.
 #[test]
-fn a_claim_that_is_held_back_for_long_fails_at_once() {
+fn claim_fails_immediately_while_the_budget_is_exhausted() {
     let platform = platform();
     let limits = CallLimits {
         reads_per_second: 1.0,
@@ -246,18 +249,18 @@
     let store = with_call_limits(store(&platform), move || limits, clock, backoff());
     let claims = claims(&store, 1);
 
-    let (first, held_back) = block_on(async {
+    let (first, second) = block_on(async {
         let first = claims.claim(key("k1"), owner("vm-a")).await;
         (first, claims.claim(key("k2"), owner("vm-a")).await)
     });
 
     assert!(is_won(&first));
-    let retry_after = held_back.unwrap_err().retry_after();
+    let retry_after = second.unwrap_err().retry_after();
     assert_eq!(retry_after, Some(Millis(10_000)));
 }
 
-/// Daemons claim the same keys at random while answers are lost and writes land late. No key
-/// ever has two winners.
+/// Daemons claim the same keys at random while responses are lost and writes are delayed. No key
+/// may ever have two winners.
 #[test]
 fn no_key_has_two_winners() {
     heatherknot_test_support::property::check()
@@ -290,8 +293,9 @@
         });
 }
 
+/// A caller's idempotency key with path segments refers to the claims of another service.
 #[test]
-fn a_callers_text_cannot_reach_another_services_claims() {
+fn idempotency_key_cannot_refer_to_another_services_claims() {
     let account = AccountName::from("a");
     let service = ServiceName::from("a:s");
 
--- a/crates/store/tests/commit.rs
+++ b/crates/store/tests/commit.rs
@@ -1,4 +1,4 @@
-//! Commits against the stand-in, with each failure that a writer can meet.
+//! Tests of commits against the fake platform, with the failures that a writer can encounter.
 
 mod support;
 
@@ -26,8 +26,9 @@
     block_on(read_head(&store)).unwrap().head.revision
 }
 
+/// A commit without conflicts takes more than two calls.
 #[test]
-fn an_accepted_change_is_one_write_and_one_read() {
+fn accepted_change_takes_one_read_and_one_write() {
     let platform = platform();
     let store = store(&platform);
 
@@ -39,8 +40,9 @@
     assert_eq!(newest(&platform), Revision(1));
 }
 
+/// The lookup of a command returns the revision of another one, or misses an accepted one.
 #[test]
-fn an_accepted_command_is_found_and_another_is_not() {
+fn only_an_accepted_command_is_found() {
     let platform = platform();
     let store = store(&platform);
     let (known, other) = (
@@ -48,20 +50,20 @@
         CommandId::parse("b").unwrap(),
     );
 
-    let (accepted, unheard) = block_on(async {
+    let (accepted, unknown) = block_on(async {
         commit(&store, &proposal("a", 0), &policy(3)).await;
         let accepted = find_command(&store, &known).await;
         (accepted, find_command(&store, &other).await)
     });
 
     assert_eq!(accepted, Ok(Some(Revision(1))));
-    assert_eq!(unheard, Ok(None));
+    assert_eq!(unknown, Ok(None));
 }
 
-/// Two operators change the same settings from the same revision. One is accepted; the
-/// other is told so and given the winner's change to compare with.
+/// Two operators change the settings based on the same revision. Only one change may be accepted,
+/// and the other operator must get the accepted change for comparison.
 #[test]
-fn of_two_writers_one_wins_and_the_other_gets_the_winners_change() {
+fn second_of_two_writers_gets_the_accepted_change() {
     let platform = platform();
     let store = store(&platform);
 
@@ -79,10 +81,10 @@
     assert_eq!(stored_changes(&platform).len(), 1);
 }
 
-/// An operator's commit has read the head when another operator's commit lands. The first
-/// one's transaction must fail its compare, although its read had promised success.
+/// A commit is applied after another one has read the head and before it writes. The transaction
+/// of the other one must fail its precondition.
 #[test]
-fn a_commit_that_lands_between_read_and_write_wins() {
+fn commit_applied_between_read_and_write_wins() {
     let platform = platform();
     let store = store(&platform);
     let head = Bytes::from(r#"{"r":1,"h":"other"}"#);
@@ -102,10 +104,10 @@
     assert_eq!(stored_changes(&platform), [change]);
 }
 
-/// A daemon names a new snapshot in the head while an operator commits. The head's key
-/// moved but no change came between, so the operator must not be told of a race.
+/// A daemon names a new snapshot in the head during a commit. The head was modified but no other
+/// change was accepted, so the commit must not fail with a conflict.
 #[test]
-fn a_snapshot_that_moves_the_head_does_not_reject_a_commit() {
+fn snapshot_update_of_the_head_does_not_reject_a_commit() {
     let platform = platform();
     let store = store(&platform);
 
@@ -118,10 +120,10 @@
     assert_eq!(outcome, CommitOutcome::Accepted(Revision(2)));
 }
 
-/// The store applies the commit and the connection breaks before its answer. The operator
-/// is told "accepted", and running the command again changes nothing.
+/// The store applies the commit and the connection fails before the response. The outcome must be
+/// "accepted", and running the command again must change nothing.
 #[test]
-fn a_lost_answer_after_the_effect_is_found_out_as_accepted() {
+fn commit_with_a_lost_response_is_accepted() {
     let platform = platform();
     let store = store(&platform);
     platform.faults(|faults| faults.lose_answers = 1);
@@ -136,11 +138,11 @@
     assert_eq!(stored_changes(&platform).len(), 1);
 }
 
-/// The connection breaks while the commit is still on its way, and the store gets it only
-/// after the operator was told "not accepted". The late commit must then have no effect. The
-/// command stays withdrawn, and a new one makes the change once.
+/// The connection fails while the commit is in flight, and the store receives it only after the
+/// operator was told "not accepted". The late commit must have no effect, the command must stay
+/// withdrawn, and a new command must be able to make the change once.
 #[test]
-fn a_commit_that_arrives_after_it_was_called_not_accepted_has_no_effect() {
+fn commit_that_arrives_after_it_was_withdrawn_has_no_effect() {
     let platform = platform();
     let store = store(&platform);
     platform.faults(|faults| faults.hold_writes = 1);
@@ -163,11 +165,11 @@
     assert_eq!(stored_changes(&platform).len(), 1);
 }
 
-/// An operator's command reaches a daemon that is paused in the middle of it, and is sent
-/// again to another, which loses its answer, withdraws the command and says "not accepted".
-/// When the paused daemon goes on, it must not have the command accepted after all.
+/// A daemon is paused while it runs a command. The command is retried at another daemon, which
+/// loses the response, withdraws the command and reports "not accepted". When the paused daemon
+/// resumes, its commit must not be accepted.
 #[test]
-fn a_paused_daemon_cannot_have_a_withdrawn_command_accepted() {
+fn paused_daemon_cannot_commit_a_withdrawn_command() {
     let platform = platform();
     let store = store(&platform);
     let command = keys::command(&CommandId::parse("a").unwrap());
@@ -180,10 +182,10 @@
     assert_eq!(stored_changes(&platform), Vec::<Bytes>::new());
 }
 
-/// Every answer is lost for a while: the commit's own and those of the search for it. The
-/// operator is told "unknown", and the same command later says what really happened.
+/// The responses to the commit and to all attempts to resolve it are lost. The outcome must be
+/// "unknown", and running the same command later must report the actual outcome.
 #[test]
-fn an_outcome_that_cannot_be_found_out_is_unknown_until_the_store_answers() {
+fn unresolved_outcome_is_unknown_until_the_store_responds() {
     let platform = platform();
     let store = store(&platform);
     platform.faults(|faults| faults.lose_answers = 10);
@@ -199,10 +201,10 @@
     assert_eq!(stored_changes(&platform).len(), 1);
 }
 
-/// A client asks for a command's outcome that no daemon remembers. Asking settles it: a
-/// command that was never applied can't be applied any more by an old copy.
+/// A client asks for the outcome of a command that was never applied. Resolving it must withdraw
+/// the command, so that a delayed copy cannot be applied later.
 #[test]
-fn settling_a_command_that_never_arrived_withdraws_it() {
+fn resolving_a_command_that_never_arrived_withdraws_it() {
     let platform = platform();
     let store = store(&platform);
     let command = CommandId::parse("a").unwrap();
@@ -218,10 +220,10 @@
     assert_eq!(newest(&platform), Revision::NONE);
 }
 
-/// The store takes longer than the daemon waits. The commit ends before it has written
-/// anything, and the operator is told "not accepted" although the call's fate was open.
+/// The store takes longer than the daemon's time limit. The commit fails at its read, before it
+/// has written anything, and must be reported as "not accepted" although the call timed out.
 #[test]
-fn a_commit_on_a_slow_store_ends_before_it_writes() {
+fn commit_on_a_slow_store_fails_before_it_writes() {
     let platform = platform();
     let store = connect(StoreConfig {
         call_limit: Duration::from_millis(50),
@@ -238,8 +240,9 @@
     assert_eq!(stored_changes(&platform), Vec::<Bytes>::new());
 }
 
+/// A commit rejected by the rate limit is reported as unknown instead of "not accepted".
 #[test]
-fn a_commit_refused_by_the_rate_limit_is_certainly_not_accepted() {
+fn rate_limited_commit_is_not_accepted() {
     let platform = platform();
     let store = store(&platform);
     platform.faults(|faults| faults.rate_limited = 1);
@@ -253,8 +256,9 @@
     assert_eq!(stored_changes(&platform), Vec::<Bytes>::new());
 }
 
+/// A change of almost a megabyte is rejected or truncated.
 #[test]
-fn a_change_close_to_a_megabyte_is_accepted_whole() {
+fn change_close_to_a_megabyte_is_accepted() {
     let platform = platform();
     let store = store(&platform);
     let mut long = proposal("a", 0);
@@ -266,8 +270,9 @@
     assert_eq!(stored_changes(&platform), [long.change]);
 }
 
+/// A malformed head is overwritten, or the error does not name its key.
 #[test]
-fn a_head_that_cannot_be_read_is_an_error_that_names_its_key() {
+fn malformed_head_is_an_error_that_names_its_key() {
     let platform = platform();
     let store = store(&platform);
     platform.put(keys::HEAD, "not json");
@@ -281,8 +286,9 @@
     assert_eq!(platform.get(keys::HEAD), Some(Bytes::from("not json")));
 }
 
+/// A command identifier contains characters that refer to keys outside the command records.
 #[test]
-fn command_identifiers_cannot_leave_their_branch_of_keys() {
+fn command_identifiers_cannot_escape_their_key_prefix() {
     let refused = ["", "a/b", "..", "a b", "é", &"x".repeat(65)];
 
     for text in refused {
@@ -291,7 +297,7 @@
     assert!(CommandId::parse("Abc-12_z").is_some());
 }
 
-/// What the store does to one write of a writer.
+/// The fault applied to one write.
 #[derive(Clone, Copy, Debug, bolero::TypeGenerator)]
 enum WriteFault {
     None,
@@ -300,11 +306,11 @@
     Conflict,
 }
 
-/// Operators commit one after the other while writes are lost, delayed or raced. Whatever
-/// the order, a command reported accepted is in the history exactly once at its revision,
-/// and one reported not accepted never is, also after every delayed write has landed.
+/// Commits run one after another while responses are lost, writes are delayed and conflicts occur.
+/// A command reported as accepted must be in the history exactly once, at its revision, and a
+/// command reported as not accepted must never be, even after all delayed writes were applied.
 #[test]
-fn reported_outcomes_are_true_whatever_becomes_of_the_writes() {
+fn reported_outcomes_match_the_history() {
     heatherknot_test_support::property::check()
         .with_iterations(60)
         .with_type::<Vec<WriteFault>>()
--- a/crates/store/tests/follow.rs
+++ b/crates/store/tests/follow.rs
@@ -1,4 +1,4 @@
-//! Following the accepted settings through the failures of watches and of the store.
+//! Tests of the follower with failures of the watch and of the store.
 
 mod support;
 
@@ -15,11 +15,11 @@
 use heatherknot_types::prelude::*;
 use support::{backoff, platform, policy, proposal, store};
 
-/// How long a test waits for what must come before it fails.
+/// The time after which a test fails if an expected event has not happened.
 const TIMEOUT: Duration = Duration::from_secs(20);
-/// A check so rare that no test lives to see one: what arrives came by the watch.
+/// A poll interval longer than any test, so that all updates come from the watch.
 const NO_POLLING: Duration = Duration::from_secs(3_600);
-/// A check so frequent that a test soon sees one.
+/// A poll interval short enough for polls to happen during a test.
 const FREQUENT_POLLING: Duration = Duration::from_millis(20);
 
 #[derive(Clone, Default)]
@@ -78,7 +78,7 @@
         }
     };
     let waited = monoio::time::timeout(TIMEOUT, wait).await;
-    waited.expect("what the test waits for should come");
+    waited.expect("the condition should become true before the timeout");
 }
 
 fn following(store: &Store, daemon: &Daemon, poll_interval: Duration) -> Follower {
@@ -96,8 +96,9 @@
     }
 }
 
+/// Changes from before and after the start of the watch are lost or delivered out of order.
 #[test]
-fn changes_arrive_by_the_watch_in_order() {
+fn watch_delivers_changes_in_order() {
     let platform = platform();
     let store = store(&platform);
     let daemon = Daemon::default();
@@ -113,10 +114,10 @@
     assert_eq!(daemon.log(), ["r1", "r2", "r3", "r4", "r5"]);
 }
 
-/// The watch's connection is forgotten on its way: it stays open and brings nothing. The
-/// periodic read finds the new revision and the watch is started again.
+/// A middlebox drops the watch's connection silently: it stays open but delivers nothing. A poll
+/// must find the new revision, and the watch must be restarted.
 #[test]
-fn a_quiet_watch_is_found_out_by_a_read() {
+fn poll_detects_a_stalled_watch() {
     let platform = platform();
     let store = store(&platform);
     let daemon = Daemon::default();
@@ -135,9 +136,9 @@
     assert_eq!(status.newest, Revision(1));
 }
 
-/// The watch leaves out one change and reports the next. The daemon must get both, in order.
+/// The watch skips one change and reports the next. The daemon must receive both, in order.
 #[test]
-fn a_change_that_the_watch_skipped_arrives_before_the_next() {
+fn change_skipped_by_the_watch_is_delivered_before_the_next() {
     let platform = platform();
     let store = store(&platform);
     let daemon = Daemon::default();
@@ -155,9 +156,9 @@
     assert_eq!(daemon.log(), ["r1", "r2"]);
 }
 
-/// The watch leaves out the last change for a long time to come. Only a read can find it.
+/// The watch skips a change and no other change follows. Only a poll can find it.
 #[test]
-fn a_skipped_last_change_is_found_out_by_a_read() {
+fn poll_detects_a_skipped_last_change() {
     let platform = platform();
     let store = store(&platform);
     let daemon = Daemon::default();
@@ -173,10 +174,10 @@
     assert_eq!(daemon.log(), ["r1"]);
 }
 
-/// The store goes down and comes back with newer settings. The daemon keeps what it has
-/// meanwhile and then catches up, without going back.
+/// The store is down for a while and then has newer settings. The daemon must keep its revision
+/// during the outage and catch up afterwards.
 #[test]
-fn a_follower_resumes_after_an_outage() {
+fn follower_resumes_after_an_outage() {
     let platform = platform();
     let store = store(&platform);
     let daemon = Daemon::default();
@@ -198,10 +199,10 @@
     assert_eq!(daemon.log(), ["r1", "r2", "r3"]);
 }
 
-/// The store forgets its old changes while a watch starts from one of them. The follower
-/// reads the head again and goes on from there.
+/// The store compacts the revision from which a watch continues. The follower must read the head
+/// again and continue from there.
 #[test]
-fn a_compacted_start_is_left_behind() {
+fn follower_recovers_from_a_compacted_start_revision() {
     let platform = platform();
     let store = store(&platform);
     let daemon = Daemon::default();
@@ -222,8 +223,10 @@
     assert_eq!(daemon.log(), ["r1", "r2"]);
 }
 
+/// A daemon that is far behind finds its next change packed. It must read the snapshot and then
+/// the changes after it.
 #[test]
-fn a_daemon_far_behind_takes_the_snapshot_and_then_the_changes() {
+fn daemon_far_behind_reads_the_snapshot_and_then_the_changes() {
     let platform = platform();
     let store = store(&platform);
     let daemon = Daemon::default();
@@ -246,10 +249,10 @@
     assert_eq!(daemon.log(), ["tree at r12", "r13", "r14"]);
 }
 
-/// A daemon can't read a change of a newer schema. It keeps its last good settings, is not
-/// asked over and over, and goes on when it can read what follows.
+/// A daemon cannot parse a change of a newer schema and keeps its settings. The follower must not
+/// deliver the same update in a loop, but offer it again with the next revision.
 #[test]
-fn a_refused_update_is_offered_again_with_the_next_revision_only() {
+fn rejected_update_is_delivered_again_only_with_the_next_revision() {
     let platform = platform();
     let store = store(&platform);
     let daemon = Daemon::default();
@@ -268,8 +271,9 @@
     assert_eq!(daemon.log(), ["refused", "r1", "r2"]);
 }
 
+/// A stopped follower leaves its watch open on the platform or delivers further changes.
 #[test]
-fn a_stopped_follower_no_longer_watches() {
+fn stopped_follower_closes_its_watch() {
     let platform = platform();
     let store = store(&platform);
     let daemon = Daemon::default();
@@ -286,10 +290,10 @@
     assert_eq!(platform.keys(keys::CHANGES).len(), 1);
 }
 
-/// A change is accepted after the follower has read the head and before its watch stands.
-/// The watch must still bring it, or the daemon would stay behind until the next read.
+/// A change is accepted after the follower has read the head and before its watch has started.
+/// The watch must report it, or the daemon would be behind until the next poll.
 #[test]
-fn a_change_between_the_read_and_the_watch_is_not_missed() {
+fn change_between_the_read_and_the_watch_is_not_missed() {
     let platform = platform();
     let real = store(&platform);
     let daemon = Daemon::default();
--- a/crates/store/tests/history.rs
+++ b/crates/store/tests/history.rs
@@ -1,4 +1,4 @@
-//! Snapshots, packs and reading the history back.
+//! Tests of snapshots, packs and reading the history of changes.
 
 mod support;
 
@@ -48,8 +48,9 @@
     change.clone()
 }
 
+/// Pages of changes overlap, have gaps or report wrongly whether there are more.
 #[test]
-fn a_follower_reads_the_changes_it_missed_in_order() {
+fn changes_are_read_in_order_and_in_pages() {
     let platform = platform();
     let store = store(&platform);
 
@@ -75,8 +76,10 @@
     assert_eq!(revisions(none), Vec::<u64>::new());
 }
 
+/// Packing removes changes from the audit trail, or followers do not notice that a change is
+/// packed.
 #[test]
-fn packed_changes_stay_in_the_audit_trail_and_send_followers_to_the_snapshot() {
+fn packed_changes_are_in_the_audit_trail_but_not_among_unpacked_changes() {
     let platform = platform();
     let store = store(&platform);
 
@@ -100,10 +103,10 @@
     assert_eq!(platform.keys(keys::CHANGES).len(), 3);
 }
 
-/// A daemon packs old changes and the answer is lost; another daemon, which can't know,
-/// packs as well. No change may be lost from the audit trail or appear twice.
+/// A daemon packs old changes and the response is lost, then another daemon packs as well. No
+/// change may be lost from the audit trail or appear in it twice.
 #[test]
-fn packing_twice_after_a_lost_answer_loses_no_change() {
+fn packing_again_after_a_lost_response_loses_no_change() {
     let platform = platform();
     let store = store(&platform);
 
@@ -121,8 +124,9 @@
     assert_eq!(audit, expected(8));
 }
 
+/// A pack exceeds the maximum size of a value, or contains changes that were not shortened.
 #[test]
-fn long_changes_are_packed_shortened_and_within_one_value() {
+fn long_changes_are_shortened_and_packs_fit_into_a_value() {
     let platform = platform();
     let store = store(&platform);
     let shorten = |change: &Bytes| change.slice(..change.len().min(400_000));
@@ -148,8 +152,9 @@
     );
 }
 
+/// A tree that exceeds the maximum size of a value cannot be written or read back.
 #[test]
-fn a_tree_longer_than_a_value_is_kept_in_parts_and_read_back_whole() {
+fn tree_larger_than_a_value_is_split_into_parts() {
     let platform = platform();
     let store = store(&platform);
     let tree: Bytes = (0..2_500_000).map(|i| (i % 251) as u8).collect();
@@ -165,10 +170,10 @@
     assert_eq!(read, Some(tree));
 }
 
-/// Two daemons find the same snapshot due. One writes it, the other leaves it, and the
-/// parts are those of one writer, never a mixture.
+/// Two daemons write the same snapshot. Only one of them may succeed, so that the parts are never
+/// a mixture of both.
 #[test]
-fn a_snapshot_has_one_writer() {
+fn snapshot_has_only_one_writer() {
     let platform = platform();
     let store = store(&platform);
 
@@ -188,10 +193,10 @@
     assert_eq!(read, Some(Bytes::from("tree")));
 }
 
-/// A part of the newest snapshot holds other bytes than were written. A new daemon must
-/// not start from it; it is told that the snapshot does not have its hash.
+/// A part of the newest snapshot is corrupt. A new daemon must not start from it, but get an
+/// error that reports the wrong hash.
 #[test]
-fn a_damaged_snapshot_is_refused() {
+fn corrupt_snapshot_is_rejected() {
     let platform = platform();
     let store = store(&platform);
 
@@ -211,10 +216,10 @@
     );
 }
 
-/// A daemon dies after the first part of a snapshot. The head goes on naming the older
-/// one, the next snapshot is written, and clearing up removes what the dead one left.
+/// A daemon crashes after it wrote the first part of a snapshot. The head must not name this
+/// snapshot, the next one must be written, and the cleanup must delete the leftover part.
 #[test]
-fn an_unfinished_snapshot_is_passed_over_and_removed() {
+fn incomplete_snapshot_is_ignored_and_removed() {
     let platform = platform();
     let store = store(&platform);
 
@@ -234,8 +239,9 @@
     assert_eq!(platform.keys(keys::SNAPSHOTS).len(), 1);
 }
 
+/// A snapshot becomes due too early, or stays due after it was written.
 #[test]
-fn a_snapshot_is_due_after_the_given_number_of_changes() {
+fn snapshot_is_due_after_the_given_number_of_changes() {
     let platform = platform();
     let store = store(&platform);
 
@@ -259,10 +265,10 @@
     assert!(!after);
 }
 
-/// Somebody deletes an accepted change from the store: in the middle, at the end, or a whole
-/// pack. The audit trail must say which one is missing, and not show a shorter trail.
+/// An accepted change is deleted from the store: in the middle, at the end, or with a whole pack.
+/// The audit trail must report the missing change and not be shorter without an error.
 #[test]
-fn a_change_that_was_removed_is_missed_by_the_audit_trail() {
+fn audit_trail_reports_a_deleted_change() {
     let platform = platform();
     let store = store(&platform);
     let delete = |key: String| Txn {
--- a/crates/store/tests/maintenance.rs
+++ b/crates/store/tests/maintenance.rs
@@ -1,4 +1,4 @@
-//! What is kept of the settings as changes add up.
+//! Tests of the maintenance of the settings in the store.
 
 mod support;
 
@@ -48,8 +48,9 @@
     reports
 }
 
+/// Snapshots and packs are written too often, too rarely or with wrong contents.
 #[test]
-fn snapshots_and_packs_are_made_as_changes_add_up() {
+fn snapshots_and_packs_are_written_at_their_intervals() {
     let platform = platform();
     let store = store(&platform);
 
@@ -69,8 +70,8 @@
     assert_eq!(platform.keys(keys::SNAPSHOTS).len(), 2);
 }
 
-/// Changes add up for ever. The number of keys must not: only packs of the audit trail may
-/// grow, and they hold many changes each.
+/// The number of keys grows with every change. Only the number of packs may grow, and each pack
+/// contains several changes.
 #[test]
 fn maintenance_bounds_the_number_of_keys() {
     let platform = platform();
@@ -84,8 +85,8 @@
     assert_eq!(platform.keys(keys::PACKS).len(), 12);
 }
 
-/// A daemon dies after its change was accepted and before the upkeep. The next daemon's
-/// change must bring what is due.
+/// A daemon crashes after its change was accepted and before the maintenance. The maintenance must
+/// be run with the next change of any daemon.
 #[test]
 fn skipped_maintenance_is_done_with_the_next_change() {
     let platform = platform();
@@ -106,8 +107,9 @@
     assert_eq!(named.unwrap().revision, Revision(6));
 }
 
+/// An outdated tree is written as a snapshot.
 #[test]
-fn a_tree_that_is_no_longer_the_newest_is_not_written() {
+fn outdated_tree_is_not_written() {
     let platform = platform();
     let store = store(&platform);
 
@@ -124,8 +126,9 @@
     assert_eq!(platform.keys(keys::SNAPSHOTS).len(), 0);
 }
 
+/// Packed changes keep long values, or cannot be verified because their hash has changed.
 #[test]
-fn packed_changes_lose_long_values_and_keep_their_hash() {
+fn packed_changes_lose_long_values_but_keep_their_hash() {
     let platform = platform();
     let store = store(&platform);
     let change = |revision: u64| -> Change {
@@ -157,10 +160,10 @@
     assert_eq!(kept.computed_hash(), change(1).computed_hash());
 }
 
-/// The records of old commands go, those of newer ones stay, and a withdrawn one stays until
-/// newer commands have grown old.
+/// Records of recent commands are deleted, so that a retried command is accepted twice, or old
+/// records are kept. The record of a withdrawn command is kept until later commands are old.
 #[test]
-fn only_old_records_of_commands_are_removed() {
+fn only_old_command_records_are_removed() {
     let platform = platform();
     let store = store(&platform);
     let id = |text: &str| CommandId::parse(text).unwrap();
--- a/crates/store/tests/protocol.rs
+++ b/crates/store/tests/protocol.rs
@@ -1,4 +1,5 @@
-//! The adapter against the stand-in: each call, and what each failure is reported as.
+//! Tests of the HTTP adapters against the fake platform: the calls, and the error reported for
+//! each failure.
 
 use std::time::Duration;
 
@@ -40,8 +41,9 @@
     }
 }
 
+/// A read of a prefix returns keys out of order, beyond its limit or outside the prefix.
 #[test]
-fn written_keys_are_read_in_order_and_in_pages() {
+fn keys_are_read_in_order_and_in_pages() {
     let platform = platform();
     let store = store(&platform);
 
@@ -64,8 +66,9 @@
     assert_eq!(whole.kvs[0].value, Bytes::from("a/1"));
 }
 
+/// Two transactions both create the same key, or the second does not read the existing value.
 #[test]
-fn a_key_is_created_once_and_the_second_creator_reads_the_first() {
+fn key_is_created_only_once() {
     let platform = platform();
     let store = store(&platform);
 
@@ -80,8 +83,9 @@
     assert_eq!(second.first_kv(0).unwrap().value, Bytes::from("one"));
 }
 
+/// A write that requires an outdated revision of a key is applied.
 #[test]
-fn a_change_compares_the_revision_that_was_read() {
+fn write_requires_the_current_revision() {
     let platform = platform();
     let store = store(&platform);
 
@@ -102,8 +106,9 @@
     assert!(fresh.succeeded);
 }
 
+/// A key outlives its lease, or an expired lease is extended.
 #[test]
-fn a_lease_that_ends_takes_its_keys_along() {
+fn expired_lease_deletes_its_keys() {
     let platform = platform();
     let store = store(&platform);
 
@@ -133,8 +138,9 @@
     assert_eq!(err.effect, Effect::NotApplied);
 }
 
+/// A watch skips changes made before it started, reports other keys or changes the order.
 #[test]
-fn a_watch_brings_old_and_new_changes_in_order() {
+fn watch_reports_old_and_new_changes_in_order() {
     let platform = platform();
     let store = store(&platform);
 
@@ -162,8 +168,9 @@
     assert_eq!(values, ["old", "new"]);
 }
 
+/// A watch from a compacted revision does not fail, or fails with another error.
 #[test]
-fn a_watch_from_a_compacted_revision_says_so() {
+fn watch_from_a_compacted_revision_fails() {
     let platform = platform();
     let store = store(&platform);
 
@@ -183,8 +190,9 @@
     assert!(matches!(failure.source, Cause::Compacted { oldest } if oldest > 0));
 }
 
+/// A value of one megabyte is rejected, or the error for a longer one leaves its effect open.
 #[test]
-fn a_value_of_a_megabyte_passes_and_a_longer_one_is_certainly_not_applied() {
+fn value_longer_than_a_megabyte_is_not_applied() {
     let platform = platform();
     let store = store(&platform);
     let longest = vec![b'x'; 1 << 20];
@@ -201,10 +209,10 @@
     assert!(matches!(refused.source, Cause::Refused { status: 400, .. }));
 }
 
-/// An operator's write times out while the platform hangs. Nobody knows whether the
-/// platform will still apply it, so the error must not claim that it was not applied.
+/// A write times out while the platform hangs. The platform may still apply it, so the error must
+/// not claim that it was not applied.
 #[test]
-fn a_write_that_hangs_may_have_been_applied() {
+fn write_that_times_out_may_have_been_applied() {
     let platform = platform();
     let store = store_with_short_timeout(&platform);
     platform.faults(|faults| faults.down = Some(Down::Hangs));
@@ -219,10 +227,10 @@
     );
 }
 
-/// The platform applies a write and the connection breaks before the answer. The writer
-/// sees a broken connection; the key holds the new value.
+/// The platform applies a write and the connection fails before the response. The error must not
+/// claim that the write was not applied.
 #[test]
-fn a_write_whose_answer_is_lost_may_have_been_applied() {
+fn write_with_a_lost_response_may_have_been_applied() {
     let platform = platform();
     let store = store(&platform);
     platform.faults(|faults| faults.lose_answers = 1);
@@ -233,10 +241,10 @@
     assert_eq!(platform.get("k"), Some(Bytes::from("v")));
 }
 
-/// Nothing listens at the platform's address. No byte can have left, so the write is
-/// certainly not applied.
+/// Nothing listens at the platform's address. No data was sent, so the error must report that the
+/// write was not applied.
 #[test]
-fn a_refused_connection_is_certainly_not_applied() {
+fn write_on_a_refused_connection_is_not_applied() {
     let closed_port = "127.0.0.1:1".parse().unwrap();
     let store = connect(StoreConfig::new(closed_port));
 
@@ -246,8 +254,9 @@
     assert!(matches!(failure.source, Cause::Connection { .. }));
 }
 
+/// A write rejected by the rate limit is reported as possibly applied.
 #[test]
-fn a_call_past_the_rate_is_certainly_not_applied() {
+fn rate_limited_write_is_not_applied() {
     let platform = platform();
     let store = store(&platform);
     platform.faults(|faults| faults.rate_limited = 1);
@@ -259,10 +268,10 @@
     assert_eq!(platform.calls().limited, 1);
 }
 
-/// A call is given up after its time limit, and its answer arrives later. The next call
-/// must read its own answer, not the late one of the call before.
+/// A call times out and its response arrives later. The next call must read its own response, not
+/// the late one of the previous call.
 #[test]
-fn a_late_answer_is_never_given_to_the_next_call() {
+fn late_response_is_not_read_by_the_next_call() {
     let platform = platform();
     let store = store_with_short_timeout(&platform);
 
@@ -279,11 +288,10 @@
     assert_eq!(next.value, Bytes::from("answer of b"));
 }
 
-/// The path between daemon and platform forgets a watch's connection: it stays open and
-/// brings nothing more. The watch ends with an error after its limit instead of for ever
-/// leaving the daemon on old settings.
+/// A middlebox drops a watch's connection silently: it stays open but delivers nothing. The watch
+/// must fail after its time limit, or the daemon would keep old settings for ever.
 #[test]
-fn a_silent_watch_ends_with_an_error() {
+fn silent_watch_fails_after_its_time_limit() {
     let platform = platform();
     let store = connect(StoreConfig {
         watch_limit: Duration::from_millis(50),
@@ -305,8 +313,9 @@
     assert_eq!(failure.source, Cause::Timeout { millis: 50 });
 }
 
+/// A dropped watch stays open on the platform.
 #[test]
-fn a_watch_that_is_dropped_stops_waiting_on_the_platform() {
+fn dropped_watch_is_closed_on_the_platform() {
     let platform = platform();
     let store = store(&platform);
 
@@ -328,8 +337,9 @@
     assert_eq!(waiting, 1);
 }
 
+/// The VM list is not read anew, or fields of its records are lost.
 #[test]
-fn the_vm_list_lags_and_keeps_each_record_whole() {
+fn vm_list_reflects_the_lagging_state_of_the_platform() {
     let vm = |state| PlatformVm {
         name: VmName::from("vm-1"),
         domain: DomainName::from("north-a"),
@@ -357,8 +367,9 @@
     assert_eq!(caught_up[0].domain, DomainName::from("north-a"));
 }
 
+/// Revoking a lease a second time succeeds or fails with another error.
 #[test]
-fn a_revoked_lease_cannot_be_revoked_again() {
+fn revoked_lease_does_not_exist() {
     let platform = platform();
     let store = store(&platform);
 
@@ -372,10 +383,10 @@
     assert_eq!(again.unwrap_err().source, Cause::LeaseNotFound);
 }
 
-/// The platform closes a kept connection just when a read goes out on it. The read is sent
-/// again on a new connection and the daemon notices nothing.
+/// The platform closes an idle connection just when a read is sent on it. The read must be sent
+/// again on a new connection and succeed.
 #[test]
-fn a_read_on_a_connection_that_was_closed_is_sent_again() {
+fn read_on_a_closed_connection_is_sent_again() {
     let platform = platform();
     let store = store(&platform);
 
--- a/crates/store/tests/support/mod.rs
+++ b/crates/store/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Fixtures shared by the tests of this package.
+//! Fixtures shared by the tests of this crate.
 #![allow(dead_code)]
 
 use std::time::Duration;
