--- a/crates/store/examples/store_cost.rs
+++ b/crates/store/examples/store_cost.rs
@@ -117,7 +117,7 @@
     let calls = platform.calls().total() as f64 / accepted as f64;
     let attempts = attempts.get() as f64 / accepted as f64;
     println!(
-        "commit: {CONCURRENT_WRITERS} concurrent writers, {accepted} accepted, {attempts:.2} attempts and {calls:.2} calls each"
+        "commit: {CONCURRENT_WRITERS} racing writers, {accepted} accepted, {attempts:.2} attempts and {calls:.2} calls each"
     );
 }
 
--- a/crates/store/src/commit/mod.rs
+++ b/crates/store/src/commit/mod.rs
@@ -147,7 +147,10 @@
         Ok(resp) => resp,
         Err(err) if err.is_not_applied() => return Attempt::Done(not_accepted(err)),
         Err(err) => {
-            log::warn!(command = proposal.command.as_str(), err:% = err; "no response to the commit; resolving its outcome");
+            log::warn!(
+                command = proposal.command.as_str(), err:% = err;
+                "no response to the commit; resolving its outcome"
+            );
             let outcome = resolve_command(store, &proposal.command, policy).await;
             return Attempt::Done(outcome);
         }
--- a/crates/store/src/follow.rs
+++ b/crates/store/src/follow.rs
@@ -107,11 +107,11 @@
 }
 
 /// Starts a follower on a task of the current runtime.
-pub fn start(store: Store, follow: FollowCallbacks, cfg: FollowConfig) -> Follower {
+pub fn start(store: Store, callbacks: FollowCallbacks, cfg: FollowConfig) -> Follower {
     let status = Rc::new(Cell::new(FollowStatus::default()));
     let task = FollowTask {
         store,
-        follow,
+        callbacks,
         cfg,
         status: status.clone(),
     };
@@ -122,7 +122,7 @@
 
 struct FollowTask {
     store: Store,
-    follow: FollowCallbacks,
+    callbacks: FollowCallbacks,
     cfg: FollowConfig,
     status: Rc<Cell<FollowStatus>>,
 }
@@ -183,7 +183,10 @@
                     // its message was only delayed, the cost is one needless restart.
                     if current.head.revision > newest {
                         self.update_status(|status| status.incomplete_watches += 1);
-                        log::warn!(newest:% = current.head.revision; "watch missed a revision; restarting it");
+                        log::warn!(
+                            newest:% = current.head.revision;
+                            "watch missed a revision; restarting it"
+                        );
                         return Ok(());
                     }
                 }
@@ -233,7 +236,7 @@
     async fn catch_up(&self, head: &Head) -> Result<(), StoreError> {
         self.update_status(|status| status.newest = status.newest.max(head.revision));
         loop {
-            let held = (self.follow.current_revision)();
+            let held = (self.callbacks.current_revision)();
             if held >= head.revision {
                 return Ok(());
             }
@@ -241,10 +244,10 @@
                 let message = format!("{held} is followed by no change and no snapshot");
                 return Err(unreadable(&self.store, Step::Range, message));
             };
-            (self.follow.deliver)(update);
+            (self.callbacks.deliver)(update);
             // The daemon rejected the update, for example because it cannot parse it. Reading it
             // again would return the same data, so wait for the next revision.
-            if (self.follow.current_revision)() == held {
+            if (self.callbacks.current_revision)() == held {
                 return Ok(());
             }
         }
--- a/crates/store/tests/follow.rs
+++ b/crates/store/tests/follow.rs
@@ -24,36 +24,36 @@
 
 #[derive(Clone, Default)]
 struct Daemon {
-    held: Rc<Cell<Revision>>,
+    revision: Rc<Cell<Revision>>,
     log: Rc<RefCell<Vec<String>>>,
-    refuses: Rc<Cell<bool>>,
+    rejects: Rc<Cell<bool>>,
 }
 
 impl Daemon {
     fn follow(&self) -> FollowCallbacks {
-        let (held, daemon) = (self.held.clone(), self.clone());
+        let (revision, daemon) = (self.revision.clone(), self.clone());
         FollowCallbacks {
-            current_revision: Rc::new(move || held.get()),
+            current_revision: Rc::new(move || revision.get()),
             deliver: Rc::new(move |update| daemon.apply(update)),
         }
     }
 
     fn apply(&self, update: SettingsUpdate) {
-        if self.refuses.get() {
-            self.log.borrow_mut().push("refused".to_owned());
+        if self.rejects.get() {
+            self.log.borrow_mut().push("rejected".to_owned());
             return;
         }
         match update {
             SettingsUpdate::Changes(changes) => {
                 for stored in changes {
-                    assert_eq!(stored.revision, self.held.get().next());
-                    self.held.set(stored.revision);
+                    assert_eq!(stored.revision, self.revision.get().next());
+                    self.revision.set(stored.revision);
                     self.log.borrow_mut().push(stored.revision.to_string());
                 }
             }
             SettingsUpdate::Snapshot { at, tree } => {
-                assert!(at.revision > self.held.get());
-                self.held.set(at.revision);
+                assert!(at.revision > self.revision.get());
+                self.revision.set(at.revision);
                 let tree = String::from_utf8(tree.to_vec()).unwrap();
                 self.log
                     .borrow_mut()
@@ -63,7 +63,7 @@
     }
 
     async fn wait_for(&self, revision: u64) {
-        eventually(|| self.held.get() == Revision(revision)).await;
+        eventually(|| self.revision.get() == Revision(revision)).await;
     }
 
     fn log(&self) -> Vec<String> {
@@ -188,7 +188,7 @@
         daemon.wait_for(1).await;
         platform.faults(|faults| faults.down = Some(Down::Closes));
         eventually(|| follower.status().failures > 1).await;
-        let during = daemon.held.get();
+        let during = daemon.revision.get();
         platform.faults(|faults| faults.down = None);
         accept(&store, 1, 3).await;
         daemon.wait_for(3).await;
@@ -260,15 +260,15 @@
     block_on(async {
         let _follower = following(&store, &daemon, NO_POLLING);
         eventually(|| platform.calls().watching == 1).await;
-        daemon.refuses.set(true);
+        daemon.rejects.set(true);
         accept(&store, 0, 1).await;
         eventually(|| !daemon.log().is_empty()).await;
-        daemon.refuses.set(false);
+        daemon.rejects.set(false);
         accept(&store, 1, 2).await;
         daemon.wait_for(2).await;
     });
 
-    assert_eq!(daemon.log(), ["refused", "r1", "r2"]);
+    assert_eq!(daemon.log(), ["rejected", "r1", "r2"]);
 }
 
 /// A stopped follower leaves its watch open on the platform or delivers further changes.
@@ -286,7 +286,7 @@
         accept(&store, 0, 1).await;
     });
 
-    assert_eq!(daemon.held.get(), Revision::NONE);
+    assert_eq!(daemon.revision.get(), Revision::NONE);
     assert_eq!(platform.keys(keys::CHANGES).len(), 1);
 }
 
