--- a/crates/store/tests/follow.rs
+++ b/crates/store/tests/follow.rs
@@ -1,4 +1,4 @@
-//! Following the accepted settings through the failures of watches and of the store.
+//! Tests of the follower with failures of the watch and of the store.
 
 mod support;
 
@@ -15,45 +15,45 @@
 use heatherknot_types::prelude::*;
 use support::{backoff, platform, policy, proposal, store};
 
-/// How long a test waits for what must come before it fails.
-const PATIENCE: Duration = Duration::from_secs(20);
-/// A check so rare that no test lives to see one: what arrives came by the watch.
-const NEVER: Duration = Duration::from_secs(3_600);
-/// A check so frequent that a test soon sees one.
-const OFTEN: Duration = Duration::from_millis(20);
+/// The time after which a test fails if an expected event has not happened.
+const TIMEOUT: Duration = Duration::from_secs(20);
+/// A poll interval longer than any test, so that all updates come from the watch.
+const NO_POLLING: Duration = Duration::from_secs(3_600);
+/// A poll interval short enough for polls to happen during a test.
+const FREQUENT_POLLING: Duration = Duration::from_millis(20);
 
 #[derive(Clone, Default)]
 struct Daemon {
-    held: Rc<Cell<Revision>>,
+    revision: Rc<Cell<Revision>>,
     log: Rc<RefCell<Vec<String>>>,
-    refuses: Rc<Cell<bool>>,
+    rejects: Rc<Cell<bool>>,
 }
 
 impl Daemon {
     fn follow(&self) -> FollowCallbacks {
-        let (held, daemon) = (self.held.clone(), self.clone());
+        let (revision, daemon) = (self.revision.clone(), self.clone());
         FollowCallbacks {
-            current_revision: Rc::new(move || held.get()),
-            deliver: Rc::new(move |update| daemon.take(update)),
+            current_revision: Rc::new(move || revision.get()),
+            deliver: Rc::new(move |update| daemon.apply(update)),
         }
     }
 
-    fn take(&self, update: SettingsUpdate) {
-        if self.refuses.get() {
-            self.log.borrow_mut().push("refused".to_owned());
+    fn apply(&self, update: SettingsUpdate) {
+        if self.rejects.get() {
+            self.log.borrow_mut().push("rejected".to_owned());
             return;
         }
         match update {
             SettingsUpdate::Changes(changes) => {
                 for stored in changes {
-                    assert_eq!(stored.revision, self.held.get().next());
-                    self.held.set(stored.revision);
+                    assert_eq!(stored.revision, self.revision.get().next());
+                    self.revision.set(stored.revision);
                     self.log.borrow_mut().push(stored.revision.to_string());
                 }
             }
             SettingsUpdate::Snapshot { at, tree } => {
-                assert!(at.revision > self.held.get());
-                self.held.set(at.revision);
+                assert!(at.revision > self.revision.get());
+                self.revision.set(at.revision);
                 let tree = String::from_utf8(tree.to_vec()).unwrap();
                 self.log
                     .borrow_mut()
@@ -62,8 +62,8 @@
         }
     }
 
-    async fn reaches(&self, revision: u64) {
-        eventually(|| self.held.get() == Revision(revision)).await;
+    async fn wait_for(&self, revision: u64) {
+        eventually(|| self.revision.get() == Revision(revision)).await;
     }
 
     fn log(&self) -> Vec<String> {
@@ -77,13 +77,13 @@
             monoio::time::sleep(Duration::from_millis(1)).await;
         }
     };
-    let waited = monoio::time::timeout(PATIENCE, wait).await;
-    waited.expect("what the test waits for should come");
+    let waited = monoio::time::timeout(TIMEOUT, wait).await;
+    waited.expect("the condition should become true before the timeout");
 }
 
-fn following(store: &Store, daemon: &Daemon, check_every: Duration) -> Follower {
+fn following(store: &Store, daemon: &Daemon, poll_interval: Duration) -> Follower {
     let cfg = FollowConfig {
-        check_every,
+        poll_interval,
         max_changes: 8,
         backoff: backoff(),
     };
@@ -96,38 +96,39 @@
     }
 }
 
+/// Changes from before and after the start of the watch are lost or delivered out of order.
 #[test]
-fn changes_arrive_by_the_watch_in_order() {
+fn watch_delivers_changes_in_order() {
     let platform = platform();
     let store = store(&platform);
     let daemon = Daemon::default();
 
     block_on(async {
         accept(&store, 0, 2).await;
-        let _follower = following(&store, &daemon, NEVER);
-        daemon.reaches(2).await;
+        let _follower = following(&store, &daemon, NO_POLLING);
+        daemon.wait_for(2).await;
         accept(&store, 2, 5).await;
-        daemon.reaches(5).await;
+        daemon.wait_for(5).await;
     });
 
     assert_eq!(daemon.log(), ["r1", "r2", "r3", "r4", "r5"]);
 }
 
-/// The watch's connection is forgotten on its way: it stays open and brings nothing. The
-/// periodic read finds the new revision and the watch is started again.
+/// A middlebox drops the watch's connection silently: it stays open but delivers nothing. A poll
+/// must find the new revision, and the watch must be restarted.
 #[test]
-fn a_quiet_watch_is_found_out_by_a_read() {
+fn poll_detects_a_stalled_watch() {
     let platform = platform();
     let store = store(&platform);
     let daemon = Daemon::default();
 
     let status = block_on(async {
-        let follower = following(&store, &daemon, OFTEN);
+        let follower = following(&store, &daemon, FREQUENT_POLLING);
         eventually(|| platform.calls().watching == 1).await;
         platform.faults(|faults| faults.watch_quiet = true);
         accept(&store, 0, 1).await;
-        daemon.reaches(1).await;
-        eventually(|| follower.status().missed > 0).await;
+        daemon.wait_for(1).await;
+        eventually(|| follower.status().incomplete_watches > 0).await;
         follower.status()
     });
 
@@ -135,62 +136,62 @@
     assert_eq!(status.newest, Revision(1));
 }
 
-/// The watch leaves out one change and reports the next. The daemon must get both, in order.
+/// The watch skips one change and reports the next. The daemon must receive both, in order.
 #[test]
-fn a_change_that_the_watch_skipped_arrives_before_the_next() {
+fn change_skipped_by_the_watch_is_delivered_before_the_next() {
     let platform = platform();
     let store = store(&platform);
     let daemon = Daemon::default();
 
     block_on(async {
-        let _follower = following(&store, &daemon, NEVER);
+        let _follower = following(&store, &daemon, NO_POLLING);
         eventually(|| platform.calls().watching == 1).await;
         platform.faults(|faults| faults.skip_events = 1);
         accept(&store, 0, 1).await;
         eventually(|| platform.current_faults().skip_events == 0).await;
         accept(&store, 1, 2).await;
-        daemon.reaches(2).await;
+        daemon.wait_for(2).await;
     });
 
     assert_eq!(daemon.log(), ["r1", "r2"]);
 }
 
-/// The watch leaves out the last change for a long time to come. Only a read can find it.
+/// The watch skips a change and no other change follows. Only a poll can find it.
 #[test]
-fn a_skipped_last_change_is_found_out_by_a_read() {
+fn poll_detects_a_skipped_last_change() {
     let platform = platform();
     let store = store(&platform);
     let daemon = Daemon::default();
 
     block_on(async {
-        let _follower = following(&store, &daemon, OFTEN);
+        let _follower = following(&store, &daemon, FREQUENT_POLLING);
         eventually(|| platform.calls().watching == 1).await;
         platform.faults(|faults| faults.skip_events = 1);
         accept(&store, 0, 1).await;
-        daemon.reaches(1).await;
+        daemon.wait_for(1).await;
     });
 
     assert_eq!(daemon.log(), ["r1"]);
 }
 
-/// The store goes down and comes back with newer settings. The daemon keeps what it has
-/// meanwhile and then catches up, without going back.
+/// The store is down for a while and then has newer settings. The daemon must keep its revision
+/// during the outage and catch up afterwards.
 #[test]
-fn a_follower_resumes_after_an_outage() {
+fn follower_resumes_after_an_outage() {
     let platform = platform();
     let store = store(&platform);
     let daemon = Daemon::default();
 
     let during = block_on(async {
         accept(&store, 0, 1).await;
-        let follower = following(&store, &daemon, OFTEN);
-        daemon.reaches(1).await;
+        let follower = following(&store, &daemon, FREQUENT_POLLING);
+        daemon.wait_for(1).await;
         platform.faults(|faults| faults.down = Some(Down::Closes));
         eventually(|| follower.status().failures > 1).await;
-        let during = daemon.held.get();
+        let during = daemon.revision.get();
         platform.faults(|faults| faults.down = None);
         accept(&store, 1, 3).await;
-        daemon.reaches(3).await;
+        daemon.wait_for(3).await;
         during
     });
 
@@ -198,32 +199,34 @@
     assert_eq!(daemon.log(), ["r1", "r2", "r3"]);
 }
 
-/// The store forgets its old changes while a watch starts from one of them. The follower
-/// reads the head again and goes on from there.
+/// The store compacts the revision from which a watch continues. The follower must read the head
+/// again and continue from there.
 #[test]
-fn a_compacted_start_is_left_behind() {
+fn follower_recovers_from_a_compacted_start_revision() {
     let platform = platform();
     let store = store(&platform);
     let daemon = Daemon::default();
 
     block_on(async {
         accept(&store, 0, 1).await;
-        let follower = following(&store, &daemon, NEVER);
-        daemon.reaches(1).await;
+        let follower = following(&store, &daemon, NO_POLLING);
+        daemon.wait_for(1).await;
         eventually(|| platform.calls().watching == 1).await;
         platform.faults(|faults| faults.watch_quiet = true);
         accept(&store, 1, 2).await;
         platform.compact();
         platform.faults(|faults| faults.watch_quiet = false);
-        daemon.reaches(2).await;
+        daemon.wait_for(2).await;
         assert!(follower.status().failures > 0);
     });
 
     assert_eq!(daemon.log(), ["r1", "r2"]);
 }
 
+/// A daemon that is far behind finds its next change packed. It must read the snapshot and then
+/// the changes after it.
 #[test]
-fn a_daemon_far_behind_takes_the_snapshot_and_then_the_changes() {
+fn daemon_far_behind_reads_the_snapshot_and_then_the_changes() {
     let platform = platform();
     let store = store(&platform);
     let daemon = Daemon::default();
@@ -233,63 +236,64 @@
         let tree = Bytes::from("tree");
         snapshot::write(&store, Revision(12), &tree).await.unwrap();
         accept(&store, 12, 14).await;
-        let rule = pack::PackRule {
-            changes: 6,
-            keep: 2,
+        let policy = pack::PackPolicy {
+            max_changes: 6,
+            keep_unpacked: 2,
         };
-        let packed = pack::pack_oldest(&store, Revision(14), rule, &Bytes::clone).await;
+        let packed = pack::pack_oldest(&store, Revision(14), policy, &Bytes::clone).await;
         assert_eq!(packed.unwrap(), Some(Revision(6)));
-        let _follower = following(&store, &daemon, NEVER);
-        daemon.reaches(14).await;
+        let _follower = following(&store, &daemon, NO_POLLING);
+        daemon.wait_for(14).await;
     });
 
     assert_eq!(daemon.log(), ["tree at r12", "r13", "r14"]);
 }
 
-/// A daemon can't read a change of a newer schema. It keeps its last good settings, is not
-/// asked over and over, and goes on when it can read what follows.
+/// A daemon cannot parse a change of a newer schema and keeps its settings. The follower must not
+/// deliver the same update in a loop, but offer it again with the next revision.
 #[test]
-fn a_refused_update_is_offered_again_with_the_next_revision_only() {
+fn rejected_update_is_delivered_again_only_with_the_next_revision() {
     let platform = platform();
     let store = store(&platform);
     let daemon = Daemon::default();
 
     block_on(async {
-        let _follower = following(&store, &daemon, NEVER);
+        let _follower = following(&store, &daemon, NO_POLLING);
         eventually(|| platform.calls().watching == 1).await;
-        daemon.refuses.set(true);
+        daemon.rejects.set(true);
         accept(&store, 0, 1).await;
         eventually(|| !daemon.log().is_empty()).await;
-        daemon.refuses.set(false);
+        daemon.rejects.set(false);
         accept(&store, 1, 2).await;
-        daemon.reaches(2).await;
+        daemon.wait_for(2).await;
     });
 
-    assert_eq!(daemon.log(), ["refused", "r1", "r2"]);
+    assert_eq!(daemon.log(), ["rejected", "r1", "r2"]);
 }
 
+/// A stopped follower leaves its watch open on the platform or delivers further changes.
 #[test]
-fn a_stopped_follower_no_longer_watches() {
+fn stopped_follower_closes_its_watch() {
     let platform = platform();
     let store = store(&platform);
     let daemon = Daemon::default();
 
     block_on(async {
-        let follower = following(&store, &daemon, NEVER);
+        let follower = following(&store, &daemon, NO_POLLING);
         eventually(|| platform.calls().watching == 1).await;
         follower.stop();
         eventually(|| platform.calls().watching == 0).await;
         accept(&store, 0, 1).await;
     });
 
-    assert_eq!(daemon.held.get(), Revision::NONE);
+    assert_eq!(daemon.revision.get(), Revision::NONE);
     assert_eq!(platform.keys(keys::CHANGES).len(), 1);
 }
 
-/// A change is accepted after the follower has read the head and before its watch stands.
-/// The watch must still bring it, or the daemon would stay behind until the next read.
+/// A change is accepted after the follower has read the head and before its watch has started.
+/// The watch must report it, or the daemon would be behind until the next poll.
 #[test]
-fn a_change_between_the_read_and_the_watch_is_not_missed() {
+fn change_between_the_read_and_the_watch_is_not_missed() {
     let platform = platform();
     let real = store(&platform);
     let daemon = Daemon::default();
@@ -309,8 +313,8 @@
     };
 
     block_on(async {
-        let _follower = following(&racing, &daemon, NEVER);
-        daemon.reaches(1).await;
+        let _follower = following(&racing, &daemon, NO_POLLING);
+        daemon.wait_for(1).await;
     });
 
     assert_eq!(daemon.log(), ["r1"]);
--- a/crates/store/tests/maintenance.rs
+++ b/crates/store/tests/maintenance.rs
@@ -1,4 +1,4 @@
-//! What is kept of the settings as changes add up.
+//! Tests of the maintenance of the settings in the store.
 
 mod support;
 
@@ -6,7 +6,7 @@
 use heatherknot_store::commit::head::read_head;
 use heatherknot_store::commit::history::audit_after;
 use heatherknot_store::commit::maintenance::{self, MaintenanceConfig, MaintenanceReport};
-use heatherknot_store::commit::pack::PackRule;
+use heatherknot_store::commit::pack::PackPolicy;
 use heatherknot_store::commit::{
     CommandId, CommitOutcome, Proposal, commands, commit, keys, resolve_command,
 };
@@ -16,17 +16,17 @@
 use serde_json::json;
 use support::{platform, policy, proposal, store};
 
-const RULES: MaintenanceConfig = MaintenanceConfig {
-    snapshot_every: 4,
-    pack: PackRule {
-        changes: 3,
-        keep: 2,
+const CONFIG: MaintenanceConfig = MaintenanceConfig {
+    snapshot_interval: 4,
+    pack: PackPolicy {
+        max_changes: 3,
+        keep_unpacked: 2,
     },
-    packs_at_once: 4,
-    keep_commands: 5,
+    max_packs_per_run: 4,
+    command_records_kept: 5,
 };
 
-fn whole(revision: u64) -> Snapshot {
+fn snapshot_at(revision: u64) -> Snapshot {
     let document = json!({"text": format!("tree {revision}")});
     let at = ChainPoint {
         revision: Revision(revision),
@@ -35,48 +35,49 @@
     Snapshot::new(at, &document)
 }
 
-async fn accept_with_upkeep(store: &Store, from: u64, to: u64) -> Vec<MaintenanceReport> {
-    let mut done = Vec::new();
+async fn accept_with_maintenance(store: &Store, from: u64, to: u64) -> Vec<MaintenanceReport> {
+    let mut reports = Vec::new();
     for base in from..to {
         commit(store, &proposal(&format!("c{base}"), base), &policy(3)).await;
-        done.push(
-            maintenance::run(store, &whole(base + 1), &RULES)
+        reports.push(
+            maintenance::run(store, &snapshot_at(base + 1), &CONFIG)
                 .await
                 .unwrap(),
         );
     }
-    done
+    reports
 }
 
+/// Snapshots and packs are written too often, too rarely or with wrong contents.
 #[test]
-fn snapshots_and_packs_are_made_as_changes_add_up() {
+fn snapshots_and_packs_are_written_at_their_intervals() {
     let platform = platform();
     let store = store(&platform);
 
-    let (done, audit) = block_on(async {
-        let done = accept_with_upkeep(&store, 0, 8).await;
+    let (reports, audit) = block_on(async {
+        let reports = accept_with_maintenance(&store, 0, 8).await;
         let audit = audit_after(&store, Revision::NONE).await.unwrap();
-        (done, audit)
+        (reports, audit)
     });
 
-    let wrote: Vec<bool> = done.iter().map(|upkeep| upkeep.wrote_snapshot).collect();
+    let wrote: Vec<bool> = reports.iter().map(|report| report.wrote_snapshot).collect();
     let expected = [false, false, false, true, false, false, false, true];
     assert_eq!(wrote, expected);
-    assert_eq!(done[7].packs, 2);
+    assert_eq!(reports[7].packs_written, 2);
     assert_eq!(audit.changes.len(), 3);
     assert_eq!(platform.keys(keys::PACKS).len(), 2);
     assert_eq!(platform.keys(keys::CHANGES).len(), 2);
     assert_eq!(platform.keys(keys::SNAPSHOTS).len(), 2);
 }
 
-/// Changes add up for ever. The number of keys must not: only packs of the audit trail may
-/// grow, and they hold many changes each.
+/// The number of keys grows with every change. Only the number of packs may grow, and each pack
+/// contains several changes.
 #[test]
-fn the_number_of_keys_stays_small() {
+fn maintenance_bounds_the_number_of_keys() {
     let platform = platform();
     let store = store(&platform);
 
-    block_on(accept_with_upkeep(&store, 0, 40));
+    block_on(accept_with_maintenance(&store, 0, 40));
 
     assert_eq!(platform.keys(keys::SNAPSHOTS).len(), 2);
     assert!(platform.keys(keys::CHANGES).len() <= 7);
@@ -84,21 +85,21 @@
     assert_eq!(platform.keys(keys::PACKS).len(), 12);
 }
 
-/// A daemon dies after its change was accepted and before the upkeep. The next daemon's
-/// change must bring what is due.
+/// A daemon crashes after its change was accepted and before the maintenance. The maintenance must
+/// be run with the next change of any daemon.
 #[test]
-fn an_upkeep_that_was_left_out_is_made_up_for() {
+fn skipped_maintenance_is_done_with_the_next_change() {
     let platform = platform();
     let store = store(&platform);
 
-    let done = block_on(async {
+    let reports = block_on(async {
         for base in 0..5 {
             commit(&store, &proposal(&format!("c{base}"), base), &policy(3)).await;
         }
-        accept_with_upkeep(&store, 5, 6).await
+        accept_with_maintenance(&store, 5, 6).await
     });
 
-    assert!(done[0].wrote_snapshot);
+    assert!(reports[0].wrote_snapshot);
     let named = block_on(read_head(&support::store(&platform)))
         .unwrap()
         .head
@@ -106,24 +107,28 @@
     assert_eq!(named.unwrap().revision, Revision(6));
 }
 
+/// An outdated tree is written as a snapshot.
 #[test]
-fn a_tree_that_is_no_longer_the_newest_is_not_written() {
+fn outdated_tree_is_not_written() {
     let platform = platform();
     let store = store(&platform);
 
-    let done = block_on(async {
+    let reports = block_on(async {
         for base in 0..5 {
             commit(&store, &proposal(&format!("c{base}"), base), &policy(3)).await;
         }
-        maintenance::run(&store, &whole(4), &RULES).await.unwrap()
+        maintenance::run(&store, &snapshot_at(4), &CONFIG)
+            .await
+            .unwrap()
     });
 
-    assert_eq!(done, MaintenanceReport::default());
+    assert_eq!(reports, MaintenanceReport::default());
     assert_eq!(platform.keys(keys::SNAPSHOTS).len(), 0);
 }
 
+/// Packed changes keep long values, or cannot be verified because their hash has changed.
 #[test]
-fn packed_changes_lose_long_values_and_keep_their_hash() {
+fn packed_changes_lose_long_values_but_keep_their_hash() {
     let platform = platform();
     let store = store(&platform);
     let change = |revision: u64| -> Change {
@@ -144,7 +149,9 @@
             };
             commit(&store, &long, &policy(3)).await;
         }
-        maintenance::run(&store, &whole(8), &RULES).await.unwrap();
+        maintenance::run(&store, &snapshot_at(8), &CONFIG)
+            .await
+            .unwrap();
         audit_after(&store, Revision::NONE).await.unwrap().changes
     });
 
@@ -153,10 +160,10 @@
     assert_eq!(kept.computed_hash(), change(1).computed_hash());
 }
 
-/// The records of old commands go, those of newer ones stay, and a withdrawn one stays until
-/// newer commands have grown old.
+/// Records of recent commands are deleted, so that a retried command is accepted twice, or old
+/// records are kept. The record of a withdrawn command is kept until later commands are old.
 #[test]
-fn only_old_records_of_commands_are_removed() {
+fn only_old_command_records_are_removed() {
     let platform = platform();
     let store = store(&platform);
     let id = |text: &str| CommandId::parse(text).unwrap();
