--- a/crates/http/src/ahead.rs
+++ b/crates/http/src/ahead.rs
@@ -45,7 +45,7 @@
 }
 
 /// A request that is being handled, and what its answer needs to be written.
-pub(crate) struct Handled {
+pub(crate) struct InFlightRequest {
     pub(crate) response: LocalBoxFuture<'static, Response>,
     pub(crate) cancelled: Flag,
     pub(crate) is_head: bool,
@@ -53,9 +53,9 @@
     pub(crate) close: bool,
 }
 
-impl Handled {
+impl InFlightRequest {
     /// Hands a request to the server's handler.
-    pub(crate) fn begin(
+    pub(crate) fn start(
         cx: &ServerContext,
         parsed: ParsedRequest,
         body: Body,
@@ -78,7 +78,7 @@
     }
 
     /// Lets it be handled while nobody waits for it yet.
-    fn in_background(self) -> Self {
+    fn spawn_handler(self) -> Self {
         Self {
             response: monoio::spawn(self.response).boxed_local(),
             ..self
@@ -87,31 +87,31 @@
 }
 
 /// The requests of one connection behind the one that is being answered.
-pub(crate) struct AheadQueue {
+pub(crate) struct PipelineQueue {
     cx: Rc<ServerContext>,
     peer: SocketAddr,
-    handled: VecDeque<Handled>,
+    in_flight: VecDeque<InFlightRequest>,
     /// The first request that may not be handled yet, or what is wrong with it.
     next: Option<Result<ParsedRequest, HeadError>>,
 }
 
-impl AheadQueue {
+impl PipelineQueue {
     pub(crate) fn new(cx: Rc<ServerContext>, peer: SocketAddr) -> Self {
         Self {
             cx,
             peer,
-            handled: VecDeque::new(),
+            in_flight: VecDeque::new(),
             next: None,
         }
     }
 
     pub(crate) fn is_empty(&self) -> bool {
-        self.handled.is_empty() && self.next.is_none()
+        self.in_flight.is_empty() && self.next.is_none()
     }
 
     /// Gives the next request that is being handled already.
-    pub(crate) fn pop(&mut self) -> Option<Handled> {
-        self.handled.pop_front()
+    pub(crate) fn pop(&mut self) -> Option<InFlightRequest> {
+        self.in_flight.pop_front()
     }
 
     /// Gives the request that was read and not yet handled.
@@ -120,14 +120,15 @@
     }
 
     /// Begins to handle the requests that `reader` holds whole, as far as they may go ahead.
-    pub(crate) fn take_from(&mut self, reader: &mut Reader) {
-        while self.may_read_on()
-            && let Some(parsed) = take_whole(reader, &self.cx.limits).transpose()
+    pub(crate) fn start_from(&mut self, reader: &mut Reader) {
+        while self.may_read_next()
+            && let Some(parsed) = take_complete_head(reader, &self.cx.limits).transpose()
         {
             match parsed {
-                Ok(parsed) if self.may_handle(&parsed) => {
-                    let handled = Handled::begin(&self.cx, parsed, Body::empty(), self.peer);
-                    self.handled.push_back(handled.in_background());
+                Ok(parsed) if self.may_start(&parsed) => {
+                    let in_flight =
+                        InFlightRequest::start(&self.cx, parsed, Body::empty(), self.peer);
+                    self.in_flight.push_back(in_flight.spawn_handler());
                 }
                 other => self.next = Some(other),
             }
@@ -136,14 +137,14 @@
 
     /// Says whether a further request may be read. Behind one that closes the connection
     /// nothing is: the caller sends it again elsewhere.
-    fn may_read_on(&self) -> bool {
+    fn may_read_next(&self) -> bool {
         let rule = self.cx.limits.ahead.as_ref();
-        let has_room = rule.is_some_and(|rule| self.handled.len() < rule.most);
-        let closes = self.handled.back().is_some_and(|last| last.close);
+        let has_room = rule.is_some_and(|rule| self.in_flight.len() < rule.most);
+        let closes = self.in_flight.back().is_some_and(|last| last.close);
         has_room && !closes && self.next.is_none() && !self.cx.stop.is_fired()
     }
 
-    fn may_handle(&self, parsed: &ParsedRequest) -> bool {
+    fn may_start(&self, parsed: &ParsedRequest) -> bool {
         let rule = self.cx.limits.ahead.as_ref();
         parsed.framing == Framing::Length(0)
             && !parsed.expects_continue
@@ -151,17 +152,20 @@
     }
 }
 
-impl Drop for AheadQueue {
+impl Drop for PipelineQueue {
     /// Tells the handlers that nobody reads their answers any more.
     fn drop(&mut self) {
-        self.handled
+        self.in_flight
             .iter()
-            .for_each(|handled| handled.cancelled.fire());
+            .for_each(|in_flight| in_flight.cancelled.fire());
     }
 }
 
 /// Takes a request head from the front of what was read, where it is there whole.
-fn take_whole(reader: &mut Reader, limits: &Limits) -> Result<Option<ParsedRequest>, HeadError> {
+fn take_complete_head(
+    reader: &mut Reader,
+    limits: &Limits,
+) -> Result<Option<ParsedRequest>, HeadError> {
     if reader.buf.is_empty() {
         return Ok(None);
     }
--- a/crates/http/src/body.rs
+++ b/crates/http/src/body.rs
@@ -14,7 +14,7 @@
 
 use crate::duplex::Duplex;
 use crate::incoming::IncomingBody;
-use crate::kept::KeptReader;
+use crate::kept::ReplayReader;
 
 /// Chunks that a [`BodySender`] may be ahead of its [`Body`].
 const CHANNEL_CHUNKS: usize = 4;
@@ -78,7 +78,7 @@
     Channel(Receiver),
     Incoming(Box<IncomingBody>),
     Duplex(Box<Duplex>),
-    Kept(Box<KeptReader>),
+    Replayable(Box<ReplayReader>),
 }
 
 impl Body {
@@ -134,9 +134,9 @@
         }
     }
 
-    pub(crate) fn kept(reader: KeptReader) -> Self {
+    pub(crate) fn replayable(reader: ReplayReader) -> Self {
         Self {
-            source: Source::Kept(Box::new(reader)),
+            source: Source::Replayable(Box::new(reader)),
             guard: None,
         }
     }
@@ -155,7 +155,7 @@
             Source::Channel(receiver) => receiver.left,
             Source::Incoming(incoming) => incoming.known_len(),
             Source::Duplex(duplex) => duplex.incoming.known_len(),
-            Source::Kept(reader) => reader.known_len(),
+            Source::Replayable(reader) => reader.known_len(),
         }
     }
 
@@ -171,7 +171,7 @@
         match &mut self.source {
             Source::Incoming(incoming) => incoming.limit(max),
             Source::Duplex(duplex) => duplex.incoming.limit(max),
-            Source::Kept(reader) => reader.limit(max),
+            Source::Replayable(reader) => reader.limit(max),
             Source::Empty | Source::Full(_) | Source::Channel(_) => {}
         }
     }
@@ -192,7 +192,7 @@
             Source::Channel(receiver) => receiver.next_chunk().await,
             Source::Incoming(incoming) => incoming.next_chunk().await,
             Source::Duplex(duplex) => duplex.next_chunk().await,
-            Source::Kept(reader) => reader.next_chunk().await,
+            Source::Replayable(reader) => reader.next_chunk().await,
         }
     }
 
@@ -205,13 +205,13 @@
     pub async fn collect(mut self, max: usize) -> Result<Bytes, BodyError> {
         if let Source::Full(bytes) = &self.source {
             let bytes = bytes.clone();
-            return within(bytes, max);
+            return check_len_limit(bytes, max);
         }
         let Some(first) = self.next_chunk().await.transpose()? else {
             return Ok(Bytes::new());
         };
         let Some(second) = self.next_chunk().await.transpose()? else {
-            return within(first, max);
+            return check_len_limit(first, max);
         };
         let mut all = Vec::with_capacity(first.len() + second.len());
         all.extend_from_slice(&first);
@@ -226,7 +226,7 @@
     }
 }
 
-fn within(bytes: Bytes, max: usize) -> Result<Bytes, BodyError> {
+fn check_len_limit(bytes: Bytes, max: usize) -> Result<Bytes, BodyError> {
     if bytes.len() > max {
         return TooLargeSnafu { limit: max as u64 }.fail();
     }
@@ -241,7 +241,7 @@
             Source::Channel(_) => "channel",
             Source::Incoming(_) => "incoming",
             Source::Duplex(_) => "duplex",
-            Source::Kept(_) => "kept",
+            Source::Replayable(_) => "kept",
         };
         write!(f, "Body({kind}, {:?})", self.known_len())
     }
@@ -257,7 +257,7 @@
 struct Channel {
     chunks: RefCell<VecDeque<Bytes>>,
     end: RefCell<Option<Result<(), BodyError>>>,
-    receiver_gone: Cell<bool>,
+    receiver_dropped: Cell<bool>,
     sender_waker: RefCell<Option<Waker>>,
     receiver_waker: RefCell<Option<Waker>>,
 }
@@ -279,7 +279,7 @@
 /// The reader of a body was dropped, so what is sent reaches nobody.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu)]
 #[snafu(display("the reader of the body is gone"))]
-pub struct ReaderGone;
+pub struct BodyDropped;
 
 /// Feeds a [`Body`] made by [`Body::channel`].
 ///
@@ -294,10 +294,10 @@
     /// # Errors
     ///
     /// Returns [`ReaderGone`] where the body was dropped.
-    pub async fn send(&mut self, chunk: Bytes) -> Result<(), ReaderGone> {
+    pub async fn send(&mut self, chunk: Bytes) -> Result<(), BodyDropped> {
         poll_fn(|cx| {
-            if self.channel.receiver_gone.get() {
-                return Poll::Ready(Err(ReaderGone));
+            if self.channel.receiver_dropped.get() {
+                return Poll::Ready(Err(BodyDropped));
             }
             if self.channel.chunks.borrow().len() < CHANNEL_CHUNKS {
                 return Poll::Ready(Ok(()));
@@ -373,7 +373,7 @@
 
 impl Drop for Receiver {
     fn drop(&mut self) {
-        self.channel.receiver_gone.set(true);
+        self.channel.receiver_dropped.set(true);
         wake(&self.channel.sender_waker);
     }
 }
--- a/crates/http/src/connection.rs
+++ b/crates/http/src/connection.rs
@@ -16,7 +16,7 @@
 use heatherknot_types::outcome::OUTCOME_HEADER;
 use heatherknot_types::prelude::*;
 
-use crate::ahead::{self, AheadQueue, Handled};
+use crate::ahead::{self, InFlightRequest, PipelineQueue};
 use crate::body::Body;
 use crate::decode::ParsedRequest;
 use crate::encode;
@@ -24,119 +24,125 @@
 use crate::head::{self, HeadError};
 use crate::headers::strip_hop_by_hop;
 use crate::incoming::{BodyLimits, Framing, IncomingBody};
-use crate::loan::{Loan, Slot};
+use crate::loan::{ReaderLoan, ReaderSlot};
 use crate::message::Response;
 use crate::reader::{CALLER_READ, HEAD_READ, ReadError, Reader};
 use crate::server::ServerContext;
-use crate::timeout::within;
+use crate::timeout::with_timeout;
 use crate::writer::{WriteError, Writer, framing_of};
 
 /// How long a closing connection still takes bytes, so that the caller can read the answer.
-const LINGER: Duration = Duration::from_secs(1);
+const LINGER_TIMEOUT: Duration = Duration::from_secs(1);
 /// Most bytes that a closing connection takes.
-const LINGER_MAX: usize = 1 << 20;
-const INTERIM: &[u8] = b"HTTP/1.1 100 Continue\r\n\r\n";
+const MAX_LINGER_BYTES: usize = 1 << 20;
+const CONTINUE_RESPONSE: &[u8] = b"HTTP/1.1 100 Continue\r\n\r\n";
 
 /// What follows a request on its connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Next {
+enum AfterRequest {
     /// A further request may follow.
     KeepAlive,
     /// The connection closes, after the caller had time to read the answer.
     Close,
     /// The connection closes at once: the response is broken or nobody reads it.
-    Cut,
+    Abort,
 }
 
 /// Serves one connection until it closes.
 pub(crate) async fn run(stream: TcpStream, peer: SocketAddr, cx: Rc<ServerContext>) {
     let (read, write) = stream.into_split();
     let mut connection = Connection {
-        slot: Slot::Here(Reader::new(read)),
+        slot: ReaderSlot::Available(Reader::new(read)),
         writer: Writer::new(write, cx.limits.write_timeout),
-        ahead: AheadQueue::new(Rc::clone(&cx), peer),
+        pipeline: PipelineQueue::new(Rc::clone(&cx), peer),
         peer,
         cx,
     };
     loop {
         match connection.serve_one().await {
-            Next::KeepAlive => {}
-            Next::Close => return connection.close().await,
-            Next::Cut => return,
+            AfterRequest::KeepAlive => {}
+            AfterRequest::Close => return connection.close().await,
+            AfterRequest::Abort => return,
         }
     }
 }
 
 struct Connection {
-    slot: Slot,
+    slot: ReaderSlot,
     writer: Writer,
-    ahead: AheadQueue,
+    pipeline: PipelineQueue,
     peer: SocketAddr,
     cx: Rc<ServerContext>,
 }
 
 impl Connection {
-    async fn serve_one(&mut self) -> Next {
-        if let Some(handled) = self.ahead.pop() {
-            return Box::pin(self.answer(handled)).await;
+    async fn serve_one(&mut self) -> AfterRequest {
+        if let Some(in_flight) = self.pipeline.pop() {
+            return Box::pin(self.respond(in_flight)).await;
         }
-        let Slot::Here(reader) = &mut self.slot else {
-            return Next::Close;
+        let ReaderSlot::Available(reader) = &mut self.slot else {
+            return AfterRequest::Close;
         };
-        let read = match self.ahead.take_next() {
+        let read = match self.pipeline.take_next() {
             Some(read) => read.map(Some),
             None => read_request(reader, &mut self.writer, &self.cx).await,
         };
         match read {
             // The state of an answer is kept apart from that of the connection, which is
             // idle most of its life.
-            Ok(Some(parsed)) => Box::pin(self.begin(parsed)).await,
-            Ok(None) => Next::Cut,
-            Err(error) => Box::pin(self.refuse(error)).await,
+            Ok(Some(parsed)) => Box::pin(self.handle_request(parsed)).await,
+            Ok(None) => AfterRequest::Abort,
+            Err(error) => Box::pin(self.reject(error)).await,
         }
     }
 
-    async fn begin(&mut self, parsed: ParsedRequest) -> Next {
+    async fn handle_request(&mut self, parsed: ParsedRequest) -> AfterRequest {
         if parsed.expects_continue && parsed.framing != Framing::Length(0) {
-            self.writer.out.extend_from_slice(INTERIM);
+            self.writer.out.extend_from_slice(CONTINUE_RESPONSE);
             if self.writer.flush().await.is_err() {
-                return Next::Cut;
+                return AfterRequest::Abort;
             }
         }
         let body = self.request_body(parsed.framing);
-        let handled = Handled::begin(&self.cx, parsed, body, self.peer);
-        self.answer(handled).await
+        let in_flight = InFlightRequest::start(&self.cx, parsed, body, self.peer);
+        self.respond(in_flight).await
     }
 
-    async fn answer(&mut self, handled: Handled) -> Next {
-        let Handled {
-            response: handling,
+    async fn respond(&mut self, in_flight: InFlightRequest) -> AfterRequest {
+        let InFlightRequest {
+            response: handler,
             cancelled,
             is_head,
-            close: asked_to_close,
-        } = handled;
+            close: close_requested,
+        } = in_flight;
         let (written, close) = {
-            let ahead = (!asked_to_close).then_some(&mut self.ahead);
+            let pipeline = (!close_requested).then_some(&mut self.pipeline);
             let stop = &self.cx.stop;
-            let ahead = RefCell::new(ahead);
-            let take = |reader: &mut Reader| {
-                let mut ahead = ahead.borrow_mut();
-                ahead.iter_mut().for_each(|ahead| ahead.take_from(reader));
+            let pipeline = RefCell::new(pipeline);
+            let start_pipelined = |reader: &mut Reader| {
+                let mut pipeline = pipeline.borrow_mut();
+                pipeline
+                    .iter_mut()
+                    .for_each(|pipeline| pipeline.start_from(reader));
             };
-            let mut gone = pin!(self.slot.caller_gone(take).fuse());
-            let response = handle(handling, gone.as_mut(), &cancelled).await;
+            let mut disconnected = pin!(self.slot.caller_disconnected(start_pipelined).fuse());
+            let response = run_handler(handler, disconnected.as_mut(), &cancelled).await;
             // What is being handled behind it is answered before the connection closes.
-            let is_last = ahead.borrow().as_ref().is_none_or(|ahead| ahead.is_empty());
-            let close = asked_to_close || (stop.is_fired() && is_last);
-            let written = write_response(&mut self.writer, response, is_head, close, gone).await;
+            let is_last = pipeline
+                .borrow()
+                .as_ref()
+                .is_none_or(|pipeline| pipeline.is_empty());
+            let close = close_requested || (stop.is_fired() && is_last);
+            let written =
+                write_response(&mut self.writer, response, is_head, close, disconnected).await;
             (written, close)
         };
         match written {
-            Ok(()) if !close && self.slot.recover().await => Next::KeepAlive,
-            Ok(()) => Next::Close,
+            Ok(()) if !close && self.slot.recover().await => AfterRequest::KeepAlive,
+            Ok(()) => AfterRequest::Close,
             Err(error) => {
                 log::debug!(peer:% = self.peer, error:? = error; "a response broke off");
-                Next::Cut
+                AfterRequest::Abort
             }
         }
     }
@@ -154,20 +160,20 @@
             read_timeout: self.cx.limits.body_timeout,
             min_rate: self.cx.limits.min_body_rate,
         };
-        let release = Box::new(move |released| Loan::give_back(&loan, released));
+        let release = Box::new(move |released| ReaderLoan::return_reader(&loan, released));
         Body::incoming(IncomingBody::new(reader, framing, limits, release))
     }
 
-    async fn refuse(&mut self, error: HeadError) -> Next {
+    async fn reject(&mut self, error: HeadError) -> AfterRequest {
         log::debug!(peer:% = self.peer, error:% = error; "a request was refused");
         let response = Response::text(error.status(), format!("{error}\n")).with_header(
             HeaderName::from_static(OUTCOME_HEADER),
             HeaderValue::from_static(Outcome::NotRun.as_str()),
         );
-        let gone = pin!(std::future::pending().fuse());
-        match write_response(&mut self.writer, response, false, true, gone).await {
-            Ok(()) => Next::Close,
-            Err(_) => Next::Cut,
+        let disconnected = pin!(std::future::pending().fuse());
+        match write_response(&mut self.writer, response, false, true, disconnected).await {
+            Ok(()) => AfterRequest::Close,
+            Err(_) => AfterRequest::Abort,
         }
     }
 
@@ -178,8 +184,8 @@
     /// first, and what the caller still sends is read and dropped for a short time.
     async fn close(mut self) {
         self.writer.shutdown().await;
-        if let Slot::Here(reader) = &mut self.slot {
-            within(LINGER, reader.discard(LINGER_MAX)).await;
+        if let ReaderSlot::Available(reader) = &mut self.slot {
+            with_timeout(LINGER_TIMEOUT, reader.discard(MAX_LINGER_BYTES)).await;
         }
     }
 }
@@ -189,7 +195,7 @@
     let reading = async {
         let mut buf = Vec::with_capacity(HEAD_READ);
         let mut seen = 0;
-        while seen < LINGER_MAX {
+        while seen < MAX_LINGER_BYTES {
             let (read, returned) = stream.read(buf).await;
             match read {
                 Ok(0) | Err(_) => return,
@@ -199,7 +205,7 @@
             buf.clear();
         }
     };
-    within(LINGER, reading).await;
+    with_timeout(LINGER_TIMEOUT, reading).await;
 }
 
 /// Reads the next request head; gives nothing where the connection ends before one.
@@ -217,7 +223,7 @@
         Some(len) => len,
         None => {
             let rest = reader.fill_head(&mut scanned, limits.max_head_bytes);
-            match within(limits.head_timeout, rest).await {
+            match with_timeout(limits.head_timeout, rest).await {
                 None => return Err(HeadError::TooSlow),
                 Some(Ok(len)) => len,
                 Some(Err(ReadError::Io(_))) => return Ok(None),
@@ -233,11 +239,11 @@
 /// A caller may have sent a request on an idle connection just before the server stops.
 /// Closing at once would reset it, so such a connection is read for a while longer.
 async fn wait_for_request(reader: &mut Reader, writer: &mut Writer, cx: &ServerContext) -> bool {
-    let reading = pin!(first_bytes(reader, writer, cx));
+    let reading = pin!(read_first_bytes(reader, writer, cx));
     match select(reading, cx.stop.wait()).await {
         Either::Left((is_there, _)) => is_there,
         Either::Right(((), reading)) => {
-            let is_there = within(cx.limits.stop_idle, reading).await;
+            let is_there = with_timeout(cx.limits.stop_idle, reading).await;
             is_there.unwrap_or(false)
         }
     }
@@ -245,40 +251,40 @@
 
 /// Reads the first bytes of a request. A connection that is idle for long keeps no buffers,
 /// and makes room when the server is full.
-async fn first_bytes(reader: &mut Reader, writer: &mut Writer, cx: &ServerContext) -> bool {
+async fn read_first_bytes(reader: &mut Reader, writer: &mut Writer, cx: &ServerContext) -> bool {
     let limits = &cx.limits;
-    let soon = limits.idle_grace.min(limits.idle_timeout);
-    let mut read = within(soon, reader.fill(CALLER_READ)).await;
+    let grace = limits.idle_grace.min(limits.idle_timeout);
+    let mut read = with_timeout(grace, reader.fill(CALLER_READ)).await;
     if read.is_none() {
         reader.shrink(0);
         writer.shrink();
-        let rest = limits.idle_timeout.saturating_sub(soon);
-        if !becomes_readable(reader, cx, rest).await {
+        let rest = limits.idle_timeout.saturating_sub(grace);
+        if !wait_readable(reader, cx, rest).await {
             return false;
         }
-        read = within(limits.head_timeout, reader.fill(CALLER_READ)).await;
+        read = with_timeout(limits.head_timeout, reader.fill(CALLER_READ)).await;
     }
     matches!(read, Some(Ok(n)) if n > 0)
 }
 
-async fn becomes_readable(reader: &mut Reader, cx: &ServerContext, limit: Duration) -> bool {
-    let idle = cx.idle.enter();
-    let readable = pin!(within(limit, reader.readable()));
+async fn wait_readable(reader: &mut Reader, cx: &ServerContext, limit: Duration) -> bool {
+    let idle = cx.idle.register();
+    let readable = pin!(with_timeout(limit, reader.readable()));
     let readable = select(readable, idle.evicted.wait()).await;
     matches!(readable, Either::Left((Some(Ok(())), _)))
 }
 
 /// Waits for the handler, and tells it when the caller disconnects.
-async fn handle(
-    handling: LocalBoxFuture<'static, Response>,
-    gone: Pin<&mut Fuse<impl Future<Output = ()>>>,
+async fn run_handler(
+    handler: LocalBoxFuture<'static, Response>,
+    disconnected: Pin<&mut Fuse<impl Future<Output = ()>>>,
     cancelled: &Flag,
 ) -> Response {
-    match select(handling, gone).await {
+    match select(handler, disconnected).await {
         Either::Left((response, _)) => response,
-        Either::Right(((), handling)) => {
+        Either::Right(((), handler)) => {
             cancelled.fire();
-            handling.await
+            handler.await
         }
     }
 }
@@ -302,7 +308,7 @@
     response: Response,
     is_head: bool,
     close: bool,
-    gone: Pin<&mut Fuse<impl Future<Output = ()>>>,
+    disconnected: Pin<&mut Fuse<impl Future<Output = ()>>>,
 ) -> Result<(), ResponseError> {
     let Response {
         status,
@@ -314,7 +320,7 @@
     let framing = has_body.then(|| framing_of(&body));
     encode::response_head(&mut writer.out, status, &headers, framing, close);
     if let Some(framing) = framing {
-        write_body(writer, body, framing, gone).await?;
+        write_body(writer, body, framing, disconnected).await?;
     }
     writer.flush().await?;
     Ok(())
@@ -333,7 +339,7 @@
     writer: &mut Writer,
     mut body: Body,
     framing: Framing,
-    mut gone: Pin<&mut Fuse<impl Future<Output = ()>>>,
+    mut disconnected: Pin<&mut Fuse<impl Future<Output = ()>>>,
 ) -> Result<(), ResponseError> {
     loop {
         let mut next = pin!(body.next_chunk());
@@ -341,7 +347,7 @@
             Some(chunk) => chunk,
             None => {
                 writer.flush().await?;
-                match select(next, gone.as_mut()).await {
+                match select(next, disconnected.as_mut()).await {
                     Either::Left((chunk, _)) => chunk,
                     Either::Right(_) => return Err(ResponseError::CallerGone),
                 }
--- a/crates/http/src/decode.rs
+++ b/crates/http/src/decode.rs
@@ -45,8 +45,8 @@
 ) -> Result<ParsedRequest, HeadError> {
     let framing = head::check_request(&buf[..len])?;
     let mut bytes = take_head(buf, len);
-    let target = target_of(&bytes).to_vec();
-    let parts = decoded(RequestHeadDecoder.decode(&mut bytes))?;
+    let target = request_target(&bytes).to_vec();
+    let parts = complete_head(RequestHeadDecoder.decode(&mut bytes))?;
     let uri = parts.uri;
     let path = uri.path_and_query().map_or("/", |path| path.as_str());
     ensure!(
@@ -77,7 +77,7 @@
 pub(crate) fn response(buf: &mut BytesMut, len: usize) -> Result<ParsedResponse, HeadError> {
     let framing = head::check_response(&buf[..len])?;
     let mut bytes = take_head(buf, len);
-    let parts = decoded(ResponseHeadDecoder.decode(&mut bytes))?;
+    let parts = complete_head(ResponseHeadDecoder.decode(&mut bytes))?;
     let mut headers = parts.headers;
     let keep_alive = headers.get(KEEP_ALIVE).and_then(idle_timeout);
     let options = strip_hop_by_hop(&mut headers)?;
@@ -109,11 +109,11 @@
     head
 }
 
-fn target_of(head: &[u8]) -> &[u8] {
+fn request_target(head: &[u8]) -> &[u8] {
     head.split(|&b| b == b' ').nth(1).unwrap_or_default()
 }
 
-fn decoded<T>(result: Result<Decoded<T>, DecodeError>) -> Result<T, HeadError> {
+fn complete_head<T>(result: Result<Decoded<T>, DecodeError>) -> Result<T, HeadError> {
     match result {
         Ok(Decoded::Some(head)) => Ok(head),
         Ok(_) => MalformedSnafu {
--- a/crates/http/src/decode/tests.rs
+++ b/crates/http/src/decode/tests.rs
@@ -32,7 +32,7 @@
     let peer = "127.0.0.1:80".parse().expect("an address");
     encode::request_head(&mut out, head, framing, peer);
     if framing == Framing::Chunked && !body.is_empty() {
-        encode::chunk_start(&mut out, &Bytes::copy_from_slice(body));
+        encode::chunk_size_line(&mut out, &Bytes::copy_from_slice(body));
     }
     out.extend_from_slice(body);
     if framing == Framing::Chunked {
--- a/crates/http/src/duplex.rs
+++ b/crates/http/src/duplex.rs
@@ -12,13 +12,13 @@
 /// The sending of a request's body.
 pub(crate) enum Upload {
     /// The body is still being sent.
-    Running(LocalBoxFuture<'static, Uploaded>),
+    Running(LocalBoxFuture<'static, UploadResult>),
     /// The body was sent, as far as the peer took it.
     Ended(Writer),
 }
 
 /// The end of the sending of a request's body.
-pub(crate) struct Uploaded {
+pub(crate) struct UploadResult {
     pub(crate) writer: Writer,
     pub(crate) result: Result<(), WriteError>,
 }
@@ -29,9 +29,9 @@
     first: Option<Bytes>,
     mut body: Body,
     framing: Framing,
-) -> Uploaded {
+) -> UploadResult {
     let result = send_rest(&mut writer, first, &mut body, framing).await;
-    Uploaded { writer, result }
+    UploadResult { writer, result }
 }
 
 async fn send_rest(
--- a/crates/http/src/encode.rs
+++ b/crates/http/src/encode.rs
@@ -57,7 +57,7 @@
     put_headers(out, headers);
     match framing {
         Some(framing) => put_framing(out, framing),
-        None => put_own_length(out, status, headers),
+        None => put_declared_length(out, status, headers),
     }
     if close {
         out.put_slice(b"connection: close\r\n");
@@ -95,7 +95,7 @@
 
 /// Writes the length that a response to `HEAD`, or one with status 304, states for the body
 /// that it leaves out. A response with status 204 must have none.
-fn put_own_length(out: &mut BytesMut, status: StatusCode, headers: &HeaderMap) {
+fn put_declared_length(out: &mut BytesMut, status: StatusCode, headers: &HeaderMap) {
     if status == StatusCode::NO_CONTENT {
         return;
     }
@@ -105,6 +105,6 @@
 }
 
 /// Writes what comes before the data of a chunk.
-pub(crate) fn chunk_start(out: &mut BytesMut, chunk: &Bytes) {
+pub(crate) fn chunk_size_line(out: &mut BytesMut, chunk: &Bytes) {
     let _ = write!(out, "{:x}\r\n", chunk.len());
 }
--- a/crates/http/src/exchange.rs
+++ b/crates/http/src/exchange.rs
@@ -16,29 +16,29 @@
 use crate::body::{Body, BodyError};
 use crate::connection::may_have_body;
 use crate::decode::{self, ParsedResponse};
-use crate::duplex::{Duplex, Upload, Uploaded, upload};
+use crate::duplex::{Duplex, Upload, UploadResult, upload};
 use crate::encode;
 use crate::head::{HeadError, MalformedSnafu};
 use crate::headers::{strip_hop_by_hop, strip_length};
 use crate::incoming::{BodyDecoder, BodyLimits, Decoded, Framing, IncomingBody, Released};
 use crate::message::{RequestHead, Response};
-use crate::pool::{PoolInner, PooledConnection, Seat};
+use crate::pool::{ConnectionInfo, PoolInner, PooledConnection};
 use crate::reader::{HEAD_READ, ReadError, Reader};
 use crate::send_error::{
     BadResponseSnafu, BrokenSnafu, ExpiredSnafu, RequestBodySnafu, SendError, SendProgress,
     SilentSnafu, Step,
 };
-use crate::timeout::within;
+use crate::timeout::with_timeout;
 use crate::writer::{WriteError, Writer, framing_of};
 
 /// Longest body that leaves in one write with its head.
-const SHORT_BODY: usize = 8 * 1024;
+const MAX_INLINE_BODY: usize = 8 * 1024;
 /// Most interim responses before the final one.
-const MAX_INTERIM: usize = 16;
+const MAX_SKIPPED_RESPONSES: usize = 16;
 /// How long a response is awaited after the peer stopped taking the request's body.
-const EARLY_RESPONSE_WAIT: Duration = Duration::from_millis(500);
+const EARLY_RESPONSE_TIMEOUT: Duration = Duration::from_millis(500);
 /// Time for a request that has no deadline.
-const NO_DEADLINE: Duration = Duration::from_secs(24 * 60 * 60);
+const DEFAULT_TIME_LIMIT: Duration = Duration::from_secs(24 * 60 * 60);
 
 /// Why no response came, before it is known to whom and how far it got.
 enum Failure {
@@ -58,9 +58,14 @@
         }
     }
 
-    fn into_error(self, pool: &PoolInner, seat: &Seat, progress: SendProgress) -> SendError {
+    fn into_error(
+        self,
+        pool: &PoolInner,
+        info: &ConnectionInfo,
+        progress: SendProgress,
+    ) -> SendError {
         let peer = pool.address;
-        let reused = seat.reused;
+        let reused = info.reused;
         match self {
             Failure::Expired(step) => ExpiredSnafu {
                 peer,
@@ -127,59 +132,59 @@
     let PooledConnection {
         mut reader,
         write,
-        seat,
+        info,
     } = connection;
     let sent_at = pool.clock.now();
     let _ = strip_hop_by_hop(&mut head.headers);
     let framing = framing_of(&body);
     let mut writer = Writer::new(write, pool.config.write_timeout);
     encode::request_head(&mut writer.out, &head, framing, pool.address);
-    let limit = pool.time_left(deadline, NO_DEADLINE);
-    let echo = Echo::of(pool, &head);
-    let failure = match within(limit, start(&mut writer, body, framing)).await {
+    let limit = pool.time_left(deadline, DEFAULT_TIME_LIMIT);
+    let echo = EchoedHeader::from_request(pool, &head);
+    let failure = match with_timeout(limit, send_head(&mut writer, body, framing)).await {
         Some(Ok(rest)) => {
             let exchanged = exchange(pool, writer, rest, (&mut reader, echo), deadline).await;
             match exchanged {
                 Ok((parsed, upload)) => {
-                    return response(pool, (reader, seat), upload, parsed, &head.method);
+                    return response(pool, (reader, info), upload, parsed, &head.method);
                 }
-                Err(failure) => failure.into_error(pool, &seat, SendProgress::MaybeSent),
+                Err(failure) => failure.into_error(pool, &info, SendProgress::MaybeSent),
             }
         }
-        Some(Err(error)) => Failure::from(error).into_error(pool, &seat, writer.send_progress()),
-        None => Failure::Expired(Step::Send).into_error(pool, &seat, writer.send_progress()),
+        Some(Err(error)) => Failure::from(error).into_error(pool, &info, writer.send_progress()),
+        None => Failure::Expired(Step::Send).into_error(pool, &info, writer.send_progress()),
     };
     if matches!(failure, SendError::Silent { .. }) {
-        pool.distrust_idle(sent_at);
+        pool.close_idle_before(sent_at);
     }
     Err(failure)
 }
 
 /// What of a request is left to send after its first bytes.
-struct Rest {
+struct RemainingBody {
     first: Option<Bytes>,
     body: Body,
     framing: Framing,
 }
 
 /// Sends the head, and with it a short body that is there already.
-async fn start(
+async fn send_head(
     writer: &mut Writer,
     mut body: Body,
     framing: Framing,
-) -> Result<Option<Rest>, WriteError> {
+) -> Result<Option<RemainingBody>, WriteError> {
     if framing == Framing::Length(0) {
         writer.flush().await?;
         return Ok(None);
     }
     let ready = body.next_chunk().now_or_never().flatten();
     let mut first = ready.transpose().map_err(WriteError::Body)?;
-    if let Some(chunk) = first.take_if(|chunk| chunk.len() <= SHORT_BODY) {
+    if let Some(chunk) = first.take_if(|chunk| chunk.len() <= MAX_INLINE_BODY) {
         writer.chunk(chunk, framing).await?;
     }
     writer.flush().await?;
-    let is_whole = first.is_none() && framing != Framing::Chunked && body.is_end();
-    Ok((!is_whole).then_some(Rest {
+    let is_complete = first.is_none() && framing != Framing::Chunked && body.is_end();
+    Ok((!is_complete).then_some(RemainingBody {
         first,
         body,
         framing,
@@ -191,23 +196,23 @@
 async fn exchange(
     pool: &PoolInner,
     writer: Writer,
-    rest: Option<Rest>,
-    (reader, echo): (&mut Reader, Option<Echo>),
+    rest: Option<RemainingBody>,
+    (reader, echo): (&mut Reader, Option<EchoedHeader>),
     deadline: Option<Millis>,
 ) -> Result<(ParsedResponse, Upload), Failure> {
     let receiving = pin!(receive_head(reader, pool.config.max_head_bytes, echo));
     let Some(rest) = rest else {
-        let parsed = before_silence(pool, deadline, receiving).await?;
+        let parsed = receive_with_limit(pool, deadline, receiving).await?;
         return Ok((parsed, Upload::Ended(writer)));
     };
     let running = upload(writer, rest.first, rest.body, rest.framing).boxed_local();
-    let limit = pool.time_left(deadline, NO_DEADLINE);
-    match within(limit, select(running, receiving)).await {
+    let limit = pool.time_left(deadline, DEFAULT_TIME_LIMIT);
+    match with_timeout(limit, select(running, receiving)).await {
         None => Err(Failure::Expired(Step::Send)),
         Some(Either::Right((parsed, running))) => Ok((parsed?, Upload::Running(running))),
-        Some(Either::Left((Uploaded { writer, result }, receiving))) => {
+        Some(Either::Left((UploadResult { writer, result }, receiving))) => {
             let parsed = match result {
-                Ok(()) => before_silence(pool, deadline, receiving).await?,
+                Ok(()) => receive_with_limit(pool, deadline, receiving).await?,
                 Err(WriteError::Io(error)) => early_response(receiving, error).await?,
                 Err(error) => return Err(error.into()),
             };
@@ -222,7 +227,7 @@
     receiving: impl Future<Output = Result<ParsedResponse, Failure>>,
     error: io::Error,
 ) -> Result<ParsedResponse, Failure> {
-    match within(EARLY_RESPONSE_WAIT, receiving).await {
+    match with_timeout(EARLY_RESPONSE_TIMEOUT, receiving).await {
         Some(Ok(parsed)) => Ok(ParsedResponse {
             close: true,
             ..parsed
@@ -236,13 +241,13 @@
 /// A connection that something between the two ends has lost track of takes bytes and
 /// answers nothing. It looks like a slow peer, so the silence limit is above the time that
 /// any answer takes; until then only the system's own probes tell the two apart.
-async fn before_silence(
+async fn receive_with_limit(
     pool: &PoolInner,
     deadline: Option<Millis>,
     receiving: impl Future<Output = Result<ParsedResponse, Failure>>,
 ) -> Result<ParsedResponse, Failure> {
     let limit = pool.time_left(deadline, pool.config.silence_limit);
-    match within(limit, receiving).await {
+    match with_timeout(limit, receiving).await {
         Some(received) => received,
         None if pool.is_past(deadline) => Err(Failure::Expired(Step::Receive)),
         None => Err(Failure::Silent(Step::Receive)),
@@ -250,20 +255,20 @@
 }
 
 /// The header that tells the response to one request from those to others.
-struct Echo {
+struct EchoedHeader {
     name: HeaderName,
     value: HeaderValue,
 }
 
-impl Echo {
-    fn of(pool: &PoolInner, head: &RequestHead) -> Option<Self> {
+impl EchoedHeader {
+    fn from_request(pool: &PoolInner, head: &RequestHead) -> Option<Self> {
         let name = pool.config.echoed_header.clone()?;
         let value = head.headers.get(&name)?.clone();
         Some(Self { name, value })
     }
 
     /// Says whether a response answers an earlier request.
-    fn is_stray(&self, parsed: &ParsedResponse) -> bool {
+    fn is_for_other_request(&self, parsed: &ParsedResponse) -> bool {
         let echoed = parsed.headers.get(&self.name);
         echoed.is_some_and(|echoed| echoed != self.value)
     }
@@ -274,18 +279,21 @@
 /// A faulty peer may answer a request twice, and the second answer arrives where the next
 /// one is due. Passing it on would give a caller somebody else's answer; after it the
 /// connection is in order again.
-async fn skip_body(reader: &mut Reader, parsed: &ParsedResponse) -> Result<(), Failure> {
+async fn discard_response_body(
+    reader: &mut Reader,
+    parsed: &ParsedResponse,
+) -> Result<(), Failure> {
     let Some(framing) = parsed.framing.filter(|_| may_have_body(parsed.status)) else {
-        return bad_head("a response to another request without a length");
+        return malformed_head("a response to another request without a length");
     };
     let mut decoder = BodyDecoder::new(framing);
     loop {
         let decoded = decoder.decode(&mut reader.buf);
-        match decoded.map_err(|_| bad_body())? {
+        match decoded.map_err(|_| malformed_body())? {
             Decoded::End => return Ok(()),
             Decoded::Chunk(_) => {}
             Decoded::NeedMore => match reader.fill(HEAD_READ).await {
-                Ok(0) => return bad_head("a response to another request breaks off"),
+                Ok(0) => return malformed_head("a response to another request breaks off"),
                 Ok(_) => {}
                 Err(error) => return Err(Failure::from_io(Step::Receive, error)),
             },
@@ -293,7 +301,7 @@
     }
 }
 
-fn bad_body() -> Failure {
+fn malformed_body() -> Failure {
     let cause = "the body of a response to another request is malformed";
     Failure::Head(MalformedSnafu { cause }.build())
 }
@@ -303,39 +311,42 @@
 async fn receive_head(
     reader: &mut Reader,
     max: usize,
-    echo: Option<Echo>,
+    echo: Option<EchoedHeader>,
 ) -> Result<ParsedResponse, Failure> {
-    for _ in 0..MAX_INTERIM {
+    for _ in 0..MAX_SKIPPED_RESPONSES {
         let mut scanned = 0;
         let len = reader.fill_head(&mut scanned, max).await?;
         let parsed = decode::response(&mut reader.buf, len)?;
         if parsed.status == StatusCode::SWITCHING_PROTOCOLS {
-            return bad_head("the peer switched protocols unasked");
+            return malformed_head("the peer switched protocols unasked");
         }
         if parsed.status.is_informational() {
             continue;
         }
-        if !echo.as_ref().is_some_and(|echo| echo.is_stray(&parsed)) {
+        if !echo
+            .as_ref()
+            .is_some_and(|echo| echo.is_for_other_request(&parsed))
+        {
             return Ok(parsed);
         }
-        skip_body(reader, &parsed).await?;
+        discard_response_body(reader, &parsed).await?;
     }
-    bad_head("too many responses that are not the final one to the request")
+    malformed_head("too many responses that are not the final one to the request")
 }
 
-fn bad_head<T>(cause: &'static str) -> Result<T, Failure> {
+fn malformed_head<T>(cause: &'static str) -> Result<T, Failure> {
     Err(Failure::Head(MalformedSnafu { cause }.build()))
 }
 
 /// Makes the response, whose body gives the connection back to the pool at its end.
 fn response(
     pool: &Rc<PoolInner>,
-    (reader, mut seat): (Reader, Seat),
+    (reader, mut info): (Reader, ConnectionInfo),
     upload: Upload,
     parsed: ParsedResponse,
     method: &Method,
 ) -> Result<Response, SendError> {
-    seat.peer_idle = parsed.keep_alive.or(seat.peer_idle);
+    info.peer_idle_timeout = parsed.keep_alive.or(info.peer_idle_timeout);
     let has_body = method != Method::HEAD && may_have_body(parsed.status);
     let mut headers = parsed.headers;
     let framing = match (has_body, parsed.framing) {
@@ -357,11 +368,11 @@
             let connection = PooledConnection {
                 reader,
                 write: writer.into_half(),
-                seat,
+                info,
             };
             response_body(pool, connection, framing, !ends_connection)
         }
-        Upload::Running(_) => duplex_body(pool, reader, seat, framing, upload),
+        Upload::Running(_) => duplex_body(pool, reader, info, framing, upload),
     };
     Ok(Response {
         status: parsed.status,
@@ -385,16 +396,16 @@
     let PooledConnection {
         reader,
         write,
-        seat,
+        info,
     } = connection;
     // A connection within a body, or whose body broke, is closed with what is dropped here:
     // the rest of that body would be taken for the head of the next response.
     let release = Box::new(move |released| {
-        if let (true, Released::Whole(reader)) = (keep, released) {
+        if let (true, Released::Complete(reader)) = (keep, released) {
             let connection = PooledConnection {
                 reader,
                 write,
-                seat,
+                info,
             };
             connection.put_back();
         }
@@ -405,14 +416,14 @@
 fn duplex_body(
     pool: &PoolInner,
     reader: Reader,
-    seat: Seat,
+    info: ConnectionInfo,
     framing: Framing,
     upload: Upload,
 ) -> Body {
     if framing == Framing::Length(0) {
         return Body::empty();
     }
-    let release = Box::new(move |_| drop(seat));
+    let release = Box::new(move |_| drop(info));
     let incoming = IncomingBody::new(reader, framing, limits(pool), release);
     Body::duplex(Duplex { incoming, upload })
 }
--- a/crates/http/src/head.rs
+++ b/crates/http/src/head.rs
@@ -191,13 +191,13 @@
 
 /// What the fields of one head say about the length of its body.
 #[derive(Default)]
-struct Fields {
+struct BodyFields {
     hosts: usize,
     length: Option<u64>,
     chunked: bool,
 }
 
-impl Fields {
+impl BodyFields {
     fn framing(&self) -> Result<Option<Framing>, HeadError> {
         match (self.length, self.chunked) {
             (Some(_), true) => malformed("a length beside a transfer coding"),
@@ -208,8 +208,8 @@
     }
 }
 
-fn check_fields<'a>(lines: impl Iterator<Item = &'a [u8]>) -> Result<Fields, HeadError> {
-    let mut fields = Fields::default();
+fn check_fields<'a>(lines: impl Iterator<Item = &'a [u8]>) -> Result<BodyFields, HeadError> {
+    let mut fields = BodyFields::default();
     for (n, line) in lines.enumerate() {
         ensure!(n < MAX_FIELDS, TooLargeSnafu);
         check_field(line, &mut fields)?;
@@ -217,7 +217,7 @@
     Ok(fields)
 }
 
-fn check_field(line: &[u8], fields: &mut Fields) -> Result<(), HeadError> {
+fn check_field(line: &[u8], fields: &mut BodyFields) -> Result<(), HeadError> {
     ensure!(
         !matches!(line.first(), Some(b' ' | b'\t')),
         MalformedSnafu {
@@ -241,7 +241,7 @@
         }
     );
     ensure!(
-        !is_disguised(name),
+        !is_ambiguous_name(name),
         MalformedSnafu {
             cause: "a field that some readers take for another"
         }
@@ -280,7 +280,7 @@
 ///
 /// Backend servers that hand fields on as environment variables do so. They would take
 /// `transfer_encoding` for the coding, and a caller's own `heatherknot_...` for the system's.
-fn is_disguised(name: &[u8]) -> bool {
+fn is_ambiguous_name(name: &[u8]) -> bool {
     if !name.contains(&b'_') {
         return false;
     }
--- a/crates/http/src/headers.rs
+++ b/crates/http/src/headers.rs
@@ -50,7 +50,7 @@
 pub(crate) fn strip_hop_by_hop(headers: &mut HeaderMap) -> Result<ConnectionOptions, HeadError> {
     let mut options = ConnectionOptions::default();
     if headers.contains_key(CONNECTION) {
-        for name in listed_names(headers)? {
+        for name in connection_field_names(headers)? {
             options.close |= name == "close";
             headers.remove(name.as_str());
         }
@@ -59,13 +59,13 @@
     Ok(options)
 }
 
-fn listed_names(headers: &HeaderMap) -> Result<Vec<String>, HeadError> {
+fn connection_field_names(headers: &HeaderMap) -> Result<Vec<String>, HeadError> {
     let mut names = Vec::new();
     for value in headers.get_all(CONNECTION) {
         for name in value_text(value).split(',') {
             let name = name.trim().to_ascii_lowercase();
             ensure!(
-                !is_needed(&name),
+                !is_protected(&name),
                 MalformedSnafu {
                     cause: "the connection field names an end-to-end field"
                 }
@@ -80,7 +80,7 @@
     value.to_str().unwrap_or("")
 }
 
-fn is_needed(name: &str) -> bool {
+fn is_protected(name: &str) -> bool {
     name.starts_with(SYSTEM_PREFIX)
         || name == IDEMPOTENCY_HEADER
         || ["host", "content-length", "content-type", "authorization"].contains(&name)
--- a/crates/http/src/idle.rs
+++ b/crates/http/src/idle.rs
@@ -9,17 +9,17 @@
 /// The idle connections of a server, in the order in which they became idle.
 #[derive(Default)]
 pub(crate) struct IdleConnections {
-    next: Cell<u64>,
-    waiting: RefCell<BTreeMap<u64, Flag>>,
+    next_number: Cell<u64>,
+    entries: RefCell<BTreeMap<u64, Flag>>,
 }
 
 impl IdleConnections {
     /// Adds a connection, for as long as the returned entry lives.
-    pub(crate) fn enter(self: &Rc<Self>) -> IdleEntry {
-        let number = self.next.get();
-        self.next.set(number + 1);
+    pub(crate) fn register(self: &Rc<Self>) -> IdleEntry {
+        let number = self.next_number.get();
+        self.next_number.set(number + 1);
         let evicted = Flag::new();
-        self.waiting.borrow_mut().insert(number, evicted.clone());
+        self.entries.borrow_mut().insert(number, evicted.clone());
         IdleEntry {
             connections: Rc::clone(self),
             number,
@@ -32,7 +32,7 @@
     /// Callers that open connections and send nothing could otherwise hold every place of
     /// the server, and all others would be refused for as long as they like.
     pub(crate) fn close_oldest(&self) -> bool {
-        let oldest = self.waiting.borrow_mut().pop_first();
+        let oldest = self.entries.borrow_mut().pop_first();
         match oldest {
             Some((_, evicted)) => {
                 evicted.fire();
@@ -53,6 +53,6 @@
 
 impl Drop for IdleEntry {
     fn drop(&mut self) {
-        self.connections.waiting.borrow_mut().remove(&self.number);
+        self.connections.entries.borrow_mut().remove(&self.number);
     }
 }
--- a/crates/http/src/incoming.rs
+++ b/crates/http/src/incoming.rs
@@ -6,15 +6,15 @@
 
 use crate::body::{BodyError, MalformedSnafu, TooLargeSnafu, TruncatedSnafu};
 use crate::reader::{HEAD_READ, MAX_BODY_READ, Reader};
-use crate::timeout::within;
+use crate::timeout::with_timeout;
 
 /// Longest line that gives the size of a chunk, with its extensions, in bytes.
-const MAX_CHUNK_LINE: usize = 256;
+const MAX_CHUNK_SIZE_LINE: usize = 256;
 /// Most bytes of trailers after the last chunk.
 const MAX_TRAILERS: usize = 4 * 1024;
 
 /// Longest chunk that is copied out of the buffer, so that the buffer can be used again.
-const COPY_MAX: usize = 4 * 1024;
+const MAX_COPIED_CHUNK: usize = 4 * 1024;
 /// Bytes asked for in the first read of a body.
 const FIRST_BODY_READ: usize = 16 * 1024;
 
@@ -74,7 +74,7 @@
     }
 
     /// Notes that the connection was closed in order; says whether that ends the body.
-    fn ends_with_connection(&mut self) -> bool {
+    fn end_on_close(&mut self) -> bool {
         match self {
             BodyDecoder::UntilClose { closed } => {
                 *closed = true;
@@ -105,7 +105,7 @@
     }
     let n = buf.len().min(usize::try_from(*left).unwrap_or(usize::MAX));
     *left -= n as u64;
-    if n > COPY_MAX {
+    if n > MAX_COPIED_CHUNK {
         return Decoded::Chunk(buf.split_to(n).freeze());
     }
     let chunk = Bytes::copy_from_slice(&buf[..n]);
@@ -116,9 +116,9 @@
 fn decode_chunked(state: &mut ChunkState, buf: &mut BytesMut) -> Result<Decoded, BodyError> {
     loop {
         match *state {
-            ChunkState::Size => match take_line(buf, MAX_CHUNK_LINE)? {
+            ChunkState::Size => match take_line(buf, MAX_CHUNK_SIZE_LINE)? {
                 None => return Ok(Decoded::NeedMore),
-                Some(line) => *state = after_size(&line)?,
+                Some(line) => *state = parse_chunk_size(&line)?,
             },
             ChunkState::Data(mut left) => {
                 let decoded = take_data(&mut left, buf);
@@ -181,7 +181,7 @@
 }
 
 /// Reads the line that gives the size of a chunk. Extensions are passed over.
-fn after_size(line: &[u8]) -> Result<ChunkState, BodyError> {
+fn parse_chunk_size(line: &[u8]) -> Result<ChunkState, BodyError> {
     let digits = match line.iter().position(|&b| b == b';') {
         Some(at) => &line[..at],
         None => line,
@@ -202,7 +202,7 @@
 /// What becomes of the connection when a body has been read or dropped.
 pub(crate) enum Released {
     /// The body was read to its end; the reader is at the next message.
-    Whole(Reader),
+    Complete(Reader),
     /// The body was dropped before its end.
     Unread(Reader, BodyDecoder),
     /// The body broke and the connection is of no more use.
@@ -228,7 +228,7 @@
     reader: Option<Reader>,
     decoder: BodyDecoder,
     limits: BodyLimits,
-    left: u64,
+    remaining: u64,
     read_size: usize,
     received: u64,
     waited: Duration,
@@ -247,7 +247,7 @@
         Self {
             reader: Some(reader),
             decoder: BodyDecoder::new(framing),
-            left: limits.max_bytes,
+            remaining: limits.max_bytes,
             read_size: FIRST_BODY_READ,
             received: 0,
             waited: Duration::ZERO,
@@ -266,8 +266,8 @@
     }
 
     pub(crate) fn limit(&mut self, max: u64) {
-        if max < self.left {
-            self.left = max;
+        if max < self.remaining {
+            self.remaining = max;
             self.limits.max_bytes = max;
         }
     }
@@ -276,11 +276,11 @@
         self.reader.as_ref()?;
         match self.read_chunk().await {
             Ok(Some(chunk)) => {
-                self.release_if_whole();
+                self.release_if_complete();
                 Some(Ok(chunk))
             }
             Ok(None) => {
-                self.release_if_whole();
+                self.release_if_complete();
                 None
             }
             Err(error) => {
@@ -299,11 +299,11 @@
             match self.decoder.decode(&mut reader.buf)? {
                 Decoded::End => return Ok(None),
                 Decoded::Chunk(chunk) => {
-                    let Some(left) = self.left.checked_sub(chunk.len() as u64) else {
+                    let Some(left) = self.remaining.checked_sub(chunk.len() as u64) else {
                         let limit = self.limits.max_bytes;
                         return TooLargeSnafu { limit }.fail();
                     };
-                    self.left = left;
+                    self.remaining = left;
                     return Ok(Some(chunk));
                 }
                 Decoded::NeedMore => self.read_more().await?,
@@ -315,15 +315,15 @@
         let Some(reader) = self.reader.as_mut() else {
             return Ok(());
         };
-        let want = self.read_size.min(expected(&self.decoder));
+        let want = self.read_size.min(expected_bytes(&self.decoder));
         let began = Instant::now();
-        let cause = match within(self.limits.read_timeout, reader.fill(want)).await {
+        let cause = match with_timeout(self.limits.read_timeout, reader.fill(want)).await {
             None => return Err(BodyError::TooSlow),
             Some(Ok(n)) if n > 0 => {
-                self.adapt(n);
+                self.adapt_read_size(n);
                 return self.check_rate(n, began.elapsed());
             }
-            Some(Ok(_)) if self.decoder.ends_with_connection() => return Ok(()),
+            Some(Ok(_)) if self.decoder.end_on_close() => return Ok(()),
             Some(Ok(_)) => "closed by the peer".to_owned(),
             Some(Err(error)) => error.to_string(),
         };
@@ -332,7 +332,7 @@
 
     /// Reads more at once from a sender that fills what it is given: few calls for a fast
     /// stream, little memory for a slow one.
-    fn adapt(&mut self, n: usize) {
+    fn adapt_read_size(&mut self, n: usize) {
         if n >= self.read_size {
             self.read_size = (self.read_size * 2).min(MAX_BODY_READ);
         }
@@ -343,19 +343,19 @@
     fn check_rate(&mut self, n: usize, waited: Duration) -> Result<(), BodyError> {
         self.received += n as u64;
         self.waited += waited;
-        let due = self.limits.min_rate as f64 * self.waited.as_secs_f64();
-        if self.waited > self.limits.read_timeout && (self.received as f64) < due {
+        let min_bytes = self.limits.min_rate as f64 * self.waited.as_secs_f64();
+        if self.waited > self.limits.read_timeout && (self.received as f64) < min_bytes {
             return Err(BodyError::TooSlow);
         }
         Ok(())
     }
 
-    fn release_if_whole(&mut self) {
+    fn release_if_complete(&mut self) {
         if !self.decoder.is_end() {
             return;
         }
         if let Some(reader) = self.reader.take() {
-            self.finish(Released::Whole(reader));
+            self.finish(Released::Complete(reader));
         }
     }
 
@@ -377,7 +377,7 @@
 }
 
 /// Gives the bytes that are known to come, as a bound on the size of a read.
-fn expected(decoder: &BodyDecoder) -> usize {
+fn expected_bytes(decoder: &BodyDecoder) -> usize {
     let left = match decoder {
         BodyDecoder::Length(left) => usize::try_from(*left).unwrap_or(usize::MAX),
         BodyDecoder::Chunked(_) | BodyDecoder::UntilClose { .. } => usize::MAX,
--- a/crates/http/src/kept.rs
+++ b/crates/http/src/kept.rs
@@ -32,7 +32,7 @@
         self.used.get()
     }
 
-    fn take(&self, bytes: u64) -> bool {
+    fn reserve(&self, bytes: u64) -> bool {
         let used = self.used.get() + bytes;
         let fits = used <= self.limit;
         if fits {
@@ -41,7 +41,7 @@
         fits
     }
 
-    fn give_back(&self, bytes: u64) {
+    fn release(&self, bytes: u64) {
         self.used.set(self.used.get() - bytes);
     }
 }
@@ -53,7 +53,7 @@
 }
 
 struct State {
-    room: Rc<ReplayBudget>,
+    budget: Rc<ReplayBudget>,
     /// What was read, as long as all of it is kept.
     chunks: RefCell<Vec<Bytes>>,
     /// What was not read yet, while nobody reads it.
@@ -61,19 +61,19 @@
     /// Whether it was read to its end.
     has_ended: Cell<bool>,
     /// Whether something that was read is not kept, or the body broke.
-    is_lost: Cell<bool>,
+    is_discarded: Cell<bool>,
 }
 
 impl ReplayableBody {
     /// Makes a body that keeps what is read of it in `room`.
-    pub fn new(body: Body, room: &Rc<ReplayBudget>) -> Self {
+    pub fn new(body: Body, budget: &Rc<ReplayBudget>) -> Self {
         let len = body.known_len();
         let state = State {
-            room: Rc::clone(room),
+            budget: Rc::clone(budget),
             chunks: RefCell::default(),
             rest: RefCell::new(Some(body)),
             has_ended: Cell::new(false),
-            is_lost: Cell::new(false),
+            is_discarded: Cell::new(false),
         };
         Self {
             state: Rc::new(state),
@@ -88,20 +88,20 @@
 
     /// Says whether the body can be sent from its first byte on.
     pub fn is_replayable(&self) -> bool {
-        !self.state.is_lost.get() && self.state.rest.borrow().is_some()
+        !self.state.is_discarded.get() && self.state.rest.borrow().is_some()
     }
 
     /// Gives all of the body, where it was read to its end and all of it is kept.
     pub fn complete_chunks(&self) -> Option<Vec<Bytes>> {
         let chunks = self.state.chunks.borrow();
-        let kept: u64 = chunks.iter().map(len).sum();
-        let is_whole = self.state.has_ended.get() || self.len == Some(kept);
-        (is_whole && !self.state.is_lost.get()).then(|| chunks.clone())
+        let retained: u64 = chunks.iter().map(len).sum();
+        let is_complete = self.state.has_ended.get() || self.len == Some(retained);
+        (is_complete && !self.state.is_discarded.get()).then(|| chunks.clone())
     }
 
     /// Reads what was not read yet, where its length is told and all of it can be kept.
     pub async fn read_rest(&self) {
-        if !self.len.is_some_and(|len| self.state.has_room(len)) {
+        if !self.len.is_some_and(|len| self.state.fits_budget(len)) {
             return;
         }
         let Some(mut body) = self.replay() else {
@@ -117,7 +117,7 @@
             return None;
         }
         let rest = self.state.rest.borrow_mut().take()?;
-        Some(Body::kept(KeptReader {
+        Some(Body::replayable(ReplayReader {
             state: Rc::clone(&self.state),
             rest: Some(rest),
             next: 0,
@@ -127,33 +127,33 @@
 
 impl State {
     /// Says whether a body of `len` bytes can be kept, of which some may be already.
-    fn has_room(&self, len: u64) -> bool {
-        let kept: u64 = self.chunks.borrow().iter().map(self::len).sum();
-        self.room.used.get() + len.saturating_sub(kept) <= self.room.limit
+    fn fits_budget(&self, len: u64) -> bool {
+        let retained: u64 = self.chunks.borrow().iter().map(self::len).sum();
+        self.budget.used.get() + len.saturating_sub(retained) <= self.budget.limit
     }
 
-    fn keep(&self, chunk: &Bytes) {
-        if self.is_lost.get() {
+    fn retain(&self, chunk: &Bytes) {
+        if self.is_discarded.get() {
             return;
         }
-        if self.room.take(chunk.len() as u64) {
+        if self.budget.reserve(chunk.len() as u64) {
             self.chunks.borrow_mut().push(chunk.clone());
         } else {
-            self.lose();
+            self.discard();
         }
     }
 
     /// Frees what is kept: without all of it, it is of no use.
-    fn lose(&self) {
-        self.is_lost.set(true);
+    fn discard(&self) {
+        self.is_discarded.set(true);
         let chunks = self.chunks.take();
-        self.room.give_back(chunks.iter().map(len).sum());
+        self.budget.release(chunks.iter().map(len).sum());
     }
 }
 
 impl Drop for State {
     fn drop(&mut self) {
-        self.lose();
+        self.discard();
     }
 }
 
@@ -162,13 +162,13 @@
 }
 
 /// One reading of a kept body: first what was read before, then the rest.
-pub(crate) struct KeptReader {
+pub(crate) struct ReplayReader {
     state: Rc<State>,
     rest: Option<Body>,
     next: usize,
 }
 
-impl KeptReader {
+impl ReplayReader {
     pub(crate) fn known_len(&self) -> Option<u64> {
         let rest = self.rest.as_ref().and_then(Body::known_len)?;
         let chunks = self.state.chunks.borrow();
@@ -182,25 +182,25 @@
     }
 
     pub(crate) async fn next_chunk(&mut self) -> Option<Result<Bytes, BodyError>> {
-        let kept = self.state.chunks.borrow().get(self.next).cloned();
-        if let Some(chunk) = kept {
+        let retained = self.state.chunks.borrow().get(self.next).cloned();
+        if let Some(chunk) = retained {
             self.next += 1;
             return Some(Ok(chunk));
         }
         let read = Box::pin(self.rest.as_mut()?.next_chunk()).await;
         match &read {
             Some(Ok(chunk)) => {
-                self.state.keep(chunk);
+                self.state.retain(chunk);
                 self.next += 1;
             }
-            Some(Err(_)) => self.state.lose(),
+            Some(Err(_)) => self.state.discard(),
             None => self.state.has_ended.set(true),
         }
         read
     }
 }
 
-impl Drop for KeptReader {
+impl Drop for ReplayReader {
     fn drop(&mut self) {
         *self.state.rest.borrow_mut() = self.rest.take();
     }
--- a/crates/http/src/lib.rs
+++ b/crates/http/src/lib.rs
@@ -29,7 +29,7 @@
 mod writer;
 
 pub use ahead::{AheadPredicate, AheadRule};
-pub use body::{Body, BodyError, BodySender, ReaderGone};
+pub use body::{Body, BodyDropped, BodyError, BodySender};
 pub use flag::{Flag, Wait};
 pub use head::HeadError;
 pub use headers::{CALLER_HEADERS, SYSTEM_PREFIX, strip_system_headers};
--- a/crates/http/src/loan.rs
+++ b/crates/http/src/loan.rs
@@ -10,74 +10,77 @@
 
 use crate::flag::Flag;
 use crate::incoming::{BodyDecoder, Decoded, Released};
-use crate::reader::{CALLER_READ, HEAD_READ, Probe, Reader};
-use crate::timeout::within;
+use crate::reader::{CALLER_READ, CloseProbe, HEAD_READ, Reader};
+use crate::timeout::with_timeout;
 
 /// Bytes of further requests that are read ahead while one is handled.
-const READ_AHEAD: usize = 16 * 1024;
+const MAX_READ_AHEAD: usize = 16 * 1024;
 /// Bytes of an unread body that are read and dropped to keep a connection.
-const DRAIN_MAX: usize = 64 * 1024;
+const MAX_DRAINED_BYTES: usize = 64 * 1024;
 /// Longest wait for the rest of an unread body.
 const DRAIN_TIMEOUT: Duration = Duration::from_secs(1);
 /// How often a caller with unread bytes is checked for disconnection.
-const HANGUP_CHECK: Duration = Duration::from_millis(200);
+const DISCONNECT_CHECK_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Where the reader of a connection is.
-pub(crate) enum Slot {
+pub(crate) enum ReaderSlot {
     /// At the start of the next message.
-    Here(Reader),
+    Available(Reader),
     /// With the body of the current request.
-    Lent(Rc<Loan>),
+    Lent(Rc<ReaderLoan>),
     /// Within a body that was dropped before its end.
-    Unread(Reader, BodyDecoder),
+    MidBody(Reader, BodyDecoder),
     /// Of no more use.
-    Gone,
+    Lost,
 }
 
 /// A reader on loan to a body.
-pub(crate) struct Loan {
+pub(crate) struct ReaderLoan {
     released: RefCell<Option<Released>>,
     returned: Flag,
-    probe: Probe,
+    probe: CloseProbe,
 }
 
-impl Loan {
+impl ReaderLoan {
     /// Gives the reader back to the connection.
-    pub(crate) fn give_back(loan: &Rc<Loan>, released: Released) {
+    pub(crate) fn return_reader(loan: &Rc<ReaderLoan>, released: Released) {
         *loan.released.borrow_mut() = Some(released);
         loan.returned.fire();
     }
 
     /// Waits until the reader is back; says false where the caller hung up before.
     async fn wait(&self) -> bool {
-        let hung_up = pin!(hung_up(&self.probe));
-        matches!(select(self.returned.wait(), hung_up).await, Either::Left(_))
+        let disconnected = pin!(disconnected(&self.probe));
+        matches!(
+            select(self.returned.wait(), disconnected).await,
+            Either::Left(_)
+        )
     }
 }
 
-impl Slot {
+impl ReaderSlot {
     /// Takes the reader out, to be lent to a body.
-    pub(crate) fn lend(&mut self) -> Option<(Reader, Rc<Loan>)> {
-        let Slot::Here(reader) = std::mem::replace(self, Slot::Gone) else {
+    pub(crate) fn lend(&mut self) -> Option<(Reader, Rc<ReaderLoan>)> {
+        let ReaderSlot::Available(reader) = std::mem::replace(self, ReaderSlot::Lost) else {
             return None;
         };
-        let loan = Rc::new(Loan {
+        let loan = Rc::new(ReaderLoan {
             released: RefCell::new(None),
             returned: Flag::new(),
             probe: reader.probe(),
         });
-        *self = Slot::Lent(Rc::clone(&loan));
+        *self = ReaderSlot::Lent(Rc::clone(&loan));
         Some((reader, loan))
     }
 
     /// Takes a reader back that the body has released.
-    fn take_back(&mut self) {
-        let Slot::Lent(loan) = self else { return };
+    fn reclaim(&mut self) {
+        let ReaderSlot::Lent(loan) = self else { return };
         let released = loan.released.take();
         *self = match released {
-            Some(Released::Whole(reader)) => Slot::Here(reader),
-            Some(Released::Unread(reader, decoder)) => Slot::Unread(reader, decoder),
-            Some(Released::Broken) | None => Slot::Gone,
+            Some(Released::Complete(reader)) => ReaderSlot::Available(reader),
+            Some(Released::Unread(reader, decoder)) => ReaderSlot::MidBody(reader, decoder),
+            Some(Released::Broken) | None => ReaderSlot::Lost,
         };
     }
 
@@ -88,58 +91,58 @@
     /// first; where no further byte may be read, the second is looked for now and then.
     ///
     /// `take` gets the reader after each read ahead, to take whole requests out of it.
-    pub(crate) async fn caller_gone(&mut self, take: impl Fn(&mut Reader)) {
-        if let Slot::Lent(loan) = self {
+    pub(crate) async fn caller_disconnected(&mut self, take: impl Fn(&mut Reader)) {
+        if let ReaderSlot::Lent(loan) = self {
             let loan = Rc::clone(loan);
             if !loan.wait().await {
                 return;
             }
-            self.take_back();
+            self.reclaim();
         }
         match self {
-            Slot::Here(reader) => read_ahead(reader, take).await,
-            Slot::Unread(reader, _) => hung_up(&reader.probe()).await,
-            Slot::Lent(_) | Slot::Gone => pending().await,
+            ReaderSlot::Available(reader) => read_ahead(reader, take).await,
+            ReaderSlot::MidBody(reader, _) => disconnected(&reader.probe()).await,
+            ReaderSlot::Lent(_) | ReaderSlot::Lost => pending().await,
         }
     }
 
     /// Brings the reader to the start of the next message; says whether that was possible.
     pub(crate) async fn recover(&mut self) -> bool {
-        self.take_back();
-        if let Slot::Unread(reader, decoder) = self {
-            let drained = within(DRAIN_TIMEOUT, drain(reader, decoder)).await;
+        self.reclaim();
+        if let ReaderSlot::MidBody(reader, decoder) = self {
+            let drained = with_timeout(DRAIN_TIMEOUT, drain(reader, decoder)).await;
             if drained != Some(true) {
                 return false;
             }
-            if let Slot::Unread(reader, _) = std::mem::replace(self, Slot::Gone) {
-                *self = Slot::Here(reader);
+            if let ReaderSlot::MidBody(reader, _) = std::mem::replace(self, ReaderSlot::Lost) {
+                *self = ReaderSlot::Available(reader);
             }
         }
-        matches!(self, Slot::Here(_))
+        matches!(self, ReaderSlot::Available(_))
     }
 }
 
 async fn read_ahead(reader: &mut Reader, take: impl Fn(&mut Reader)) {
     take(reader);
-    while reader.buf.len() < READ_AHEAD {
+    while reader.buf.len() < MAX_READ_AHEAD {
         match reader.fill(CALLER_READ).await {
             Ok(0) | Err(_) => return,
             Ok(_) => take(reader),
         }
     }
-    hung_up(&reader.probe()).await;
+    disconnected(&reader.probe()).await;
 }
 
-async fn hung_up(probe: &Probe) {
-    while !probe.is_hung_up() {
-        monoio::time::sleep(HANGUP_CHECK).await;
+async fn disconnected(probe: &CloseProbe) {
+    while !probe.is_peer_closed() {
+        monoio::time::sleep(DISCONNECT_CHECK_INTERVAL).await;
     }
 }
 
 /// Reads and drops the rest of a body; says whether its end was reached.
 async fn drain(reader: &mut Reader, decoder: &mut BodyDecoder) -> bool {
     let mut seen = 0;
-    while seen <= DRAIN_MAX {
+    while seen <= MAX_DRAINED_BYTES {
         match decoder.decode(&mut reader.buf) {
             Ok(Decoded::End) => return true,
             Ok(Decoded::Chunk(chunk)) => seen += chunk.len(),
--- a/crates/http/src/pool.rs
+++ b/crates/http/src/pool.rs
@@ -19,8 +19,8 @@
 use crate::message::{RequestHead, Response};
 use crate::reader::{HEAD_READ, Reader};
 use crate::send_error::{ConnectSnafu, ExpiredSnafu, PoolFullSnafu, SendError, SendProgress, Step};
-use crate::socket::{self, Idle, LivenessOptions};
-use crate::timeout::within;
+use crate::socket::{self, IdleState, LivenessOptions};
+use crate::timeout::with_timeout;
 
 /// Settings of one pool.
 #[derive(Clone, Debug)]
@@ -106,23 +106,23 @@
 pub(crate) struct PooledConnection {
     pub(crate) reader: Reader,
     pub(crate) write: TcpOwnedWriteHalf,
-    pub(crate) seat: Seat,
+    pub(crate) info: ConnectionInfo,
 }
 
 /// What a pool knows of one connection. Counts the connection for as long as it lives.
 ///
 /// An idle connection lies in its pool. Were its seat to keep the pool alive, a pool that nobody
 /// uses any more would keep itself and its connections open for good.
-pub(crate) struct Seat {
+pub(crate) struct ConnectionInfo {
     pool: Weak<PoolInner>,
     opened: Millis,
     last_used: Millis,
     /// The idle time after which the peer may close the connection, where it said so.
-    pub(crate) peer_idle: Option<Millis>,
+    pub(crate) peer_idle_timeout: Option<Millis>,
     pub(crate) reused: bool,
 }
 
-impl Drop for Seat {
+impl Drop for ConnectionInfo {
     fn drop(&mut self) {
         if let Some(pool) = self.pool.upgrade() {
             pool.open.set(pool.open.get() - 1);
@@ -170,7 +170,7 @@
         let now = self.inner.clock.now();
         let config = &self.inner.config;
         let mut idle = self.inner.idle.borrow_mut();
-        idle.retain(|connection| connection.seat.is_usable(now, config.max_idle, config));
+        idle.retain(|connection| connection.info.is_usable(now, config.max_idle, config));
         idle.iter_mut()
             .for_each(|connection| connection.reader.shrink(0));
     }
@@ -262,17 +262,17 @@
         loop {
             let mut connection = self.idle.borrow_mut().pop_back()?;
             if !connection
-                .seat
+                .info
                 .is_usable(now, self.config.max_idle, &self.config)
             {
                 continue;
             }
-            if now.since(connection.seat.last_used) > max_idle {
+            if now.since(connection.info.last_used) > max_idle {
                 self.idle.borrow_mut().push_back(connection);
                 return None;
             }
-            if connection.reader.look() == Idle::Quiet {
-                connection.seat.reused = true;
+            if connection.reader.idle_state() == IdleState::Quiet {
+                connection.info.reused = true;
                 return Some(connection);
             }
         }
@@ -284,8 +284,8 @@
         deadline: Option<Millis>,
     ) -> Result<PooledConnection, SendError> {
         let peer = self.address;
-        let seat = self.take_seat()?;
-        let stream = match within(limit, TcpStream::connect_addr(peer)).await {
+        let info = self.reserve_connection()?;
+        let stream = match with_timeout(limit, TcpStream::connect_addr(peer)).await {
             Some(connected) => connected.context(ConnectSnafu { peer })?,
             None if self.is_past(deadline) => {
                 return self.expired(Step::Connect, SendProgress::NotSent);
@@ -295,17 +295,17 @@
                     .context(ConnectSnafu { peer });
             }
         };
-        socket::prepare(&stream, &self.config.liveness).context(ConnectSnafu { peer })?;
+        socket::configure(&stream, &self.config.liveness).context(ConnectSnafu { peer })?;
         let (read, write) = stream.into_split();
         Ok(PooledConnection {
             reader: Reader::new(read),
             write,
-            seat,
+            info,
         })
     }
 
     /// Counts a new connection, closing the oldest idle one where that makes the room.
-    fn take_seat(self: &Rc<Self>) -> Result<Seat, SendError> {
+    fn reserve_connection(self: &Rc<Self>) -> Result<ConnectionInfo, SendError> {
         let max = self.config.max_connections;
         if self.open.get() >= max {
             let oldest = self.idle.borrow_mut().pop_front();
@@ -317,11 +317,11 @@
         }
         self.open.set(self.open.get() + 1);
         let now = self.clock.now();
-        Ok(Seat {
+        Ok(ConnectionInfo {
             pool: Rc::downgrade(self),
             opened: now,
             last_used: now,
-            peer_idle: None,
+            peer_idle_timeout: None,
             reused: false,
         })
     }
@@ -331,9 +331,9 @@
     /// A middlebox that forgot one connection has likely forgotten those that were quiet
     /// as long. Each would cost its next request a silence limit, so they are all replaced
     /// when the first one is found.
-    pub(crate) fn distrust_idle(&self, since: Millis) {
+    pub(crate) fn close_idle_before(&self, since: Millis) {
         let mut idle = self.idle.borrow_mut();
-        idle.retain(|connection| connection.seat.last_used >= since);
+        idle.retain(|connection| connection.info.last_used >= since);
     }
 }
 
@@ -341,25 +341,27 @@
     /// Puts a connection back whose last response was read whole. Where the pool is no longer
     /// used, the connection is closed.
     pub(crate) fn put_back(mut self) {
-        let Some(pool) = self.seat.pool.upgrade() else {
+        let Some(pool) = self.info.pool.upgrade() else {
             return;
         };
         let now = pool.clock.now();
-        self.seat.last_used = now;
+        self.info.last_used = now;
         let is_clean = self.reader.buf.is_empty();
-        if is_clean && self.seat.is_usable(now, pool.config.max_idle, &pool.config) {
+        if is_clean && self.info.is_usable(now, pool.config.max_idle, &pool.config) {
             self.reader.shrink(HEAD_READ);
             pool.idle.borrow_mut().push_back(self);
         }
     }
 }
 
-impl Seat {
+impl ConnectionInfo {
     fn is_usable(&self, now: Millis, max_idle: Millis, config: &PoolConfig) -> bool {
         let idle = now.since(self.last_used);
         // A request that crosses the peer's close may have run, as far as anybody knows. A
         // fifth of the stated time covers the way there and the rounding to whole seconds.
-        let kept = self.peer_idle.is_none_or(|peer| idle.0 <= peer.0 / 5 * 4);
-        kept && idle <= max_idle && now.since(self.opened) <= config.max_age
+        let is_within_peer_timeout = self
+            .peer_idle_timeout
+            .is_none_or(|peer| idle.0 <= peer.0 / 5 * 4);
+        is_within_peer_timeout && idle <= max_idle && now.since(self.opened) <= config.max_age
     }
 }
--- a/crates/http/src/reader.rs
+++ b/crates/http/src/reader.rs
@@ -8,7 +8,7 @@
 use monoio::net::tcp::TcpOwnedReadHalf;
 
 use crate::head::{self, HeadError};
-use crate::socket::{self, Idle};
+use crate::socket::{self, IdleState};
 
 /// Bytes asked for in one read while a head is awaited.
 pub(crate) const HEAD_READ: usize = 4 * 1024;
@@ -117,25 +117,25 @@
     }
 
     /// Looks at the connection without taking bytes from it.
-    pub(crate) fn look(&self) -> Idle {
-        socket::look_at(&self.half)
+    pub(crate) fn idle_state(&self) -> IdleState {
+        socket::half_idle_state(&self.half)
     }
 
     /// Makes a probe that outlives the loan of this reader.
-    pub(crate) fn probe(&self) -> Probe {
-        Probe {
+    pub(crate) fn probe(&self) -> CloseProbe {
+        CloseProbe {
             half: OwnedReadHalf(Rc::clone(&self.half.0)),
         }
     }
 }
 
 /// Finds out whether the peer of a connection has closed it, while another task reads it.
-pub(crate) struct Probe {
+pub(crate) struct CloseProbe {
     half: TcpOwnedReadHalf,
 }
 
-impl Probe {
-    pub(crate) fn is_hung_up(&self) -> bool {
-        socket::is_hung_up(&self.half)
+impl CloseProbe {
+    pub(crate) fn is_peer_closed(&self) -> bool {
+        socket::is_peer_closed(&self.half)
     }
 }
--- a/crates/http/src/server.rs
+++ b/crates/http/src/server.rs
@@ -17,13 +17,14 @@
 use crate::idle::IdleConnections;
 use crate::message::Handler;
 use crate::socket::{self, LivenessOptions};
-use crate::timeout::within;
+use crate::timeout::with_timeout;
 
 /// Pause after a failed accept, as where the process is out of descriptors.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
 /// The answer to a connection beyond the limit.
-const FULL: &[u8] = b"HTTP/1.1 503 Service Unavailable\r\nheatherknot-outcome: not-run\r\n\
+const SERVER_FULL_RESPONSE: &[u8] =
+    b"HTTP/1.1 503 Service Unavailable\r\nheatherknot-outcome: not-run\r\n\
     retry-after: 1\r\ncontent-length: 0\r\nconnection: close\r\n\r\n";
 
 /// Limits of one server.
@@ -111,65 +112,70 @@
         open: Cell::new(0),
         all_closed: Flag::new(),
     });
-    let cut = Flag::new();
-    accept_until_stopped(&listener, &cx, &cut).await;
+    let abort = Flag::new();
+    accept_until_stopped(&listener, &cx, &abort).await;
     drop(listener);
     if cx.open.get() > 0 {
-        let waited = within(cx.limits.stop_grace, cx.all_closed.wait()).await;
+        let waited = with_timeout(cx.limits.stop_grace, cx.all_closed.wait()).await;
         if waited.is_none() {
             log::warn!(open = cx.open.get(); "cutting requests at the end of the grace time");
-            cut.fire();
+            abort.fire();
         }
     }
 }
 
-async fn accept_until_stopped(listener: &TcpListener, cx: &Rc<ServerContext>, cut: &Flag) {
+async fn accept_until_stopped(listener: &TcpListener, cx: &Rc<ServerContext>, abort: &Flag) {
     let mut stopped = cx.stop.wait();
     loop {
         let accepting = pin!(listener.accept());
         match select(accepting, &mut stopped).await {
             Either::Right(((), _)) => return,
-            Either::Left((Ok((stream, peer)), _)) => admit(stream, peer, cx, cut),
+            Either::Left((Ok((stream, peer)), _)) => accept_connection(stream, peer, cx, abort),
             Either::Left((Err(error), _)) => {
                 log::warn!(error:% = error; "accepting a connection failed");
-                monoio::time::sleep(ACCEPT_PAUSE).await;
+                monoio::time::sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
 }
 
-fn admit(stream: TcpStream, peer: std::net::SocketAddr, cx: &Rc<ServerContext>, cut: &Flag) {
-    if let Err(error) = socket::prepare(&stream, &cx.limits.liveness) {
+fn accept_connection(
+    stream: TcpStream,
+    peer: std::net::SocketAddr,
+    cx: &Rc<ServerContext>,
+    abort: &Flag,
+) {
+    if let Err(error) = socket::configure(&stream, &cx.limits.liveness) {
         log::debug!(peer:% = peer, error:% = error; "setting socket options failed");
         return;
     }
     let limit = cx.limits.max_connections;
-    if cx.open.get() >= limit + refusals_at_once(limit) {
+    if cx.open.get() >= limit + max_concurrent_rejections(limit) {
         return;
     }
     let is_full = cx.open.get() >= limit;
     let open = OpenConnection::new(cx);
-    let refused = is_full && !cx.idle.close_oldest();
-    let cut = cut.wait();
+    let rejected = is_full && !cx.idle.close_oldest();
+    let abort = abort.wait();
     let cx = Rc::clone(cx);
     monoio::spawn(async move {
         let _open = open;
-        if refused {
-            let _ = refuse(stream).await;
+        if rejected {
+            let _ = reject(stream).await;
             return;
         }
         let serving = pin!(connection::run(stream, peer, cx));
-        select(serving, cut).await;
+        select(serving, abort).await;
     });
 }
 
 /// Connections beyond the limit that are told so at once; more are closed unanswered.
-fn refusals_at_once(limit: usize) -> usize {
+fn max_concurrent_rejections(limit: usize) -> usize {
     limit / 8 + 1
 }
 
-async fn refuse(mut stream: TcpStream) -> io::Result<()> {
-    let (written, _) = stream.write_all(FULL).await;
+async fn reject(mut stream: TcpStream) -> io::Result<()> {
+    let (written, _) = stream.write_all(SERVER_FULL_RESPONSE).await;
     written?;
     stream.shutdown().await?;
     connection::linger(&mut stream).await;
--- a/crates/http/src/socket.rs
+++ b/crates/http/src/socket.rs
@@ -36,7 +36,7 @@
 /// A middlebox that forgot a connection drops its packets and says nothing, so neither a
 /// read nor a write fails by itself. With `TCP_USER_TIMEOUT` bytes that nobody acknowledges
 /// fail the connection, and keepalive probes find one that has nothing to send.
-pub(crate) fn prepare(stream: &TcpStream, options: &LivenessOptions) -> io::Result<()> {
+pub(crate) fn configure(stream: &TcpStream, options: &LivenessOptions) -> io::Result<()> {
     stream.set_nodelay(true)?;
     with_socket(stream, |socket| {
         let keepalive = TcpKeepalive::new()
@@ -50,34 +50,34 @@
 
 /// What a look at an idle connection shows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Idle {
+pub(crate) enum IdleState {
     /// Open, with nothing received.
     Quiet,
     /// Open, with bytes received that nobody asked for.
-    Unasked,
+    UnexpectedData,
     /// Closed or broken.
     Closed,
 }
 
 /// Looks at a connection without taking bytes from it.
-pub(crate) fn look(stream: &TcpStream) -> Idle {
+pub(crate) fn idle_state(stream: &TcpStream) -> IdleState {
     let mut byte = [MaybeUninit::uninit()];
     match with_socket(stream, |socket| socket.peek(&mut byte)) {
-        Ok(0) => Idle::Closed,
-        Ok(_) => Idle::Unasked,
-        Err(error) if error.kind() == io::ErrorKind::WouldBlock => Idle::Quiet,
-        Err(_) => Idle::Closed,
+        Ok(0) => IdleState::Closed,
+        Ok(_) => IdleState::UnexpectedData,
+        Err(error) if error.kind() == io::ErrorKind::WouldBlock => IdleState::Quiet,
+        Err(_) => IdleState::Closed,
     }
 }
 
 /// Looks at the connection of a read half without taking bytes from it.
-pub(crate) fn look_at(half: &TcpOwnedReadHalf) -> Idle {
-    look(stream_of(half))
+pub(crate) fn half_idle_state(half: &TcpOwnedReadHalf) -> IdleState {
+    idle_state(stream_of(half))
 }
 
 /// Says whether the peer closed its side, whatever it sent before that is still unread.
 #[allow(unsafe_code)]
-pub(crate) fn is_hung_up(half: &TcpOwnedReadHalf) -> bool {
+pub(crate) fn is_peer_closed(half: &TcpOwnedReadHalf) -> bool {
     let mut poll = libc::pollfd {
         fd: stream_of(half).as_raw_fd(),
         events: libc::POLLRDHUP,
--- a/crates/http/src/target.rs
+++ b/crates/http/src/target.rs
@@ -30,11 +30,11 @@
         true => Cow::Owned(percent_decode(path)?),
         false => Cow::Borrowed(path),
     };
-    let is_climbing = decoded
+    let has_dot_segment = decoded
         .split(|b| b"/\\".contains(b))
         .any(|segment| segment == b"." || segment == b"..");
     ensure!(
-        !is_climbing,
+        !has_dot_segment,
         TargetSnafu {
             cause: "a `.` or `..` segment"
         }
@@ -58,7 +58,7 @@
             continue;
         }
         let Some((digits, after)) = rest.split_first_chunk::<2>() else {
-            return bad_percent();
+            return invalid_percent_encoding();
         };
         rest = after;
         decoded.push(16 * hex_digit(digits[0])? + hex_digit(digits[1])?);
@@ -69,11 +69,11 @@
 fn hex_digit(b: u8) -> Result<u8, HeadError> {
     match (b as char).to_digit(16) {
         Some(digit) => Ok(digit as u8),
-        None => bad_percent(),
+        None => invalid_percent_encoding(),
     }
 }
 
-fn bad_percent<T>() -> Result<T, HeadError> {
+fn invalid_percent_encoding<T>() -> Result<T, HeadError> {
     TargetSnafu {
         cause: "a `%` without two hexadecimal digits",
     }
--- a/crates/http/src/timeout.rs
+++ b/crates/http/src/timeout.rs
@@ -10,7 +10,7 @@
 /// Most steps are ready at once, so the timer is made only for one that has to wait. It is
 /// boxed, since a timer is large and aligned to a cache line: inline, it would make every
 /// future that has a time limit so.
-pub(crate) async fn within<T>(limit: Duration, future: impl Future<Output = T>) -> Option<T> {
+pub(crate) async fn with_timeout<T>(limit: Duration, future: impl Future<Output = T>) -> Option<T> {
     let mut future = pin!(future);
     let mut sleep = None;
     poll_fn(|cx| {
--- a/crates/http/src/writer.rs
+++ b/crates/http/src/writer.rs
@@ -12,11 +12,11 @@
 use crate::encode;
 use crate::incoming::Framing;
 use crate::send_error::SendProgress;
-use crate::timeout::within;
+use crate::timeout::with_timeout;
 
 /// Chunks up to this size are copied behind a head or a chunk size, so that they leave in
 /// one write.
-const COPY_MAX: usize = 16 * 1024;
+const MAX_COALESCED_BYTES: usize = 16 * 1024;
 
 /// Why a message could not be written whole.
 #[derive(Debug)]
@@ -87,7 +87,7 @@
 
     /// Writes once; gives the number of bytes taken, and the buffer.
     async fn write<T: IoBuf>(&mut self, buf: T) -> Result<(usize, T), WriteError> {
-        let n = match within(self.timeout, self.half.write(buf)).await {
+        let n = match with_timeout(self.timeout, self.half.write(buf)).await {
             None => return Err(WriteError::Stalled),
             Some((Err(error), _)) => return Err(WriteError::Io(error)),
             Some((Ok(0), _)) => return Err(WriteError::Io(io::ErrorKind::WriteZero.into())),
@@ -109,9 +109,9 @@
     /// Writes one chunk of a body.
     pub(crate) async fn chunk(&mut self, chunk: Bytes, framing: Framing) -> Result<(), WriteError> {
         if framing == Framing::Chunked {
-            encode::chunk_start(&mut self.out, &chunk);
+            encode::chunk_size_line(&mut self.out, &chunk);
         }
-        if self.out.len() + chunk.len() <= COPY_MAX {
+        if self.out.len() + chunk.len() <= MAX_COALESCED_BYTES {
             self.out.extend_from_slice(&chunk);
         } else {
             self.flush().await?;
