--- a/crates/http/examples/proxy_bench/machine.rs
+++ b/crates/http/examples/proxy_bench/machine.rs
@@ -17,7 +17,7 @@
     format!("machine: {model}, {cores} cores, load {load}")
 }
 
-/// Gives the resident memory of this process.
+/// Returns the resident memory of this process.
 pub fn rss_bytes() -> u64 {
     let status = fs::read_to_string("/proc/self/status").unwrap_or_default();
     let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:"));
--- a/crates/http/examples/proxy_bench/servers.rs
+++ b/crates/http/examples/proxy_bench/servers.rs
@@ -26,7 +26,7 @@
 }
 
 impl Server {
-    /// Gives the processor time of the server's thread.
+    /// Returns the processor time of the server's thread.
     pub fn cpu_seconds(&self) -> f64 {
         let stat = fs::read_to_string(&self.stat).expect("the statistics of the thread");
         let nanos = stat.split_whitespace().next().and_then(|n| n.parse().ok());
--- a/crates/http/src/ahead.rs
+++ b/crates/http/src/ahead.rs
@@ -1,8 +1,8 @@
-//! Requests that a caller sends before it has the answer to the one before them.
+//! Concurrent handling of pipelined requests.
 //!
-//! Served one after the other they wait for each other: on a connection with a short request
-//! behind three long ones, the short one takes as long as all four. So they are handled side
-//! by side, and answered in the order in which they came.
+//! Handled one after the other, requests of one connection suffer from head-of-line blocking: a
+//! short request behind three long ones takes as long as all four. So they are handled
+//! concurrently, and their responses are sent in the order of the requests.
 
 use std::collections::VecDeque;
 use std::fmt;
@@ -22,17 +22,17 @@
 use crate::reader::Reader;
 use crate::server::{Limits, ServerContext};
 
-/// Says whether a request may be handled while an earlier one of its connection is.
+/// Decides whether a request may be handled concurrently with an earlier one of its connection.
 pub type AheadPredicate = Rc<dyn Fn(&RequestHead) -> bool>;
 
-/// Which requests are handled while an earlier one of their connection is.
+/// Which pipelined requests are handled concurrently with earlier ones of their connection.
 #[derive(Clone)]
 pub struct AheadRule {
-    /// The most requests of one connection that are handled beside its first one.
+    /// Maximum number of requests of one connection that are handled besides its first one.
     pub most: usize,
-    /// Says whether one may be. A request whose run can't be taken back may not: an earlier
-    /// response that breaks off closes the connection, and the caller then sends again what
-    /// was behind it, taking it for unread.
+    /// Decides whether a request may be handled concurrently. It must reject requests that may
+    /// run only once: if an earlier response is truncated, the connection closes, and the caller
+    /// sends the requests after it again, assuming that they were not read.
     pub is_allowed: AheadPredicate,
 }
 
@@ -44,17 +44,17 @@
     }
 }
 
-/// A request that is being handled, and what its answer needs to be written.
+/// A request that is being handled, with the data needed to write its response.
 pub(crate) struct InFlightRequest {
     pub(crate) response: LocalBoxFuture<'static, Response>,
     pub(crate) cancelled: Flag,
     pub(crate) is_head: bool,
-    /// Whether the caller wants the connection to close after it.
+    /// Whether the caller asked to close the connection after this request.
     pub(crate) close: bool,
 }
 
 impl InFlightRequest {
-    /// Hands a request to the server's handler.
+    /// Calls the server's handler with a request.
     pub(crate) fn start(
         cx: &ServerContext,
         parsed: ParsedRequest,
@@ -77,7 +77,7 @@
         }
     }
 
-    /// Lets it be handled while nobody waits for it yet.
+    /// Runs the handler as a task of its own, so that it progresses without being awaited.
     fn spawn_handler(self) -> Self {
         Self {
             response: monoio::spawn(self.response).boxed_local(),
@@ -86,12 +86,12 @@
     }
 }
 
-/// The requests of one connection behind the one that is being answered.
+/// The pipelined requests of one connection after the one that is being answered.
 pub(crate) struct PipelineQueue {
     cx: Rc<ServerContext>,
     peer: SocketAddr,
     in_flight: VecDeque<InFlightRequest>,
-    /// The first request that may not be handled yet, or what is wrong with it.
+    /// The first request that may not be handled yet, or the error in its head.
     next: Option<Result<ParsedRequest, HeadError>>,
 }
 
@@ -109,17 +109,17 @@
         self.in_flight.is_empty() && self.next.is_none()
     }
 
-    /// Gives the next request that is being handled already.
+    /// Removes and returns the next request in flight.
     pub(crate) fn pop(&mut self) -> Option<InFlightRequest> {
         self.in_flight.pop_front()
     }
 
-    /// Gives the request that was read and not yet handled.
+    /// Takes the request that was read but not started, or the error in its head.
     pub(crate) fn take_next(&mut self) -> Option<Result<ParsedRequest, HeadError>> {
         self.next.take()
     }
 
-    /// Begins to handle the requests that `reader` holds whole, as far as they may go ahead.
+    /// Starts the requests that `reader` has buffered completely, as far as the rule allows.
     pub(crate) fn start_from(&mut self, reader: &mut Reader) {
         while self.may_read_next()
             && let Some(parsed) = take_complete_head(reader, &self.cx.limits).transpose()
@@ -135,8 +135,8 @@
         }
     }
 
-    /// Says whether a further request may be read. Behind one that closes the connection
-    /// nothing is: the caller sends it again elsewhere.
+    /// Returns whether a further request may be read. None is read after a request that closes the
+    /// connection: the caller sends later ones again on another connection.
     fn may_read_next(&self) -> bool {
         let rule = self.cx.limits.ahead.as_ref();
         let has_room = rule.is_some_and(|rule| self.in_flight.len() < rule.most);
@@ -153,7 +153,7 @@
 }
 
 impl Drop for PipelineQueue {
-    /// Tells the handlers that nobody reads their answers any more.
+    /// Cancels the handlers, as their responses can't be sent.
     fn drop(&mut self) {
         self.in_flight
             .iter()
@@ -161,7 +161,7 @@
     }
 }
 
-/// Takes a request head from the front of what was read, where it is there whole.
+/// Removes a request head from the front of the buffer, if it is complete.
 fn take_complete_head(
     reader: &mut Reader,
     limits: &Limits,
@@ -176,7 +176,7 @@
     }
 }
 
-/// Takes a request head of `len` bytes from the front of what was read.
+/// Removes a request head of `len` bytes from the front of the buffer.
 pub(crate) fn take_head(
     reader: &mut Reader,
     len: usize,
--- a/crates/http/src/body.rs
+++ b/crates/http/src/body.rs
@@ -16,20 +16,20 @@
 use crate::incoming::IncomingBody;
 use crate::kept::ReplayReader;
 
-/// Chunks that a [`BodySender`] may be ahead of its [`Body`].
+/// Maximum number of chunks buffered between a [`BodySender`] and its [`Body`].
 const CHANNEL_CHUNKS: usize = 4;
 
-/// Why a body ended before it was whole.
+/// Why a body could not be read to its end.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum BodyError {
-    /// The connection closed or broke before the end of the body.
+    /// The connection was closed or failed before the end of the body.
     #[snafu(display("the connection broke within the body: {cause}"))]
     Truncated {
         /// What the connection reported.
         cause: String,
     },
-    /// The chunked coding is wrong.
+    /// Chunked transfer coding is malformed.
     #[snafu(display("the chunked coding is wrong: {cause}"))]
     Malformed {
         /// What was wrong.
@@ -44,13 +44,13 @@
     /// The peer sent too slowly.
     #[snafu(display("the body came too slowly"))]
     TooSlow,
-    /// The side that produced the body gave up.
+    /// The producer of the body stopped before the body was complete.
     #[snafu(display("the sender gave up within the body"))]
     Abandoned,
 }
 
 impl BodyError {
-    /// Gives the status to answer where the body of a request failed in this way.
+    /// Returns the status of the response to a request whose body failed with this error.
     pub fn status(&self) -> StatusCode {
         match self {
             BodyError::TooLarge { .. } => StatusCode::PAYLOAD_TOO_LARGE,
@@ -64,11 +64,11 @@
 
 /// A message body, read chunk by chunk.
 ///
-/// Dropping a body before its end closes the connection that it is read from, or leaves it
-/// unusable for further messages.
+/// Dropping a body before its end closes the connection that it is read from, unless the
+/// server can discard the rest.
 pub struct Body {
     source: Source,
-    /// Lives as long as the body, as a count of requests in flight does.
+    /// Dropped with the body; for example a counter of requests in flight.
     guard: Option<Box<dyn Any>>,
 }
 
@@ -82,7 +82,7 @@
 }
 
 impl Body {
-    /// Makes a body of no bytes.
+    /// Creates an empty body.
     pub fn empty() -> Self {
         Self {
             source: Source::Empty,
@@ -90,7 +90,7 @@
         }
     }
 
-    /// Makes a body of bytes that are all there.
+    /// Creates a body from bytes in memory.
     pub fn full(bytes: impl Into<Bytes>) -> Self {
         let bytes = bytes.into();
         if bytes.is_empty() {
@@ -102,12 +102,12 @@
         }
     }
 
-    /// Makes a body of unknown length that the returned sender feeds.
+    /// Creates a body of unknown length that is fed by the returned sender.
     pub fn channel() -> (BodySender, Body) {
         Self::channel_with_len(None)
     }
 
-    /// Makes a body that the returned sender feeds, of `len` bytes where that is known.
+    /// Creates a body that is fed by the returned sender, of `len` bytes if known.
     pub fn channel_with_len(len: Option<u64>) -> (BodySender, Body) {
         let channel = Rc::new(Channel::default());
         let body = Self {
@@ -147,7 +147,7 @@
         self
     }
 
-    /// Gives the number of bytes still to come, where it is known.
+    /// Returns the number of remaining bytes, if known.
     pub fn known_len(&self) -> Option<u64> {
         match &self.source {
             Source::Empty => Some(0),
@@ -159,14 +159,14 @@
         }
     }
 
-    /// Says whether the body is known to have no more bytes.
+    /// Returns whether the body is known to have no remaining bytes.
     pub fn is_end(&self) -> bool {
         self.known_len() == Some(0)
     }
 
-    /// Lowers the number of bytes that the body may have to `max`, counted from now.
+    /// Lowers the limit for the remaining bytes of the body to `max`.
     ///
-    /// It has an effect on bodies read from a connection only.
+    /// Affects only bodies that are read from a connection.
     pub fn limit(&mut self, max: u64) {
         match &mut self.source {
             Source::Incoming(incoming) => incoming.limit(max),
@@ -176,11 +176,11 @@
         }
     }
 
-    /// Gives the next chunk, which is never empty, or nothing after the last one.
+    /// Returns the next chunk, which is never empty, or `None` after the last one.
     ///
     /// # Errors
     ///
-    /// Returns an error where the body ended before it was whole; nothing follows it.
+    /// Returns an error if the body could not be read to its end. No chunk follows an error.
     pub async fn next_chunk(&mut self) -> Option<Result<Bytes, BodyError>> {
         match &mut self.source {
             Source::Empty => None,
@@ -200,8 +200,8 @@
     ///
     /// # Errors
     ///
-    /// Returns an error where the body is longer than `max` bytes or ended before it was
-    /// whole.
+    /// Returns an error if the body is longer than `max` bytes or could not be read to its
+    /// end.
     pub async fn collect(mut self, max: usize) -> Result<Bytes, BodyError> {
         if let Source::Full(bytes) = &self.source {
             let bytes = bytes.clone();
@@ -276,24 +276,25 @@
     }
 }
 
-/// The reader of a body was dropped, so what is sent reaches nobody.
+/// The body was dropped, so further chunks are not delivered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu)]
 #[snafu(display("the reader of the body is gone"))]
 pub struct BodyDropped;
 
-/// Feeds a [`Body`] made by [`Body::channel`].
+/// Feeds a [`Body`] created by [`Body::channel`].
 ///
-/// Dropping the sender without [`BodySender::finish`] leaves the body broken, never short.
+/// Dropping the sender without [`BodySender::finish`] ends the body with an error, so that a
+/// truncated body is never taken as complete.
 pub struct BodySender {
     channel: Rc<Channel>,
 }
 
 impl BodySender {
-    /// Adds a chunk, waiting while the reader is behind.
+    /// Sends a chunk, waiting while the channel is full.
     ///
     /// # Errors
     ///
-    /// Returns [`ReaderGone`] where the body was dropped.
+    /// Returns [`BodyDropped`] if the body was dropped.
     pub async fn send(&mut self, chunk: Bytes) -> Result<(), BodyDropped> {
         poll_fn(|cx| {
             if self.channel.receiver_dropped.get() {
@@ -313,12 +314,12 @@
         Ok(())
     }
 
-    /// Ends the body as whole.
+    /// Ends the body as complete.
     pub fn finish(self) {
         self.channel.close(Ok(()));
     }
 
-    /// Ends the body as broken.
+    /// Ends the body with an error.
     pub fn fail(self, error: BodyError) {
         self.channel.close(Err(error));
     }
--- a/crates/http/src/connection.rs
+++ b/crates/http/src/connection.rs
@@ -1,4 +1,4 @@
-//! One connection of a caller: its requests are read, handled, and answered in order.
+//! Serves one connection of a caller: reads its requests and responds to them in order.
 
 use std::cell::RefCell;
 use std::future::Future;
@@ -31,20 +31,20 @@
 use crate::timeout::with_timeout;
 use crate::writer::{WriteError, Writer, framing_of};
 
-/// How long a closing connection still takes bytes, so that the caller can read the answer.
+/// How long a closing connection discards input, so that the caller can read the response.
 const LINGER_TIMEOUT: Duration = Duration::from_secs(1);
-/// Most bytes that a closing connection takes.
+/// Maximum number of bytes that a closing connection discards.
 const MAX_LINGER_BYTES: usize = 1 << 20;
 const CONTINUE_RESPONSE: &[u8] = b"HTTP/1.1 100 Continue\r\n\r\n";
 
-/// What follows a request on its connection.
+/// What happens to a connection after a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum AfterRequest {
     /// A further request may follow.
     KeepAlive,
-    /// The connection closes, after the caller had time to read the answer.
+    /// The connection closes after the caller had time to read the response.
     Close,
-    /// The connection closes at once: the response is broken or nobody reads it.
+    /// The connection closes immediately: the response is incomplete or nobody reads it.
     Abort,
 }
 
@@ -88,8 +88,8 @@
             None => read_request(reader, &mut self.writer, &self.cx).await,
         };
         match read {
-            // The state of an answer is kept apart from that of the connection, which is
-            // idle most of its life.
+            // Boxed to keep the future of the connection small, as it is idle most of the
+            // time.
             Ok(Some(parsed)) => Box::pin(self.handle_request(parsed)).await,
             Ok(None) => AfterRequest::Abort,
             Err(error) => Box::pin(self.reject(error)).await,
@@ -127,7 +127,7 @@
             };
             let mut disconnected = pin!(self.slot.caller_disconnected(start_pipelined).fuse());
             let response = run_handler(handler, disconnected.as_mut(), &cancelled).await;
-            // What is being handled behind it is answered before the connection closes.
+            // Pipelined requests in flight are answered before the connection closes.
             let is_last = pipeline
                 .borrow()
                 .as_ref()
@@ -141,13 +141,13 @@
             Ok(()) if !close && self.slot.recover().await => AfterRequest::KeepAlive,
             Ok(()) => AfterRequest::Close,
             Err(error) => {
-                log::debug!(peer:% = self.peer, error:? = error; "a response broke off");
+                log::debug!(peer:% = self.peer, error:? = error; "failed to write a response");
                 AfterRequest::Abort
             }
         }
     }
 
-    /// Lends the reader to the body of a request.
+    /// Creates the body of a request, which borrows the reader.
     fn request_body(&mut self, framing: Framing) -> Body {
         if framing == Framing::Length(0) {
             return Body::empty();
@@ -165,7 +165,7 @@
     }
 
     async fn reject(&mut self, error: HeadError) -> AfterRequest {
-        log::debug!(peer:% = self.peer, error:% = error; "a request was refused");
+        log::debug!(peer:% = self.peer, error:% = error; "rejected an invalid request");
         let response = Response::text(error.status(), format!("{error}\n")).with_header(
             HeaderName::from_static(OUTCOME_HEADER),
             HeaderValue::from_static(Outcome::NotRun.as_str()),
@@ -177,11 +177,11 @@
         }
     }
 
-    /// Closes the connection so that the caller can read what was written.
+    /// Closes the connection so that the caller can read the response.
     ///
-    /// Closing a socket that holds unread bytes resets the connection, and the caller's
-    /// system may then drop the answer before it is read. So the write side is closed
-    /// first, and what the caller still sends is read and dropped for a short time.
+    /// Closing a socket with unread bytes resets the connection, and the caller's operating
+    /// system may then discard the response before it is read. So the write side is closed
+    /// first, and further input is discarded for a short time.
     async fn close(mut self) {
         self.writer.shutdown().await;
         if let ReaderSlot::Available(reader) = &mut self.slot {
@@ -190,7 +190,7 @@
     }
 }
 
-/// Reads and drops what a refused caller sends, for a short time.
+/// Discards the input of a rejected caller for a short time.
 pub(crate) async fn linger(stream: &mut TcpStream) {
     let reading = async {
         let mut buf = Vec::with_capacity(HEAD_READ);
@@ -208,7 +208,7 @@
     with_timeout(LINGER_TIMEOUT, reading).await;
 }
 
-/// Reads the next request head; gives nothing where the connection ends before one.
+/// Reads the next request head; returns `None` if the connection ends before one.
 async fn read_request(
     reader: &mut Reader,
     writer: &mut Writer,
@@ -234,10 +234,10 @@
     ahead::take_head(reader, len, limits).map(Some)
 }
 
-/// Waits for the first bytes of a request; says whether there are any.
+/// Waits for the first bytes of a request; returns whether there are any.
 ///
-/// A caller may have sent a request on an idle connection just before the server stops.
-/// Closing at once would reset it, so such a connection is read for a while longer.
+/// A caller may send a request on an idle connection just before the server stops. Closing
+/// the connection immediately would lose it, so the connection stays open a while longer.
 async fn wait_for_request(reader: &mut Reader, writer: &mut Writer, cx: &ServerContext) -> bool {
     let reading = pin!(read_first_bytes(reader, writer, cx));
     match select(reading, cx.stop.wait()).await {
@@ -249,8 +249,8 @@
     }
 }
 
-/// Reads the first bytes of a request. A connection that is idle for long keeps no buffers,
-/// and makes room when the server is full.
+/// Reads the first bytes of a request. After the idle grace period the connection frees its
+/// buffers, and is closed if the server needs room for a new one.
 async fn read_first_bytes(reader: &mut Reader, writer: &mut Writer, cx: &ServerContext) -> bool {
     let limits = &cx.limits;
     let grace = limits.idle_grace.min(limits.idle_timeout);
@@ -274,7 +274,7 @@
     matches!(readable, Either::Left((Some(Ok(())), _)))
 }
 
-/// Waits for the handler, and tells it when the caller disconnects.
+/// Awaits the handler, and fires `cancelled` if the caller disconnects.
 async fn run_handler(
     handler: LocalBoxFuture<'static, Response>,
     disconnected: Pin<&mut Fuse<impl Future<Output = ()>>>,
@@ -289,7 +289,7 @@
     }
 }
 
-/// Why a response was not written whole.
+/// Why a response was not completely written.
 #[derive(Debug)]
 #[allow(dead_code)]
 enum ResponseError {
@@ -326,15 +326,15 @@
     Ok(())
 }
 
-/// Says whether responses of this status can have a body.
+/// Returns whether responses with this status can have a body.
 pub(crate) fn may_have_body(status: StatusCode) -> bool {
     !status.is_informational()
         && status != StatusCode::NO_CONTENT
         && status != StatusCode::NOT_MODIFIED
 }
 
-/// Writes a body as its chunks come. What is encoded waits for a chunk that is there
-/// already, so that a short response leaves in one write.
+/// Writes a body as its chunks arrive. Encoded bytes are flushed only when no chunk is ready, so
+/// that a short response is sent in one write.
 async fn write_body(
     writer: &mut Writer,
     mut body: Body,
@@ -356,7 +356,7 @@
         match chunk {
             Some(Ok(chunk)) => writer.chunk(chunk, framing).await?,
             Some(Err(error)) => {
-                // The caller gets what came, without the end that would make it whole.
+                // Send what was received, without the end that would mark the body complete.
                 writer.flush().await?;
                 return Err(WriteError::Body(error).into());
             }
--- a/crates/http/src/decode.rs
+++ b/crates/http/src/decode.rs
@@ -1,4 +1,4 @@
-//! Decoding of checked heads with the library's decoder.
+//! Decoding of validated heads with the decoder of `monoio-http`.
 
 use bytes::{Buf, BytesMut};
 use heatherknot_types::prelude::*;
@@ -13,10 +13,10 @@
 use crate::incoming::Framing;
 use crate::message::RequestHead;
 
-/// The field in which a peer says how long it keeps an idle connection.
+/// The field in which a peer announces how long it keeps an idle connection open.
 const KEEP_ALIVE: HeaderName = HeaderName::from_static("keep-alive");
 
-/// A request head as its reader needs it.
+/// A decoded request head.
 #[derive(Debug)]
 pub(crate) struct ParsedRequest {
     pub(crate) head: RequestHead,
@@ -25,19 +25,19 @@
     pub(crate) expects_continue: bool,
 }
 
-/// A response head as its reader needs it.
+/// A decoded response head.
 #[derive(Debug)]
 pub(crate) struct ParsedResponse {
     pub(crate) status: StatusCode,
     pub(crate) headers: HeaderMap,
     pub(crate) framing: Option<Framing>,
     pub(crate) close: bool,
-    /// How long the peer says that it keeps the connection while idle.
+    /// How long the peer keeps the connection open while idle, if it announced that.
     pub(crate) keep_alive: Option<Millis>,
 }
 
-/// Takes a request head of `len` bytes from the front of `buf`, checked and without the
-/// fields that end here.
+/// Removes a request head of `len` bytes from the front of `buf` and decodes it, after
+/// validation. The result has no hop-by-hop fields and no fields that define the body length.
 pub(crate) fn request(
     buf: &mut BytesMut,
     len: usize,
@@ -72,8 +72,8 @@
     })
 }
 
-/// Takes a response head of `len` bytes from the front of `buf`, checked and without the
-/// fields that end here.
+/// Removes a response head of `len` bytes from the front of `buf` and decodes it, after
+/// validation. The result has no hop-by-hop fields.
 pub(crate) fn response(buf: &mut BytesMut, len: usize) -> Result<ParsedResponse, HeadError> {
     let framing = head::check_response(&buf[..len])?;
     let mut bytes = take_head(buf, len);
@@ -90,7 +90,7 @@
     })
 }
 
-/// Reads the `timeout` parameter of a `keep-alive` field, in whole seconds.
+/// Parses the `timeout` parameter of a `keep-alive` field, in whole seconds.
 fn idle_timeout(value: &HeaderValue) -> Option<Millis> {
     let text = value.to_str().ok()?;
     let mut parameters = text.split(',').map(str::trim);
@@ -101,8 +101,8 @@
         .map(|secs: u64| Millis(secs * 1000))
 }
 
-/// Copies a head out of the buffer. The decoded headers share the memory of their head, so
-/// that taking it out without a copy would cost the connection a new buffer each time.
+/// Copies a head out of the buffer. Decoded headers share the memory of their head, so splitting
+/// it off instead would require a new buffer for each request.
 fn take_head(buf: &mut BytesMut, len: usize) -> BytesMut {
     let head = BytesMut::from(&buf[..len]);
     buf.advance(len);
@@ -121,7 +121,7 @@
         }
         .fail(),
         Err(error) => {
-            log::debug!(error:% = error; "the library refused a head");
+            log::debug!(error:% = error; "monoio-http failed to decode a head");
             MalformedSnafu {
                 cause: "the head can't be decoded",
             }
--- a/crates/http/src/decode/tests.rs
+++ b/crates/http/src/decode/tests.rs
@@ -10,7 +10,7 @@
 
 const MAX_HEAD: usize = 16 * 1024;
 
-/// Reads one request the way a connection does; gives its head and body.
+/// Reads one request the way a connection does; returns its head and body.
 fn read(bytes: &[u8]) -> Option<(ParsedRequest, Vec<u8>)> {
     let mut buf = BytesMut::from(bytes);
     let mut scanned = 0;
--- a/crates/http/src/duplex.rs
+++ b/crates/http/src/duplex.rs
@@ -9,21 +9,21 @@
 use crate::incoming::{Framing, IncomingBody};
 use crate::writer::{WriteError, Writer};
 
-/// The sending of a request's body.
+/// The state of sending a request's body.
 pub(crate) enum Upload {
     /// The body is still being sent.
     Running(LocalBoxFuture<'static, UploadResult>),
-    /// The body was sent, as far as the peer took it.
+    /// Sending has ended: the body was sent, or the peer stopped accepting it.
     Ended(Writer),
 }
 
-/// The end of the sending of a request's body.
+/// The result of sending a request's body, with the writer.
 pub(crate) struct UploadResult {
     pub(crate) writer: Writer,
     pub(crate) result: Result<(), WriteError>,
 }
 
-/// Sends the rest of a body, `first` before the chunks that `body` still gives.
+/// Sends the rest of a body: `first`, then the remaining chunks of `body`.
 pub(crate) async fn upload(
     mut writer: Writer,
     first: Option<Bytes>,
@@ -55,8 +55,8 @@
     writer.flush().await
 }
 
-/// A response that began before its request was sent whole. Its connection serves no
-/// further request.
+/// A response that began before its request was completely sent. Its connection is not
+/// reused.
 pub(crate) struct Duplex {
     pub(crate) incoming: IncomingBody,
     pub(crate) upload: Upload,
@@ -70,8 +70,8 @@
                 Either::Left((chunk, _)) => return chunk,
                 Either::Right((uploaded, _)) => uploaded,
             };
-            // The writer is kept: dropping it would close the sending side, which some
-            // peers take for the caller's disconnection.
+            // Keep the writer: dropping it closes the write side, which some peers treat as
+            // a disconnection of the caller.
             self.upload = Upload::Ended(uploaded.writer);
             if let Err(WriteError::Body(error)) = uploaded.result {
                 return Some(Err(error));
--- a/crates/http/src/encode.rs
+++ b/crates/http/src/encode.rs
@@ -1,8 +1,8 @@
-//! Encoding of heads and of the chunked coding.
+//! Encoding of message heads and chunked transfer coding.
 //!
-//! The encoder of `monoio-http` needs a body of known length in one piece in memory, so a
-//! streamed body that keeps its `content-length` is beyond it. Heads are written here
-//! instead, from typed names and values that can hold no line break.
+//! The encoder of `monoio-http` requires a body of known length to be in memory as a whole,
+//! so it can't stream a body with a `content-length`. Heads are written here instead, from
+//! typed names and values that can't contain line breaks.
 
 use std::fmt::Write;
 use std::net::SocketAddr;
@@ -14,10 +14,10 @@
 use crate::incoming::Framing;
 use crate::message::RequestHead;
 
-/// The end of a body in the chunked coding.
+/// The end of a body in chunked transfer coding.
 pub(crate) const LAST_CHUNK: &[u8] = b"0\r\n\r\n";
 
-/// Writes a request head. `peer` becomes the host where the head names none.
+/// Writes a request head. `peer` is used as the host if the head has no `host` field.
 pub(crate) fn request_head(
     out: &mut BytesMut,
     head: &RequestHead,
@@ -42,8 +42,8 @@
     out.put_slice(b"\r\n");
 }
 
-/// Writes a response head. `framing` is nothing where the response has no body by its
-/// status or by the request's method; its headers then keep their `content-length`.
+/// Writes a response head. `framing` is `None` if the status or the request's method excludes
+/// a body; `headers` then keep their `content-length`.
 pub(crate) fn response_head(
     out: &mut BytesMut,
     status: StatusCode,
@@ -86,15 +86,15 @@
         Framing::Length(len) => {
             let _ = write!(out, "content-length: {len}\r\n");
         }
-        // A body without a known length is passed on in chunks, so that its end shows.
+        // A body of unknown length is forwarded in chunks, so that truncation is detectable.
         Framing::Chunked | Framing::UntilClose => {
             out.put_slice(b"transfer-encoding: chunked\r\n");
         }
     }
 }
 
-/// Writes the length that a response to `HEAD`, or one with status 304, states for the body
-/// that it leaves out. A response with status 204 must have none.
+/// Writes the `content-length` of a response to `HEAD` or with status 304, which describes the
+/// omitted body. A response with status 204 must not have one.
 fn put_declared_length(out: &mut BytesMut, status: StatusCode, headers: &HeaderMap) {
     if status == StatusCode::NO_CONTENT {
         return;
@@ -104,7 +104,7 @@
     }
 }
 
-/// Writes what comes before the data of a chunk.
+/// Writes the line before the data of a chunk, which states its size.
 pub(crate) fn chunk_size_line(out: &mut BytesMut, chunk: &Bytes) {
     let _ = write!(out, "{:x}\r\n", chunk.len());
 }
--- a/crates/http/src/exchange.rs
+++ b/crates/http/src/exchange.rs
@@ -1,4 +1,4 @@
-//! One request and the head of its response on one upstream connection.
+//! Sends one request on an upstream connection and receives the head of its response.
 
 use std::future::Future;
 use std::io;
@@ -31,16 +31,17 @@
 use crate::timeout::with_timeout;
 use crate::writer::{WriteError, Writer, framing_of};
 
-/// Longest body that leaves in one write with its head.
+/// Maximum size of a body chunk that is sent in one write with the head, in bytes.
 const MAX_INLINE_BODY: usize = 8 * 1024;
-/// Most interim responses before the final one.
-const MAX_SKIPPED_RESPONSES: usize = 16;
-/// How long a response is awaited after the peer stopped taking the request's body.
+/// Maximum number of responses read for a request: interim ones, those to earlier requests and the
+/// final one.
+const MAX_RESPONSES_PER_REQUEST: usize = 16;
+/// How long to wait for a response after the peer stopped accepting the request's body.
 const EARLY_RESPONSE_TIMEOUT: Duration = Duration::from_millis(500);
-/// Time for a request that has no deadline.
+/// Time limit for sending a request without a deadline.
 const DEFAULT_TIME_LIMIT: Duration = Duration::from_secs(24 * 60 * 60);
 
-/// Why no response came, before it is known to whom and how far it got.
+/// Why a request failed, without the details of its connection.
 enum Failure {
     Expired(Step),
     Silent(Step),
@@ -50,7 +51,7 @@
 }
 
 impl Failure {
-    /// Tells a connection that nobody acknowledges from one that failed at once.
+    /// Distinguishes a connection whose bytes are not acknowledged from one that failed otherwise.
     fn from_io(step: Step, error: io::Error) -> Self {
         match error.kind() {
             io::ErrorKind::TimedOut => Failure::Silent(step),
@@ -120,8 +121,8 @@
 
 /// Sends a request on a connection and waits for the head of the response.
 ///
-/// On an error, and where the future is dropped, the connection is closed: an answer that
-/// comes later must reach nobody.
+/// On an error, or if the future is dropped, the connection is closed, so that a late response
+/// can't be taken for that of another request.
 pub(crate) async fn run(
     pool: &Rc<PoolInner>,
     connection: PooledConnection,
@@ -160,14 +161,14 @@
     Err(failure)
 }
 
-/// What of a request is left to send after its first bytes.
+/// The part of a request's body that is left to send after the first write.
 struct RemainingBody {
     first: Option<Bytes>,
     body: Body,
     framing: Framing,
 }
 
-/// Sends the head, and with it a short body that is there already.
+/// Sends the head, together with the first chunk of the body if it is ready and short.
 async fn send_head(
     writer: &mut Writer,
     mut body: Body,
@@ -191,8 +192,8 @@
     }))
 }
 
-/// Sends the rest while the response is awaited: a peer may answer before it has read the
-/// whole request.
+/// Sends the rest of the body while waiting for the response: a peer may respond before it has
+/// read the whole request.
 async fn exchange(
     pool: &PoolInner,
     writer: Writer,
@@ -221,8 +222,8 @@
     }
 }
 
-/// Waits for the response of a peer that stopped taking the request, as it may have refused
-/// it and closed the connection.
+/// Waits for the response of a peer that stopped accepting the request: it may have rejected
+/// the request and closed the connection.
 async fn early_response(
     receiving: impl Future<Output = Result<ParsedResponse, Failure>>,
     error: io::Error,
@@ -238,9 +239,9 @@
 
 /// Waits for the head of a response until the deadline or the silence limit.
 ///
-/// A connection that something between the two ends has lost track of takes bytes and
-/// answers nothing. It looks like a slow peer, so the silence limit is above the time that
-/// any answer takes; until then only the system's own probes tell the two apart.
+/// If a middlebox has lost the state of a connection, the connection accepts bytes but returns
+/// none, like one to a slow peer. So the silence limit exceeds the time that any response takes;
+/// until then only the keepalive probes of the operating system can tell the two apart.
 async fn receive_with_limit(
     pool: &PoolInner,
     deadline: Option<Millis>,
@@ -254,7 +255,7 @@
     }
 }
 
-/// The header that tells the response to one request from those to others.
+/// The echoed header that matches a response to its request.
 struct EchoedHeader {
     name: HeaderName,
     value: HeaderValue,
@@ -267,18 +268,18 @@
         Some(Self { name, value })
     }
 
-    /// Says whether a response answers an earlier request.
+    /// Returns whether a response belongs to an earlier request.
     fn is_for_other_request(&self, parsed: &ParsedResponse) -> bool {
         let echoed = parsed.headers.get(&self.name);
         echoed.is_some_and(|echoed| echoed != self.value)
     }
 }
 
-/// Reads and drops the body of a response to an earlier request.
+/// Discards the body of a response to an earlier request.
 ///
-/// A faulty peer may answer a request twice, and the second answer arrives where the next
-/// one is due. Passing it on would give a caller somebody else's answer; after it the
-/// connection is in order again.
+/// A faulty peer may respond to a request twice, and the second response arrives in place of the
+/// next one. Forwarding it would give a caller the response to another request. After it the
+/// connection is in sync again.
 async fn discard_response_body(
     reader: &mut Reader,
     parsed: &ParsedResponse,
@@ -306,14 +307,14 @@
     Failure::Head(MalformedSnafu { cause }.build())
 }
 
-/// Reads the head of the final response, passing over interim ones and those to earlier
+/// Reads the head of the final response, skipping interim responses and those to earlier
 /// requests.
 async fn receive_head(
     reader: &mut Reader,
     max: usize,
     echo: Option<EchoedHeader>,
 ) -> Result<ParsedResponse, Failure> {
-    for _ in 0..MAX_SKIPPED_RESPONSES {
+    for _ in 0..MAX_RESPONSES_PER_REQUEST {
         let mut scanned = 0;
         let len = reader.fill_head(&mut scanned, max).await?;
         let parsed = decode::response(&mut reader.buf, len)?;
@@ -338,7 +339,7 @@
     Err(Failure::Head(MalformedSnafu { cause }.build()))
 }
 
-/// Makes the response, whose body gives the connection back to the pool at its end.
+/// Creates the response. Its body returns the connection to the pool at its end.
 fn response(
     pool: &Rc<PoolInner>,
     (reader, mut info): (Reader, ConnectionInfo),
@@ -398,8 +399,8 @@
         write,
         info,
     } = connection;
-    // A connection within a body, or whose body broke, is closed with what is dropped here:
-    // the rest of that body would be taken for the head of the next response.
+    // If the body was not read to its end, dropping the parts here closes the connection: the
+    // rest of the body would be taken for the head of the next response.
     let release = Box::new(move |released| {
         if let (true, Released::Complete(reader)) = (keep, released) {
             let connection = PooledConnection {
--- a/crates/http/src/flag.rs
+++ b/crates/http/src/flag.rs
@@ -1,4 +1,4 @@
-//! An event that happens at most once and that tasks of one thread wait for.
+//! A one-shot event that tasks of one thread can wait for.
 
 use std::cell::{Cell, RefCell};
 use std::fmt;
@@ -13,7 +13,7 @@
     struct WaiterKey;
 }
 
-/// A shared event that happens at most once: a stop, or a caller's disconnection.
+/// A shared one-shot event, such as a shutdown or the disconnection of a caller.
 ///
 /// Clones refer to the same event.
 #[derive(Clone, Default)]
@@ -28,12 +28,12 @@
 }
 
 impl Flag {
-    /// Makes an event that has not happened yet.
+    /// Creates an event that has not fired.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Marks the event as happened and wakes every task that waits for it.
+    /// Fires the event and wakes every task that waits for it. Further calls have no effect.
     pub fn fire(&self) {
         if self.state.fired.replace(true) {
             return;
@@ -44,12 +44,12 @@
         }
     }
 
-    /// Says whether the event has happened.
+    /// Returns whether the event has fired.
     pub fn is_fired(&self) -> bool {
         self.state.fired.get()
     }
 
-    /// Waits until the event has happened.
+    /// Waits until the event has fired.
     pub fn wait(&self) -> Wait {
         Wait {
             state: Rc::clone(&self.state),
--- a/crates/http/src/head.rs
+++ b/crates/http/src/head.rs
@@ -1,10 +1,9 @@
-//! Strict checks of message heads at the byte level, before the library decodes them.
+//! Strict validation of message heads at the byte level, before `monoio-http` decodes them.
 //!
-//! The decoder of `monoio-http` takes the first of several lengths, lets a length stand
-//! beside a transfer coding and accepts a bare LF. Two readers of such a head may disagree
-//! on where the message ends, so that one caller's bytes are taken for another's request
-//! (request smuggling). Each head must first pass the check here, which accepts only heads
-//! with one reading.
+//! The decoder of `monoio-http` uses the first of several lengths, allows a length together
+//! with a transfer coding and accepts a bare LF. Two recipients of such a head may disagree on
+//! where the message ends, so that bytes of one caller are taken for a request of another
+//! (request smuggling). So each head is validated here first, and ambiguous ones are refused.
 
 use heatherknot_types::outcome::IDEMPOTENCY_HEADER;
 use http::StatusCode;
@@ -14,31 +13,31 @@
 use crate::incoming::Framing;
 use crate::target;
 
-/// Most header fields in one head. The library's decoder holds 96.
+/// Maximum number of header fields in one head. The decoder of `monoio-http` supports 96.
 pub const MAX_FIELDS: usize = 90;
-/// Most digits of a `content-length`, so that any accepted value fits 64 bits.
+/// Maximum number of digits of a `content-length`, so that every accepted value fits into 64 bits.
 const MAX_LENGTH_DIGITS: usize = 18;
 
 /// Why a message head was refused.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum HeadError {
-    /// The head breaks the syntax of HTTP/1.1, or can be read in two ways.
+    /// The head violates the syntax of HTTP/1.1 or is ambiguous.
     #[snafu(display("malformed head: {cause}"))]
     Malformed {
         /// What was wrong.
         cause: &'static str,
     },
-    /// The path is not in origin form, or climbs with `..`.
+    /// The target is not in origin form, or its path is not allowed, for example with `..`.
     #[snafu(display("refused path: {cause}"))]
     Target {
         /// What was wrong.
         cause: &'static str,
     },
-    /// The head is longer than its limit or has too many fields.
+    /// The head exceeds its size limit or has too many fields.
     #[snafu(display("the head is too large"))]
     TooLarge,
-    /// The body would be longer than its limit.
+    /// The declared length of the body exceeds its limit.
     #[snafu(display("the body is longer than {limit} bytes"))]
     BodyTooLarge {
         /// The limit, in bytes.
@@ -50,19 +49,19 @@
     /// The body is in a transfer coding other than `chunked`.
     #[snafu(display("only the transfer coding `chunked` is served"))]
     Coding,
-    /// The method makes a tunnel or reflects the request.
+    /// The method is `CONNECT` or `TRACE`.
     #[snafu(display("CONNECT and TRACE are not served"))]
     Method,
     /// The request expects something other than `100-continue`.
     #[snafu(display("only the expectation `100-continue` is served"))]
     Expectation,
-    /// The head did not arrive in time.
+    /// The head did not arrive within the head timeout.
     #[snafu(display("the head came too slowly"))]
     TooSlow,
 }
 
 impl HeadError {
-    /// Gives the status to answer a request with such a head.
+    /// Returns the status of the response to a request with such a head.
     pub fn status(&self) -> StatusCode {
         match self {
             HeadError::Malformed { .. } | HeadError::Target { .. } => StatusCode::BAD_REQUEST,
@@ -76,9 +75,9 @@
     }
 }
 
-/// Finds the end of a head in `buf`, from where the search stopped before.
+/// Finds the end of a head in `buf`, continuing at `scanned`, where the last search stopped.
 ///
-/// Gives the length of the head with its empty line, or nothing while it is incomplete.
+/// Returns the length of the head including the empty line, or `None` while it is incomplete.
 pub(crate) fn find_end(
     buf: &[u8],
     scanned: &mut usize,
@@ -109,7 +108,7 @@
     Ok(None)
 }
 
-/// Checks a whole request head and says how its body ends.
+/// Validates a complete request head and returns the framing of its body.
 pub(crate) fn check_request(head: &[u8]) -> Result<Framing, HeadError> {
     let mut lines = lines(head);
     let first = lines.next().unwrap_or_default();
@@ -124,7 +123,7 @@
     Ok(fields.framing()?.unwrap_or(Framing::Length(0)))
 }
 
-/// Checks a whole response head and says how its body ends, where the head says so.
+/// Validates a complete response head and returns the framing of its body, if the head states it.
 pub(crate) fn check_response(head: &[u8]) -> Result<Option<Framing>, HeadError> {
     let mut lines = lines(head);
     let first = lines.next().unwrap_or_default();
@@ -189,7 +188,7 @@
     Ok(())
 }
 
-/// What the fields of one head say about the length of its body.
+/// The fields of a head that must be unique: `host` and those that define the body length.
 #[derive(Default)]
 struct BodyFields {
     hosts: usize,
@@ -275,11 +274,12 @@
     Ok(())
 }
 
-/// Says whether a name becomes that of a field with a special meaning once its underscores
-/// are read as hyphens.
+/// Returns whether a name equals that of a field with special meaning once underscores are
+/// replaced by hyphens.
 ///
-/// Backend servers that hand fields on as environment variables do so. They would take
-/// `transfer_encoding` for the coding, and a caller's own `heatherknot_...` for the system's.
+/// Backend servers that pass fields as environment variables can't tell the two apart. They
+/// would take `transfer_encoding` for the transfer coding, and a caller's `heatherknot_...` for
+/// a header of Heatherknot.
 fn is_ambiguous_name(name: &[u8]) -> bool {
     if !name.contains(&b'_') {
         return false;
@@ -323,8 +323,8 @@
     !bytes.is_empty() && bytes.iter().all(is_token_byte)
 }
 
-/// Says whether a byte may stand in the value of a field: anything but control characters,
-/// a bare CR among them.
+/// Returns whether a byte is allowed in a field value: anything but control characters, which
+/// include a bare CR.
 fn is_field_byte(b: u8) -> bool {
     b == b'\t' || (b >= b' ' && b != 0x7f)
 }
--- a/crates/http/src/headers.rs
+++ b/crates/http/src/headers.rs
@@ -1,4 +1,4 @@
-//! Header fields that belong to one connection or to the system itself.
+//! Hop-by-hop header fields and the header fields of Heatherknot itself.
 
 use http::header::{
     CONNECTION, CONTENT_LENGTH, EXPECT, HeaderName, PROXY_AUTHENTICATE, PROXY_AUTHORIZATION, TE,
@@ -13,13 +13,13 @@
 
 use crate::head::{HeadError, MalformedSnafu};
 
-/// The beginning of the names of the system's own headers.
+/// The prefix of the names of Heatherknot's own headers.
 pub const SYSTEM_PREFIX: &str = "heatherknot-";
 
-/// The system's headers that a caller may set.
+/// The Heatherknot headers that a caller may set.
 pub const CALLER_HEADERS: &[&str] = &[SERVICE_HEADER, CLASS_HEADER, DEADLINE_HEADER];
 
-/// Fields about one connection, besides those that `connection` names.
+/// Returns whether a field is hop-by-hop, apart from those that `connection` lists.
 fn is_hop_by_hop(name: &HeaderName) -> bool {
     matches!(
         *name,
@@ -34,19 +34,19 @@
     ) || ["keep-alive", "proxy-connection"].contains(&name.as_str())
 }
 
-/// What the `connection` field asks for.
+/// The options of the `connection` field.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct ConnectionOptions {
-    /// Whether the connection is to close after the message.
+    /// Whether the connection closes after the message.
     pub(crate) close: bool,
 }
 
-/// Removes the fields about one connection, those that `connection` names among them.
+/// Removes the hop-by-hop fields, including those that `connection` lists.
 ///
 /// # Errors
 ///
-/// Returns an error where `connection` names a field that the next reader needs: taking it
-/// away would change whose request it is, or where it ends.
+/// Returns an error if `connection` lists a field that the next recipient needs. Removing it
+/// would change the sender's identity or the framing of the message.
 pub(crate) fn strip_hop_by_hop(headers: &mut HeaderMap) -> Result<ConnectionOptions, HeadError> {
     let mut options = ConnectionOptions::default();
     if headers.contains_key(CONNECTION) {
@@ -86,15 +86,15 @@
         || ["host", "content-length", "content-type", "authorization"].contains(&name)
 }
 
-/// Removes the system's own headers, except those named in `kept`.
+/// Removes Heatherknot's own headers, except those listed in `kept`.
 pub fn strip_system_headers(headers: &mut HeaderMap, kept: &[&str]) {
     remove_all(headers, |name| {
         name.as_str().starts_with(SYSTEM_PREFIX) && !kept.contains(&name.as_str())
     });
 }
 
-/// Removes the fields whose names `is_removed` picks. Most heads have none, so they are
-/// looked for before anything is copied.
+/// Removes the fields whose names match `is_removed`. Most heads have none, so nothing is
+/// copied unless one matches.
 fn remove_all(headers: &mut HeaderMap, is_removed: impl Fn(&HeaderName) -> bool) {
     if !headers.keys().any(&is_removed) {
         return;
@@ -109,7 +109,7 @@
     }
 }
 
-/// Removes the fields that tell the length of a body; the encoder writes its own.
+/// Removes the fields that define the body length; the encoder writes its own.
 pub(crate) fn strip_length(headers: &mut HeaderMap) {
     headers.remove(CONTENT_LENGTH);
     headers.remove(TRANSFER_ENCODING);
--- a/crates/http/src/idle.rs
+++ b/crates/http/src/idle.rs
@@ -1,4 +1,4 @@
-//! The idle connections of a server, of which the oldest gives way when the server is full.
+//! The idle connections of a server, of which the oldest is closed when the server is full.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -14,7 +14,7 @@
 }
 
 impl IdleConnections {
-    /// Adds a connection, for as long as the returned entry lives.
+    /// Registers a connection as idle until the returned entry is dropped.
     pub(crate) fn register(self: &Rc<Self>) -> IdleEntry {
         let number = self.next_number.get();
         self.next_number.set(number + 1);
@@ -27,10 +27,10 @@
         }
     }
 
-    /// Closes the connection that has been idle longest; says whether there was one.
+    /// Closes the connection that has been idle longest; returns whether there was one.
     ///
-    /// Callers that open connections and send nothing could otherwise hold every place of
-    /// the server, and all others would be refused for as long as they like.
+    /// Otherwise callers that open connections and send nothing could use up the connection
+    /// limit of the server, and all others would be rejected.
     pub(crate) fn close_oldest(&self) -> bool {
         let oldest = self.entries.borrow_mut().pop_first();
         match oldest {
@@ -43,11 +43,11 @@
     }
 }
 
-/// One idle connection.
+/// The registration of one idle connection.
 pub(crate) struct IdleEntry {
     connections: Rc<IdleConnections>,
     number: u64,
-    /// Fires when the connection has to make room.
+    /// Fires when the connection has to close to admit a new one.
     pub(crate) evicted: Flag,
 }
 
--- a/crates/http/src/incoming.rs
+++ b/crates/http/src/incoming.rs
@@ -1,4 +1,4 @@
-//! Bodies read from a connection: lengths, the chunked coding and their limits.
+//! Bodies read from a connection: framing, chunked transfer coding and limits.
 
 use std::time::{Duration, Instant};
 
@@ -8,28 +8,28 @@
 use crate::reader::{HEAD_READ, MAX_BODY_READ, Reader};
 use crate::timeout::with_timeout;
 
-/// Longest line that gives the size of a chunk, with its extensions, in bytes.
+/// Maximum length of a chunk-size line, including chunk extensions, in bytes.
 const MAX_CHUNK_SIZE_LINE: usize = 256;
-/// Most bytes of trailers after the last chunk.
+/// Maximum size of the trailers after the last chunk, in bytes.
 const MAX_TRAILERS: usize = 4 * 1024;
 
-/// Longest chunk that is copied out of the buffer, so that the buffer can be used again.
+/// Chunks up to this size, in bytes, are copied out of the read buffer, so that it can be reused.
 const MAX_COPIED_CHUNK: usize = 4 * 1024;
-/// Bytes asked for in the first read of a body.
+/// Size of the first read of a body, in bytes.
 const FIRST_BODY_READ: usize = 16 * 1024;
 
-/// How the end of a body is found.
+/// How the end of a body is determined.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Framing {
     /// The body has this many bytes.
     Length(u64),
-    /// The body is in the chunked coding.
+    /// The body uses chunked transfer coding.
     Chunked,
-    /// The body ends where its connection is closed in order; a reset leaves it broken.
+    /// The body ends when its connection is closed in an orderly way; a reset truncates it.
     UntilClose,
 }
 
-/// Takes a body apart as its bytes arrive, without holding more than was read.
+/// Decodes a body incrementally, without buffering more than was read.
 #[derive(Debug)]
 pub(crate) enum BodyDecoder {
     Length(u64),
@@ -37,7 +37,7 @@
     UntilClose { closed: bool },
 }
 
-/// What comes next in the chunked coding.
+/// What a chunked body is expected to contain next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ChunkState {
     Size,
@@ -47,7 +47,7 @@
     End,
 }
 
-/// What [`BodyDecoder::decode`] found.
+/// The result of [`BodyDecoder::decode`].
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) enum Decoded {
     Chunk(Bytes),
@@ -73,7 +73,7 @@
         )
     }
 
-    /// Notes that the connection was closed in order; says whether that ends the body.
+    /// Records an orderly close of the connection; returns whether that ends the body.
     fn end_on_close(&mut self) -> bool {
         match self {
             BodyDecoder::UntilClose { closed } => {
@@ -84,7 +84,7 @@
         }
     }
 
-    /// Takes the next piece of the body from the front of `buf`.
+    /// Decodes the next chunk of the body from the front of `buf`.
     pub(crate) fn decode(&mut self, buf: &mut BytesMut) -> Result<Decoded, BodyError> {
         match self {
             BodyDecoder::Length(0) => Ok(Decoded::End),
@@ -161,7 +161,7 @@
     MalformedSnafu { cause }.fail()
 }
 
-/// Takes one line that ends in CR LF from the front of `buf`, without its end.
+/// Removes one line that ends in CR LF from the front of `buf`; returns it without the CR LF.
 fn take_line(buf: &mut BytesMut, max: usize) -> Result<Option<BytesMut>, BodyError> {
     let Some(at) = buf.iter().take(max + 2).position(|&b| b == b'\n') else {
         if buf.len() > max {
@@ -180,7 +180,7 @@
     Ok(Some(line))
 }
 
-/// Reads the line that gives the size of a chunk. Extensions are passed over.
+/// Parses a chunk-size line. Chunk extensions are ignored.
 fn parse_chunk_size(line: &[u8]) -> Result<ChunkState, BodyError> {
     let digits = match line.iter().position(|&b| b == b';') {
         Some(at) => &line[..at],
@@ -199,31 +199,31 @@
     }
 }
 
-/// What becomes of the connection when a body has been read or dropped.
+/// The state of the connection after a body was read or dropped.
 pub(crate) enum Released {
-    /// The body was read to its end; the reader is at the next message.
+    /// The body was read to its end; the reader is at the start of the next message.
     Complete(Reader),
     /// The body was dropped before its end.
     Unread(Reader, BodyDecoder),
-    /// The body broke and the connection is of no more use.
+    /// Reading the body failed and the connection is not usable.
     Broken,
 }
 
 type Release = Box<dyn FnOnce(Released)>;
 
-/// Limits on the reading of one body.
+/// Limits for reading one body.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct BodyLimits {
-    /// Most bytes, after the coding is taken off.
+    /// Maximum number of bytes, after transfer decoding.
     pub(crate) max_bytes: u64,
-    /// Longest wait for some bytes.
+    /// Maximum wait for the next bytes.
     pub(crate) read_timeout: Duration,
-    /// Least bytes a second, on average over the time spent waiting, once that time is
-    /// longer than `read_timeout`; zero where the sender may be as slow as it likes.
+    /// Minimum bytes per second, averaged over the time spent waiting, once that time is
+    /// longer than `read_timeout`. Zero means no minimum.
     pub(crate) min_rate: u64,
 }
 
-/// A body that is read from a connection as it is asked for.
+/// A body that is read from a connection on demand.
 pub(crate) struct IncomingBody {
     reader: Option<Reader>,
     decoder: BodyDecoder,
@@ -236,8 +236,8 @@
 }
 
 impl IncomingBody {
-    /// Makes a body that `reader` is at the start of; `release` is called once, when the
-    /// body has been read or dropped.
+    /// Creates a body; `reader` is at its start. `release` is called once, when the body has
+    /// been read or dropped.
     pub(crate) fn new(
         reader: Reader,
         framing: Framing,
@@ -330,16 +330,17 @@
         TruncatedSnafu { cause }.fail()
     }
 
-    /// Reads more at once from a sender that fills what it is given: few calls for a fast
-    /// stream, little memory for a slow one.
+    /// Doubles the read size when a read filled the buffer: a fast stream takes few calls, a
+    /// slow one little memory.
     fn adapt_read_size(&mut self, n: usize) {
         if n >= self.read_size {
             self.read_size = (self.read_size * 2).min(MAX_BODY_READ);
         }
     }
 
-    /// Fails where the sender holds the connection open with a trickle of bytes, each of
-    /// which comes in time. Time in which nobody asked for bytes doesn't count.
+    /// Returns an error if the sender is below the minimum rate. A sender could otherwise hold
+    /// the connection open with single bytes, each within the read timeout. Only time spent
+    /// waiting for bytes counts.
     fn check_rate(&mut self, n: usize, waited: Duration) -> Result<(), BodyError> {
         self.received += n as u64;
         self.waited += waited;
@@ -376,7 +377,7 @@
     }
 }
 
-/// Gives the bytes that are known to come, as a bound on the size of a read.
+/// Returns the number of bytes still expected, as an upper bound for the size of a read.
 fn expected_bytes(decoder: &BodyDecoder) -> usize {
     let left = match decoder {
         BodyDecoder::Length(left) => usize::try_from(*left).unwrap_or(usize::MAX),
--- a/crates/http/src/kept.rs
+++ b/crates/http/src/kept.rs
@@ -1,8 +1,8 @@
 //! Long request bodies that can be sent more than once.
 //!
-//! A peer may refuse a request that it has not run, or not be there, after a part of the body
-//! has gone out. Read while it is sent, the body is gone then, and so is the request. Here what
-//! was read is kept until the request is answered, as far as there is memory for it.
+//! A peer may refuse a request without running it, or fail, after a part of the body was sent.
+//! A body that is only streamed could not be sent again then, and the request would fail. So the
+//! chunks that were read are retained until the request is answered, within a memory budget.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -11,7 +11,7 @@
 
 use crate::body::{Body, BodyError};
 
-/// The memory that all kept bodies of a process share.
+/// The memory budget for retained request bodies, shared by all bodies of a process.
 #[derive(Debug)]
 pub struct ReplayBudget {
     limit: u64,
@@ -19,7 +19,7 @@
 }
 
 impl ReplayBudget {
-    /// Makes room for `limit` bytes.
+    /// Creates a budget of `limit` bytes.
     pub fn new(limit: u64) -> Rc<Self> {
         Rc::new(Self {
             limit,
@@ -27,7 +27,7 @@
         })
     }
 
-    /// Gives the bytes that are kept.
+    /// Returns the number of bytes retained.
     pub fn used(&self) -> u64 {
         self.used.get()
     }
@@ -46,7 +46,7 @@
     }
 }
 
-/// A body that is read as it is sent, and kept to be sent again.
+/// A body that is streamed and retained, so that it can be sent again.
 pub struct ReplayableBody {
     state: Rc<State>,
     len: Option<u64>,
@@ -54,18 +54,18 @@
 
 struct State {
     budget: Rc<ReplayBudget>,
-    /// What was read, as long as all of it is kept.
+    /// The chunks read so far; empty once they are discarded.
     chunks: RefCell<Vec<Bytes>>,
-    /// What was not read yet, while nobody reads it.
+    /// The unread rest of the body; `None` while a [`ReplayReader`] holds it.
     rest: RefCell<Option<Body>>,
-    /// Whether it was read to its end.
+    /// Whether the body was read to its end.
     has_ended: Cell<bool>,
-    /// Whether something that was read is not kept, or the body broke.
+    /// Whether the chunks were discarded, because the budget was exhausted or reading failed.
     is_discarded: Cell<bool>,
 }
 
 impl ReplayableBody {
-    /// Makes a body that keeps what is read of it in `room`.
+    /// Creates a body that retains its chunks within `budget`.
     pub fn new(body: Body, budget: &Rc<ReplayBudget>) -> Self {
         let len = body.known_len();
         let state = State {
@@ -81,17 +81,17 @@
         }
     }
 
-    /// Gives the bytes of the whole body, where that was told.
+    /// Returns the length of the whole body in bytes, if known.
     pub fn known_len(&self) -> Option<u64> {
         self.len
     }
 
-    /// Says whether the body can be sent from its first byte on.
+    /// Returns whether the body can be sent from its first byte.
     pub fn is_replayable(&self) -> bool {
         !self.state.is_discarded.get() && self.state.rest.borrow().is_some()
     }
 
-    /// Gives all of the body, where it was read to its end and all of it is kept.
+    /// Returns the chunks of the whole body, if it was read to its end and is retained.
     pub fn complete_chunks(&self) -> Option<Vec<Bytes>> {
         let chunks = self.state.chunks.borrow();
         let retained: u64 = chunks.iter().map(len).sum();
@@ -99,7 +99,7 @@
         (is_complete && !self.state.is_discarded.get()).then(|| chunks.clone())
     }
 
-    /// Reads what was not read yet, where its length is told and all of it can be kept.
+    /// Reads the rest of the body, if its length is known and fits the budget.
     pub async fn read_rest(&self) {
         if !self.len.is_some_and(|len| self.state.fits_budget(len)) {
             return;
@@ -110,8 +110,8 @@
         while let Some(Ok(_)) = body.next_chunk().await {}
     }
 
-    /// Gives the body from its first byte on, or nothing where a part that was sent before is not
-    /// kept any more, or an earlier send still reads it.
+    /// Returns the body from its first byte, or `None` if chunks were discarded or an earlier send
+    /// still reads the body.
     pub fn replay(&self) -> Option<Body> {
         if !self.is_replayable() {
             return None;
@@ -126,7 +126,7 @@
 }
 
 impl State {
-    /// Says whether a body of `len` bytes can be kept, of which some may be already.
+    /// Returns whether a body of `len` bytes fits the budget, not counting chunks already retained.
     fn fits_budget(&self, len: u64) -> bool {
         let retained: u64 = self.chunks.borrow().iter().map(self::len).sum();
         self.budget.used.get() + len.saturating_sub(retained) <= self.budget.limit
@@ -143,7 +143,7 @@
         }
     }
 
-    /// Frees what is kept: without all of it, it is of no use.
+    /// Frees the retained chunks: an incomplete body can't be sent again.
     fn discard(&self) {
         self.is_discarded.set(true);
         let chunks = self.chunks.take();
@@ -161,7 +161,7 @@
     chunk.len() as u64
 }
 
-/// One reading of a kept body: first what was read before, then the rest.
+/// Reads a replayable body: first the retained chunks, then the rest.
 pub(crate) struct ReplayReader {
     state: Rc<State>,
     rest: Option<Body>,
--- a/crates/http/src/lib.rs
+++ b/crates/http/src/lib.rs
@@ -1,8 +1,8 @@
 //! HTTP/1.1 servers and client pools over monoio-http, with bounded buffers and strict input checks.
 //!
 //! [`serve`] answers callers with a [`Handler`], one task for each connection. A [`Pool`]
-//! sends requests to one backend server or peer. Bodies stream both ways in chunks, and a
-//! body is read from its connection only as fast as it is asked for.
+//! sends requests to one backend server or peer. Bodies are streamed in both directions, with
+//! backpressure: a body is read from its connection only as fast as it is consumed.
 
 mod ahead;
 mod body;
--- a/crates/http/src/loan.rs
+++ b/crates/http/src/loan.rs
@@ -1,4 +1,4 @@
-//! The reader of a connection while the body of a request has it on loan.
+//! Ownership of a connection's reader, which the body of the current request borrows.
 
 use std::cell::RefCell;
 use std::future::pending;
@@ -13,28 +13,28 @@
 use crate::reader::{CALLER_READ, CloseProbe, HEAD_READ, Reader};
 use crate::timeout::with_timeout;
 
-/// Bytes of further requests that are read ahead while one is handled.
+/// Maximum bytes of further requests that are read while one is handled.
 const MAX_READ_AHEAD: usize = 16 * 1024;
-/// Bytes of an unread body that are read and dropped to keep a connection.
+/// Maximum bytes of an unread body that are discarded to keep its connection.
 const MAX_DRAINED_BYTES: usize = 64 * 1024;
-/// Longest wait for the rest of an unread body.
+/// Maximum wait for the rest of an unread body.
 const DRAIN_TIMEOUT: Duration = Duration::from_secs(1);
-/// How often a caller with unread bytes is checked for disconnection.
+/// Interval of the disconnection check for a caller with unread bytes.
 const DISCONNECT_CHECK_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Where the reader of a connection is.
 pub(crate) enum ReaderSlot {
     /// At the start of the next message.
     Available(Reader),
-    /// With the body of the current request.
+    /// Borrowed by the body of the current request.
     Lent(Rc<ReaderLoan>),
     /// Within a body that was dropped before its end.
     MidBody(Reader, BodyDecoder),
-    /// Of no more use.
+    /// Not usable any more.
     Lost,
 }
 
-/// A reader on loan to a body.
+/// The shared state of a reader that a body has borrowed.
 pub(crate) struct ReaderLoan {
     released: RefCell<Option<Released>>,
     returned: Flag,
@@ -42,13 +42,13 @@
 }
 
 impl ReaderLoan {
-    /// Gives the reader back to the connection.
+    /// Returns the reader to the connection.
     pub(crate) fn return_reader(loan: &Rc<ReaderLoan>, released: Released) {
         *loan.released.borrow_mut() = Some(released);
         loan.returned.fire();
     }
 
-    /// Waits until the reader is back; says false where the caller hung up before.
+    /// Waits until the reader is returned; returns `false` if the caller disconnected first.
     async fn wait(&self) -> bool {
         let disconnected = pin!(disconnected(&self.probe));
         matches!(
@@ -59,7 +59,7 @@
 }
 
 impl ReaderSlot {
-    /// Takes the reader out, to be lent to a body.
+    /// Lends the reader to a body.
     pub(crate) fn lend(&mut self) -> Option<(Reader, Rc<ReaderLoan>)> {
         let ReaderSlot::Available(reader) = std::mem::replace(self, ReaderSlot::Lost) else {
             return None;
@@ -73,7 +73,7 @@
         Some((reader, loan))
     }
 
-    /// Takes a reader back that the body has released.
+    /// Takes back the reader that the body released.
     fn reclaim(&mut self) {
         let ReaderSlot::Lent(loan) = self else { return };
         let released = loan.released.take();
@@ -86,11 +86,11 @@
 
     /// Waits until the caller has disconnected.
     ///
-    /// Nothing tells of a disconnection but the connection itself: its end can be read, or
-    /// the system knows of it while bytes before it are unread. Reading ahead finds the
-    /// first; where no further byte may be read, the second is looked for now and then.
+    /// A disconnection shows as the end of the stream, which reading ahead finds. While no
+    /// further byte may be read, the operating system is polled for a close that lies behind
+    /// unread bytes.
     ///
-    /// `take` gets the reader after each read ahead, to take whole requests out of it.
+    /// `take` is called with the reader after each read, to remove complete requests from it.
     pub(crate) async fn caller_disconnected(&mut self, take: impl Fn(&mut Reader)) {
         if let ReaderSlot::Lent(loan) = self {
             let loan = Rc::clone(loan);
@@ -106,7 +106,7 @@
         }
     }
 
-    /// Brings the reader to the start of the next message; says whether that was possible.
+    /// Moves the reader to the start of the next message; returns whether that succeeded.
     pub(crate) async fn recover(&mut self) -> bool {
         self.reclaim();
         if let ReaderSlot::MidBody(reader, decoder) = self {
@@ -139,7 +139,7 @@
     }
 }
 
-/// Reads and drops the rest of a body; says whether its end was reached.
+/// Discards the rest of a body; returns whether its end was reached.
 async fn drain(reader: &mut Reader, decoder: &mut BodyDecoder) -> bool {
     let mut seen = 0;
     while seen <= MAX_DRAINED_BYTES {
--- a/crates/http/src/message.rs
+++ b/crates/http/src/message.rs
@@ -1,4 +1,4 @@
-//! Requests, responses and the function that turns one into the other.
+//! Requests, responses and request handlers.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -11,23 +11,22 @@
 use crate::body::Body;
 use crate::flag::Flag;
 
-/// What a server calls for each request.
+/// The function that a server calls for each request.
 pub type Handler = Rc<dyn Fn(Request) -> LocalBoxFuture<'static, Response>>;
 
-/// The first part of a request: all but its body.
+/// A request without its body.
 #[derive(Clone, Debug)]
 pub struct RequestHead {
     /// The method.
     pub method: Method,
     /// The path and query, always in origin form.
     pub uri: Uri,
-    /// The end-to-end headers. Fields about one connection and about the length of the body
-    /// are not among them.
+    /// The end-to-end headers, without hop-by-hop fields and fields that define the body length.
     pub headers: HeaderMap,
 }
 
 impl RequestHead {
-    /// Makes a head with no headers.
+    /// Creates a head with no headers.
     pub fn new(method: Method, uri: Uri) -> Self {
         Self {
             method,
@@ -36,7 +35,7 @@
         }
     }
 
-    /// Gives the path without the query.
+    /// Returns the path without the query.
     pub fn path(&self) -> &str {
         self.uri.path()
     }
@@ -47,29 +46,28 @@
 pub struct Request {
     /// The method, path and headers.
     pub head: RequestHead,
-    /// The body, read from the connection as it is asked for.
+    /// The body, read from the connection on demand.
     pub body: Body,
     /// The address that the request came from.
     pub peer: SocketAddr,
-    /// Fires when the caller disconnects. The handler goes on running until it returns, so
-    /// it is for the handler to give up.
+    /// Fires when the caller disconnects. The handler is not aborted; it has to stop by itself.
     pub cancelled: Flag,
 }
 
-/// A response to send or as it was received.
+/// A response to send, or as received.
 #[derive(Debug)]
 pub struct Response {
     /// The status.
     pub status: StatusCode,
-    /// The end-to-end headers. The length of the body is taken from `body`; a
-    /// `content-length` here counts only where the response has no body, as for `HEAD`.
+    /// The end-to-end headers. The length of the body is taken from `body`; a `content-length`
+    /// here is used only if the response has no body, as for `HEAD`.
     pub headers: HeaderMap,
     /// The body.
     pub body: Body,
 }
 
 impl Response {
-    /// Makes a response with no headers.
+    /// Creates a response with no headers.
     pub fn new(status: StatusCode, body: Body) -> Self {
         Self {
             status,
@@ -78,19 +76,19 @@
         }
     }
 
-    /// Makes a response of plain text.
+    /// Creates a response of plain text.
     pub fn text(status: StatusCode, text: impl Into<Bytes>) -> Self {
         Self::new(status, Body::full(text))
             .with_header(CONTENT_TYPE, HeaderValue::from_static("text/plain"))
     }
 
-    /// Makes a response of JSON text.
+    /// Creates a response of JSON text.
     pub fn json(status: StatusCode, text: impl Into<Bytes>) -> Self {
         Self::new(status, Body::full(text))
             .with_header(CONTENT_TYPE, HeaderValue::from_static("application/json"))
     }
 
-    /// Adds a header, in place of one of the same name.
+    /// Sets a header, replacing one of the same name.
     pub fn with_header(mut self, name: http::HeaderName, value: HeaderValue) -> Self {
         self.headers.insert(name, value);
         self
--- a/crates/http/src/pool.rs
+++ b/crates/http/src/pool.rs
@@ -1,4 +1,4 @@
-//! Connections to one backend server or peer, kept for further requests.
+//! Connection pool for one backend server or peer.
 
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
@@ -25,33 +25,34 @@
 /// Settings of one pool.
 #[derive(Clone, Debug)]
 pub struct PoolConfig {
-    /// Connections open at once, idle ones among them.
+    /// Maximum number of open connections, including idle ones.
     pub max_connections: usize,
     /// Idle time after which a connection is closed.
     pub max_idle: Millis,
     /// Idle time after which a connection is not used for a request that must run at most
-    /// once. If such a connection turns out dead, nobody knows whether the request ran.
+    /// once. If the connection turned out dead, it would be unknown whether the request ran.
     pub max_idle_non_idempotent: Millis,
-    /// Age after which a connection is closed rather than used again.
+    /// Age after which a connection is closed instead of reused.
     pub max_age: Millis,
-    /// Longest time to open a connection.
+    /// Maximum time to open a connection.
     pub connect_timeout: Duration,
-    /// Longest wait for the peer to take some bytes of a request.
+    /// Maximum wait for the peer to accept more bytes of a request.
     pub write_timeout: Duration,
-    /// Longest wait for the first byte of a response after the request was sent. A
-    /// connection that gives none is taken for silent.
+    /// Maximum wait for the head of a response after the request was sent. After it the
+    /// connection counts as silent.
     pub silence_limit: Duration,
-    /// Longest wait for some bytes of a response body.
+    /// Maximum wait for the next bytes of a response body.
     pub body_timeout: Duration,
-    /// Longest response head, in bytes.
+    /// Maximum size of a response head, in bytes.
     pub max_head_bytes: usize,
-    /// How the operating system looks for peers that are gone without a word.
+    /// How the operating system detects dead peers.
     pub liveness: LivenessOptions,
-    /// Whether a response without a length may end with its connection. Where the peer never
-    /// sends such responses, one is refused: it looks whole wherever it breaks off.
+    /// Whether a response without a length may be delimited by the close of its connection.
+    /// Truncation of such a response can't be detected, so it is refused from peers that never
+    /// send one.
     pub allow_close_delimited: bool,
-    /// The request header that the peer repeats in its response, where it does. A response
-    /// that repeats another value belongs to an earlier request and is passed over.
+    /// The request header that the peer echoes in its response, if any. A response that echoes
+    /// another value belongs to an earlier request and is skipped.
     pub echoed_header: Option<HeaderName>,
 }
 
@@ -74,18 +75,18 @@
     }
 }
 
-/// How one request is sent.
+/// Options for sending one request.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct SendOptions {
-    /// When the caller gives up, on the pool's clock.
+    /// The deadline of the request, on the pool's clock.
     pub deadline: Option<Millis>,
-    /// Whether the request may run twice without harm.
+    /// Whether the request is idempotent.
     pub idempotent: bool,
-    /// Whether to open a new connection, as for a retry after a silent one.
+    /// Whether to open a new connection, for example for a retry after a silent one.
     pub new_connection: bool,
 }
 
-/// Connections to one backend server or peer.
+/// A pool of connections to one backend server or peer.
 ///
 /// Clones share the connections. Dropping the future of [`Pool::send`], or a response body
 /// before its end, closes the connection that it used.
@@ -109,15 +110,15 @@
     pub(crate) info: ConnectionInfo,
 }
 
-/// What a pool knows of one connection. Counts the connection for as long as it lives.
+/// Bookkeeping of one connection, which counts as open until this is dropped.
 ///
-/// An idle connection lies in its pool. Were its seat to keep the pool alive, a pool that nobody
-/// uses any more would keep itself and its connections open for good.
+/// The reference to the pool is weak because the pool owns its idle connections: a strong one
+/// would form a cycle and leak the pool and its connections.
 pub(crate) struct ConnectionInfo {
     pool: Weak<PoolInner>,
     opened: Millis,
     last_used: Millis,
-    /// The idle time after which the peer may close the connection, where it said so.
+    /// The idle time after which the peer may close the connection, if it announced one.
     pub(crate) peer_idle_timeout: Option<Millis>,
     pub(crate) reused: bool,
 }
@@ -131,7 +132,7 @@
 }
 
 impl Pool {
-    /// Makes a pool without connections.
+    /// Creates a pool without connections.
     pub fn new(address: SocketAddr, config: PoolConfig, clock: Clock) -> Self {
         Self {
             inner: Rc::new(PoolInner {
@@ -144,17 +145,17 @@
         }
     }
 
-    /// Gives the address of the backend server or peer.
+    /// Returns the address of the backend server or peer.
     pub fn address(&self) -> SocketAddr {
         self.inner.address
     }
 
-    /// Gives the number of open connections, idle ones among them.
+    /// Returns the number of open connections, including idle ones.
     pub fn open(&self) -> usize {
         self.inner.open.get()
     }
 
-    /// Gives the number of idle connections.
+    /// Returns the number of idle connections.
     pub fn idle(&self) -> usize {
         self.inner.idle.borrow().len()
     }
@@ -164,8 +165,8 @@
         self.inner.idle.borrow_mut().clear();
     }
 
-    /// Closes idle connections that are past their limits, and frees the buffers of others.
-    /// It is to be called every few seconds.
+    /// Closes idle connections that exceed their limits, and frees the buffers of the others.
+    /// Call it every few seconds.
     pub fn sweep(&self) {
         let now = self.inner.clock.now();
         let config = &self.inner.config;
@@ -179,8 +180,8 @@
     ///
     /// # Errors
     ///
-    /// Returns an error where no response came; [`SendError::send_progress`] says whether the
-    /// request may have run.
+    /// Returns an error if no response was received; [`SendError::send_progress`] tells whether
+    /// the request may have run.
     pub async fn send(
         &self,
         head: RequestHead,
@@ -191,12 +192,12 @@
         exchange::run(&self.inner, connection, head, body, options.deadline).await
     }
 
-    /// Opens a connection, which the next request may use.
+    /// Opens a connection for the next request.
     ///
     /// # Errors
     ///
-    /// Returns an error where none could be opened; [`SendError::is_refused`] tells a peer that
-    /// has ended from one that can't be reached.
+    /// Returns an error if none could be opened; [`SendError::is_refused`] distinguishes a peer
+    /// whose process has ended from one that is unreachable.
     pub async fn preconnect(&self) -> Result<(), SendError> {
         let limit = self.inner.config.connect_timeout;
         let connection = self.inner.connect(limit, None).await?;
@@ -220,7 +221,7 @@
 }
 
 impl PoolInner {
-    /// Gives the time until `deadline`, but no more than `limit`.
+    /// Returns the time until `deadline`, capped at `limit`.
     pub(crate) fn time_left(&self, deadline: Option<Millis>, limit: Duration) -> Duration {
         match deadline {
             Some(deadline) => {
@@ -245,11 +246,11 @@
         .fail()
     }
 
-    /// Takes the idle connection that was used last and still looks sound.
+    /// Takes the most recently used idle connection that is still usable.
     ///
-    /// A peer may have closed an idle connection, or written to it unasked. A request sent
-    /// on it would fail with its outcome unknown, or get an answer that isn't its own. So
-    /// each connection is looked at before it is used again.
+    /// A peer may have closed an idle connection or sent unexpected data on it. A request on
+    /// it would fail with unknown outcome, or receive a response that isn't its own. So the
+    /// state of each connection is checked before reuse.
     fn take_idle(&self, idempotent: bool) -> Option<PooledConnection> {
         let now = self.clock.now();
         let max_idle = match idempotent {
@@ -304,7 +305,7 @@
         })
     }
 
-    /// Counts a new connection, closing the oldest idle one where that makes the room.
+    /// Counts a new connection, closing the oldest idle one if the pool is full.
     fn reserve_connection(self: &Rc<Self>) -> Result<ConnectionInfo, SendError> {
         let max = self.config.max_connections;
         if self.open.get() >= max {
@@ -328,9 +329,9 @@
 
     /// Closes the idle connections that were last used before `since`.
     ///
-    /// A middlebox that forgot one connection has likely forgotten those that were quiet
-    /// as long. Each would cost its next request a silence limit, so they are all replaced
-    /// when the first one is found.
+    /// A middlebox that dropped the state of one connection has probably dropped that of
+    /// connections idle for as long. Each would delay its next request by the silence limit,
+    /// so all are closed when the first is detected.
     pub(crate) fn close_idle_before(&self, since: Millis) {
         let mut idle = self.idle.borrow_mut();
         idle.retain(|connection| connection.info.last_used >= since);
@@ -338,8 +339,8 @@
 }
 
 impl PooledConnection {
-    /// Puts a connection back whose last response was read whole. Where the pool is no longer
-    /// used, the connection is closed.
+    /// Returns a connection to the pool after its last response was completely read. If the
+    /// pool was dropped, the connection is closed.
     pub(crate) fn put_back(mut self) {
         let Some(pool) = self.info.pool.upgrade() else {
             return;
@@ -357,8 +358,8 @@
 impl ConnectionInfo {
     fn is_usable(&self, now: Millis, max_idle: Millis, config: &PoolConfig) -> bool {
         let idle = now.since(self.last_used);
-        // A request that crosses the peer's close may have run, as far as anybody knows. A
-        // fifth of the stated time covers the way there and the rounding to whole seconds.
+        // If a request crosses the peer's close, it is unknown whether it ran. A margin of a
+        // fifth of the announced time covers network latency and rounding to whole seconds.
         let is_within_peer_timeout = self
             .peer_idle_timeout
             .is_none_or(|peer| idle.0 <= peer.0 / 5 * 4);
--- a/crates/http/src/reader.rs
+++ b/crates/http/src/reader.rs
@@ -1,4 +1,4 @@
-//! The read half of a connection and the bytes read ahead from it.
+//! The read half of a connection with its buffer.
 
 use std::io;
 use std::rc::Rc;
@@ -10,12 +10,12 @@
 use crate::head::{self, HeadError};
 use crate::socket::{self, IdleState};
 
-/// Bytes asked for in one read while a head is awaited.
+/// Size of one read while waiting for a head, in bytes.
 pub(crate) const HEAD_READ: usize = 4 * 1024;
-/// Bytes asked for in the first read of a request. Every connection of a caller that was
-/// just used holds that much.
+/// Size of the first read of a request, in bytes. Every recently used caller connection holds
+/// a buffer of this size.
 pub(crate) const CALLER_READ: usize = 2 * 1024;
-/// Most bytes asked for in one read within a body.
+/// Maximum size of one read of a body, in bytes.
 pub(crate) const MAX_BODY_READ: usize = 256 * 1024;
 
 /// Why a head could not be read.
@@ -23,14 +23,14 @@
 pub(crate) enum ReadError {
     /// The connection failed or ended.
     Io(io::Error),
-    /// The head is refused.
+    /// The head is invalid.
     Head(HeadError),
 }
 
-/// The read half of a connection, with the bytes read but not yet used.
+/// The read half of a connection with a buffer.
 pub(crate) struct Reader {
     half: TcpOwnedReadHalf,
-    /// Bytes read but not yet used.
+    /// Bytes read but not yet consumed.
     pub(crate) buf: BytesMut,
 }
 
@@ -42,11 +42,10 @@
         }
     }
 
-    /// Reads up to about `want` bytes more into the buffer; gives zero at the end of the
-    /// stream.
+    /// Appends up to about `want` bytes to the buffer; returns zero at the end of the stream.
     ///
-    /// Dropping the future loses no byte: those already there stay in `buf`, and only the
-    /// spare capacity after them is lent to the read.
+    /// Dropping the future loses no buffered bytes: they stay in `buf`, and only the spare
+    /// capacity after them is passed to the read.
     pub(crate) async fn fill(&mut self, want: usize) -> io::Result<usize> {
         if self.buf.is_empty() {
             return self.fill_empty(want).await;
@@ -68,17 +67,17 @@
         result
     }
 
-    /// Waits until there are bytes to read or the stream has ended, without a buffer.
+    /// Waits until bytes are available or the stream has ended, without holding a buffer.
     pub(crate) async fn readable(&mut self) -> io::Result<()> {
         socket::readable(&self.half).await
     }
 
-    /// Reads until a head is whole; gives its length.
+    /// Reads until the buffer contains a complete head; returns its length.
     ///
     /// # Errors
     ///
-    /// Returns an error where the stream ends, the head is too long or its line ends are
-    /// wrong.
+    /// Returns an error if the stream ends, the head is too long or its line endings are
+    /// invalid.
     pub(crate) async fn fill_head(
         &mut self,
         scanned: &mut usize,
@@ -97,7 +96,7 @@
         }
     }
 
-    /// Reads and drops bytes until the end of the stream, at most about `max` of them.
+    /// Discards bytes until the end of the stream, at most about `max` of them.
     pub(crate) async fn discard(&mut self, max: usize) {
         let mut seen = 0;
         while seen < max {
@@ -109,19 +108,19 @@
         }
     }
 
-    /// Frees the buffer of an idle connection where it is larger than `max`.
+    /// Frees the buffer of an idle connection if its capacity exceeds `max` bytes.
     pub(crate) fn shrink(&mut self, max: usize) {
         if self.buf.is_empty() && self.buf.capacity() > max {
             self.buf = BytesMut::new();
         }
     }
 
-    /// Looks at the connection without taking bytes from it.
+    /// Returns the state of an idle connection without consuming bytes.
     pub(crate) fn idle_state(&self) -> IdleState {
         socket::half_idle_state(&self.half)
     }
 
-    /// Makes a probe that outlives the loan of this reader.
+    /// Creates a probe that can be used while the reader is borrowed.
     pub(crate) fn probe(&self) -> CloseProbe {
         CloseProbe {
             half: OwnedReadHalf(Rc::clone(&self.half.0)),
@@ -129,7 +128,7 @@
     }
 }
 
-/// Finds out whether the peer of a connection has closed it, while another task reads it.
+/// Detects whether the peer has closed a connection while another task reads from it.
 pub(crate) struct CloseProbe {
     half: TcpOwnedReadHalf,
 }
--- a/crates/http/src/send_error.rs
+++ b/crates/http/src/send_error.rs
@@ -1,4 +1,4 @@
-//! Why a request to a backend server or peer got no response.
+//! Errors of requests to a backend server or peer.
 
 use std::fmt;
 use std::io;
@@ -9,19 +9,19 @@
 use crate::body::BodyError;
 use crate::head::HeadError;
 
-/// Whether a byte of a request's head was handed to a connection.
+/// Whether any byte of a request's head was passed to the operating system for sending.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SendProgress {
-    /// No byte was, so the peer did not run the request.
+    /// No byte was passed, so the peer did not run the request.
     NotSent,
-    /// Some bytes were, so the peer may have run the request.
+    /// Some bytes were passed, so the peer may have run the request.
     MaybeSent,
 }
 
 /// The step at which a request failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Step {
-    /// Finding a connection.
+    /// Obtaining a connection.
     Connect,
     /// Sending the head and body.
     Send,
@@ -39,7 +39,7 @@
     }
 }
 
-/// Why [`Pool::send`](crate::Pool::send) gave no response.
+/// Why [`Pool::send`](crate::Pool::send) returned no response.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum SendError {
@@ -48,7 +48,7 @@
     PoolFull {
         /// The backend server or peer.
         peer: SocketAddr,
-        /// The most connections.
+        /// The maximum number of connections.
         max: usize,
     },
     /// No connection could be opened.
@@ -56,7 +56,7 @@
     Connect {
         /// The backend server or peer.
         peer: SocketAddr,
-        /// What the system reported; its kind is `TimedOut` after the connect timeout.
+        /// What the operating system reported; its kind is `TimedOut` after the connect timeout.
         source: io::Error,
     },
     /// The deadline passed.
@@ -64,23 +64,23 @@
     Expired {
         /// The backend server or peer.
         peer: SocketAddr,
-        /// What was being done.
+        /// The step that was in progress.
         step: Step,
-        /// Whether a byte of the head was handed to a connection.
+        /// Whether a byte of the head was passed on for sending.
         progress: SendProgress,
     },
-    /// The connection went silent: it took the request but gave no byte within the silence
-    /// limit, or its bytes were not acknowledged.
+    /// The connection is unresponsive: the peer sent no byte of a response within the silence
+    /// limit, took no bytes, or did not acknowledge them.
     #[snafu(display("{peer}: the connection went silent while {step} (reused: {reused})"))]
     Silent {
         /// The backend server or peer.
         peer: SocketAddr,
-        /// What was being done.
+        /// The step that was in progress.
         step: Step,
-        /// Whether a byte of the head was handed to a connection.
+        /// Whether a byte of the head was passed on for sending.
         progress: SendProgress,
-        /// Whether the connection had served a request before. A new one that is silent
-        /// points at the peer; a reused one at the path between.
+        /// Whether the connection had served a request before. Silence on a new connection
+        /// points to the peer, on a reused one to the network path.
         reused: bool,
     },
     /// The connection failed.
@@ -88,16 +88,16 @@
     Broken {
         /// The backend server or peer.
         peer: SocketAddr,
-        /// What was being done.
+        /// The step that was in progress.
         step: Step,
-        /// Whether a byte of the head was handed to a connection.
+        /// Whether a byte of the head was passed on for sending.
         progress: SendProgress,
         /// Whether the connection had served a request before.
         reused: bool,
-        /// What the system reported.
+        /// What the operating system reported.
         source: io::Error,
     },
-    /// The response breaks the protocol.
+    /// The response violates the protocol.
     #[snafu(display("{peer}: the response was refused: {source}"))]
     BadResponse {
         /// The backend server or peer.
@@ -105,20 +105,20 @@
         /// What was wrong with it.
         source: HeadError,
     },
-    /// The body of the request broke at its source.
+    /// Reading the body of the request failed.
     #[snafu(display("{peer}: the body of the request broke: {source}"))]
     RequestBody {
         /// The backend server or peer.
         peer: SocketAddr,
-        /// Whether a byte of the head was handed to a connection.
+        /// Whether a byte of the head was passed on for sending.
         progress: SendProgress,
-        /// How it broke.
+        /// Why it failed.
         source: BodyError,
     },
 }
 
 impl SendError {
-    /// Says whether a byte of the request's head was handed to a connection.
+    /// Returns whether a byte of the request's head was passed on for sending.
     pub fn send_progress(&self) -> SendProgress {
         match self {
             SendError::PoolFull { .. } | SendError::Connect { .. } => SendProgress::NotSent,
@@ -130,7 +130,7 @@
         }
     }
 
-    /// Says whether the peer's system refused a connection: no process listens there.
+    /// Returns whether the connection was refused, which means that no process listens there.
     pub fn is_refused(&self) -> bool {
         match self {
             SendError::Connect { source, .. } => source.kind() == io::ErrorKind::ConnectionRefused,
@@ -138,8 +138,8 @@
         }
     }
 
-    /// Says whether a new connection may do better at once: the request failed on a reused
-    /// connection that closed or went silent.
+    /// Returns whether the request failed on a reused connection that was closed or silent. A
+    /// new connection may succeed immediately.
     pub fn is_stale_connection(&self) -> bool {
         match self {
             SendError::Silent { reused, .. } | SendError::Broken { reused, .. } => *reused,
--- a/crates/http/src/server.rs
+++ b/crates/http/src/server.rs
@@ -1,4 +1,4 @@
-//! The accept loop: one task for each connection, a limit on them, and graceful shutdown.
+//! The accept loop with one task per connection, a connection limit and graceful shutdown.
 
 use std::cell::Cell;
 use std::io;
@@ -19,10 +19,10 @@
 use crate::socket::{self, LivenessOptions};
 use crate::timeout::with_timeout;
 
-/// Pause after a failed accept, as where the process is out of descriptors.
+/// Delay after a failed accept, for example when the process is out of file descriptors.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// The answer to a connection beyond the limit.
+/// The response to a connection beyond the limit.
 const SERVER_FULL_RESPONSE: &[u8] =
     b"HTTP/1.1 503 Service Unavailable\r\nheatherknot-outcome: not-run\r\n\
     retry-after: 1\r\ncontent-length: 0\r\nconnection: close\r\n\r\n";
@@ -30,37 +30,37 @@
 /// Limits of one server.
 #[derive(Clone, Debug)]
 pub struct Limits {
-    /// Connections open at once. A further one takes the place of the one that has been
-    /// idle longest; where none is idle, it is answered with status 503 and closed.
+    /// Maximum number of open connections. A further one replaces the one that has been idle
+    /// longest; if none is idle, it gets a response with status 503 and is closed.
     pub max_connections: usize,
-    /// Longest request head, in bytes.
+    /// Maximum size of a request head, in bytes.
     pub max_head_bytes: usize,
-    /// Longest request body, in bytes.
+    /// Maximum size of a request body, in bytes.
     pub max_body_bytes: u64,
-    /// Longest time from the first byte of a head to its last.
+    /// Maximum time from the first byte of a head to its last.
     pub head_timeout: Duration,
-    /// Longest wait for a further request on a connection.
+    /// Maximum wait for the next request on a connection.
     pub idle_timeout: Duration,
-    /// How long an idle connection keeps its buffers and its place.
+    /// How long an idle connection keeps its buffers and can't be closed to admit another one.
     pub idle_grace: Duration,
-    /// Longest wait for some bytes of a request body.
+    /// Maximum wait for the next bytes of a request body.
     pub body_timeout: Duration,
-    /// Least bytes a second of a request body, on average over the time spent waiting for
-    /// it, once that is longer than `body_timeout`.
+    /// Minimum bytes per second of a request body, averaged over the time spent waiting for it,
+    /// once that is longer than `body_timeout`.
     pub min_body_rate: u64,
-    /// Longest wait for the caller to take some bytes of a response.
+    /// Maximum wait for the caller to accept more bytes of a response.
     pub write_timeout: Duration,
-    /// How long a stopping server still takes a request on an idle connection, since the
-    /// caller may have sent it before it could know.
+    /// How long a stopping server still accepts a request on an idle connection, as the caller
+    /// may have sent it before it could notice the shutdown.
     pub stop_idle: Duration,
-    /// How long a stopping server waits for requests in flight before it cuts them.
+    /// How long a stopping server waits for requests in flight before it aborts them.
     pub stop_grace: Duration,
-    /// The system's own request headers that callers may set; others are removed.
+    /// Heatherknot request headers that callers may set; others are removed.
     pub kept_headers: &'static [&'static str],
-    /// Which requests are handled while an earlier one of their connection is; none where
-    /// each is to wait for the one before it.
+    /// Which pipelined requests are handled concurrently with earlier ones of their connection;
+    /// `None` to handle the requests of a connection one after the other.
     pub ahead: Option<AheadRule>,
-    /// How the operating system looks for callers that are gone without a word.
+    /// How the operating system detects dead callers.
     pub liveness: LivenessOptions,
 }
 
@@ -89,7 +89,7 @@
     }
 }
 
-/// What the connections of one server share.
+/// State shared by the connections of one server.
 pub(crate) struct ServerContext {
     pub(crate) handler: Handler,
     pub(crate) limits: Limits,
@@ -99,10 +99,10 @@
     all_closed: Flag,
 }
 
-/// Serves requests from `listener` until `stop` fires and the connections are closed.
+/// Serves requests from `listener` until `stop` fires and all connections are closed.
 ///
-/// After `stop` no connection is accepted; requests in flight are finished, for at most
-/// [`Limits::stop_grace`], and each response says that its connection closes.
+/// After `stop` no connection is accepted. Requests in flight may finish within
+/// [`Limits::stop_grace`], and the last response on each connection announces its close.
 pub async fn serve(listener: TcpListener, handler: Handler, limits: Limits, stop: Flag) {
     let cx = Rc::new(ServerContext {
         handler,
@@ -118,7 +118,7 @@
     if cx.open.get() > 0 {
         let waited = with_timeout(cx.limits.stop_grace, cx.all_closed.wait()).await;
         if waited.is_none() {
-            log::warn!(open = cx.open.get(); "cutting requests at the end of the grace time");
+            log::warn!(open = cx.open.get(); "aborting connections at the end of the shutdown grace period");
             abort.fire();
         }
     }
@@ -132,7 +132,7 @@
             Either::Right(((), _)) => return,
             Either::Left((Ok((stream, peer)), _)) => accept_connection(stream, peer, cx, abort),
             Either::Left((Err(error), _)) => {
-                log::warn!(error:% = error; "accepting a connection failed");
+                log::warn!(error:% = error; "failed to accept a connection");
                 monoio::time::sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
@@ -146,7 +146,7 @@
     abort: &Flag,
 ) {
     if let Err(error) = socket::configure(&stream, &cx.limits.liveness) {
-        log::debug!(peer:% = peer, error:% = error; "setting socket options failed");
+        log::debug!(peer:% = peer, error:% = error; "failed to set socket options");
         return;
     }
     let limit = cx.limits.max_connections;
@@ -169,7 +169,8 @@
     });
 }
 
-/// Connections beyond the limit that are told so at once; more are closed unanswered.
+/// Returns how many connections beyond the limit get the rejection response at the same time.
+/// Further ones are closed without a response.
 fn max_concurrent_rejections(limit: usize) -> usize {
     limit / 8 + 1
 }
@@ -182,7 +183,7 @@
     Ok(())
 }
 
-/// Counts a connection for as long as it lives.
+/// Counts a connection as open until it is dropped.
 struct OpenConnection {
     cx: Rc<ServerContext>,
 }
--- a/crates/http/src/socket.rs
+++ b/crates/http/src/socket.rs
@@ -1,4 +1,4 @@
-//! Socket options and checks that the runtime does not offer.
+//! Socket options and state checks that the runtime does not provide.
 
 use std::io;
 use std::mem::MaybeUninit;
@@ -9,15 +9,15 @@
 use monoio::net::tcp::TcpOwnedReadHalf;
 use socket2::{SockRef, TcpKeepalive};
 
-/// How the operating system looks for connections whose peer is gone without a word.
+/// How the operating system detects connections whose peer is dead.
 #[derive(Clone, Copy, Debug)]
 pub struct LivenessOptions {
-    /// How long sent bytes may stay unacknowledged, or the peer's window closed, before the
-    /// connection fails.
+    /// How long sent bytes may stay unacknowledged, or the peer's receive window closed, before
+    /// the connection fails.
     pub user_timeout: Duration,
-    /// How long a connection is quiet before it is probed, and the time between probes.
+    /// Idle time before the first keepalive probe, and the interval between probes.
     pub keepalive: Duration,
-    /// Unanswered probes after which the connection fails.
+    /// Number of unanswered probes after which the connection fails.
     pub keepalive_probes: u32,
 }
 
@@ -33,9 +33,9 @@
 
 /// Sets the options of a new connection.
 ///
-/// A middlebox that forgot a connection drops its packets and says nothing, so neither a
-/// read nor a write fails by itself. With `TCP_USER_TIMEOUT` bytes that nobody acknowledges
-/// fail the connection, and keepalive probes find one that has nothing to send.
+/// A middlebox that lost the state of a connection drops its packets silently, so neither reads
+/// nor writes fail. `TCP_USER_TIMEOUT` fails a connection with unacknowledged bytes; keepalive
+/// probes detect a dead connection that has nothing to send.
 pub(crate) fn configure(stream: &TcpStream, options: &LivenessOptions) -> io::Result<()> {
     stream.set_nodelay(true)?;
     with_socket(stream, |socket| {
@@ -48,18 +48,18 @@
     })
 }
 
-/// What a look at an idle connection shows.
+/// The state of an idle connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum IdleState {
     /// Open, with nothing received.
     Quiet,
-    /// Open, with bytes received that nobody asked for.
+    /// Open, with unexpected bytes received.
     UnexpectedData,
-    /// Closed or broken.
+    /// Closed or failed.
     Closed,
 }
 
-/// Looks at a connection without taking bytes from it.
+/// Returns the state of an idle connection without consuming bytes.
 pub(crate) fn idle_state(stream: &TcpStream) -> IdleState {
     let mut byte = [MaybeUninit::uninit()];
     match with_socket(stream, |socket| socket.peek(&mut byte)) {
@@ -70,12 +70,12 @@
     }
 }
 
-/// Looks at the connection of a read half without taking bytes from it.
+/// Returns the state of the connection of a read half without consuming bytes.
 pub(crate) fn half_idle_state(half: &TcpOwnedReadHalf) -> IdleState {
     idle_state(stream_of(half))
 }
 
-/// Says whether the peer closed its side, whatever it sent before that is still unread.
+/// Returns whether the peer closed its write side, even if bytes before the close are unread.
 #[allow(unsafe_code)]
 pub(crate) fn is_peer_closed(half: &TcpOwnedReadHalf) -> bool {
     let mut poll = libc::pollfd {
@@ -83,21 +83,22 @@
         events: libc::POLLRDHUP,
         revents: 0,
     };
-    // SAFETY: `poll` is one valid entry that lives through the call, which does not wait.
+    // SAFETY: `poll` is one valid entry that outlives the call. With a timeout of zero the call
+    // does not block.
     let ready = unsafe { libc::poll(&raw mut poll, 1, 0) };
     ready > 0
 }
 
-/// Waits until there are bytes to read or the stream has ended.
+/// Waits until bytes are available or the stream has ended.
 pub(crate) async fn readable(half: &TcpOwnedReadHalf) -> io::Result<()> {
     stream_of(half).readable(false).await
 }
 
 #[allow(unsafe_code)]
 fn stream_of(half: &TcpOwnedReadHalf) -> &TcpStream {
-    // SAFETY: the halves never leave their thread. The runtime makes a mutable reference to
-    // the stream only to copy its descriptor when a read or write begins, and none of the
-    // uses of this shared reference begins one.
+    // SAFETY: the halves stay on one thread. The runtime creates a mutable reference to the
+    // stream only to copy its descriptor when a read or write starts, and no use of this shared
+    // reference starts one.
     unsafe { &*half.0.get() }
 }
 
--- a/crates/http/src/target.rs
+++ b/crates/http/src/target.rs
@@ -1,4 +1,4 @@
-//! The check of a request's path.
+//! Validation of request targets.
 
 use std::borrow::Cow;
 
@@ -6,11 +6,11 @@
 
 use crate::head::{HeadError, TargetSnafu};
 
-/// Checks that a target is in origin form and that its path does not climb.
+/// Checks that a target is in origin form and that its path has no dot segments.
 ///
-/// A path with `.` or `..` segments, plain or percent-encoded, names different things to
-/// different readers: a rule for the prefix `/public` would be passed by
-/// `/public/../private`. Such a path is refused rather than rewritten.
+/// Recipients resolve `.` and `..` segments, plain or percent-encoded, in different ways:
+/// `/public/../private` would bypass a rule for the prefix `/public`. Such a path is refused
+/// instead of normalized.
 pub(crate) fn check(target: &[u8]) -> Result<(), HeadError> {
     ensure!(
         target.first() == Some(&b'/'),
--- a/crates/http/src/timeout.rs
+++ b/crates/http/src/timeout.rs
@@ -1,15 +1,15 @@
-//! Time limits on single steps.
+//! Timeouts for futures.
 
 use std::future::{Future, poll_fn};
 use std::pin::pin;
 use std::task::Poll;
 use std::time::Duration;
 
-/// Runs `future` for at most `limit`; gives nothing where the time ran out.
+/// Runs `future` for at most `limit`; returns `None` if the time ran out.
 ///
-/// Most steps are ready at once, so the timer is made only for one that has to wait. It is
-/// boxed, since a timer is large and aligned to a cache line: inline, it would make every
-/// future that has a time limit so.
+/// Most futures are ready immediately, so the timer is created only for one that has to wait.
+/// It is boxed because a timer is large and aligned to a cache line, which would otherwise apply
+/// to every future that contains a timeout.
 pub(crate) async fn with_timeout<T>(limit: Duration, future: impl Future<Output = T>) -> Option<T> {
     let mut future = pin!(future);
     let mut sleep = None;
--- a/crates/http/src/writer.rs
+++ b/crates/http/src/writer.rs
@@ -14,33 +14,33 @@
 use crate::send_error::SendProgress;
 use crate::timeout::with_timeout;
 
-/// Chunks up to this size are copied behind a head or a chunk size, so that they leave in
-/// one write.
+/// Maximum size of the output buffer, in bytes, up to which a chunk is copied into it, so that it
+/// is sent in one write with the head or chunk size before it.
 const MAX_COALESCED_BYTES: usize = 16 * 1024;
 
-/// Why a message could not be written whole.
+/// Why a message could not be completely written.
 #[derive(Debug)]
 pub(crate) enum WriteError {
     /// The connection failed.
     Io(io::Error),
-    /// The peer took no bytes for too long.
+    /// The peer accepted no bytes within the write timeout.
     Stalled,
-    /// The body broke at its source.
+    /// Reading the body failed.
     Body(BodyError),
 }
 
-/// The write half of a connection.
+/// The write half of a connection with an output buffer.
 pub(crate) struct Writer {
     half: TcpOwnedWriteHalf,
     timeout: Duration,
     /// Bytes encoded but not yet written.
     pub(crate) out: BytesMut,
-    /// Bytes that the operating system has taken.
+    /// Number of bytes that the operating system has accepted.
     written: u64,
 }
 
 impl Writer {
-    /// Makes a writer that waits at most `timeout` for the peer to take some bytes.
+    /// Creates a writer that waits at most `timeout` for the peer to accept more bytes.
     pub(crate) fn new(half: TcpOwnedWriteHalf, timeout: Duration) -> Self {
         Self {
             half,
@@ -50,12 +50,12 @@
         }
     }
 
-    /// Gives back the write half.
+    /// Returns the write half.
     pub(crate) fn into_half(self) -> TcpOwnedWriteHalf {
         self.half
     }
 
-    /// Says whether the operating system has taken any byte.
+    /// Returns whether the operating system has accepted any byte.
     pub(crate) fn send_progress(&self) -> SendProgress {
         match self.written {
             0 => SendProgress::NotSent,
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Writes what is encoded.
+    /// Writes the output buffer.
     pub(crate) async fn flush(&mut self) -> Result<(), WriteError> {
         if self.out.is_empty() {
             return Ok(());
@@ -78,14 +78,14 @@
         self.write_all(out.split_off(n).freeze()).await
     }
 
-    /// Frees the buffer of a connection that has nothing to write.
+    /// Frees the output buffer if it is empty.
     pub(crate) fn shrink(&mut self) {
         if self.out.is_empty() {
             self.out = BytesMut::new();
         }
     }
 
-    /// Writes once; gives the number of bytes taken, and the buffer.
+    /// Writes once; returns the number of bytes accepted and the buffer.
     async fn write<T: IoBuf>(&mut self, buf: T) -> Result<(usize, T), WriteError> {
         let n = match with_timeout(self.timeout, self.half.write(buf)).await {
             None => return Err(WriteError::Stalled),
@@ -123,13 +123,13 @@
         Ok(())
     }
 
-    /// Closes the write side; the peer reads what was written and then the end.
+    /// Closes the write side; the peer reads the end of the stream after the bytes written.
     pub(crate) async fn shutdown(&mut self) {
         let _ = self.half.shutdown().await;
     }
 }
 
-/// Says how the end of `body` will be told on the wire.
+/// Returns the framing with which `body` is sent.
 pub(crate) fn framing_of(body: &Body) -> Framing {
     body.known_len().map_or(Framing::Chunked, Framing::Length)
 }
--- a/crates/http/tests/ahead.rs
+++ b/crates/http/tests/ahead.rs
@@ -29,7 +29,7 @@
     }
 }
 
-/// Makes a handler that answers with the path; `/slow` waits until it is released, and `/broken`
+/// Creates a handler that answers with the path; `/slow` waits until it is released, and `/broken`
 /// ends within its answer.
 fn handler(seen: &Rc<Seen>) -> Handler {
     let seen = Rc::clone(seen);
@@ -78,7 +78,7 @@
     format!("GET {path} HTTP/1.1\r\nhost: h\r\n\r\n")
 }
 
-/// Gives the bodies of the answers in the order in which they came.
+/// Returns the bodies of the answers in the order in which they came.
 fn bodies(answers: &str) -> Vec<&str> {
     let parts = answers.split("HTTP/1.1 200 OK\r\n").skip(1);
     parts
--- a/crates/http/tests/common/mod.rs
+++ b/crates/http/tests/common/mod.rs
@@ -32,17 +32,17 @@
     )
 }
 
-/// Makes a pool with default settings on the system's clock.
+/// Creates a pool with default settings on the system's clock.
 pub fn pool(address: SocketAddr) -> Pool {
     Pool::new(address, PoolConfig::default(), Clock::system())
 }
 
-/// Makes a handler that answers with the body of the request.
+/// Creates a handler that answers with the body of the request.
 pub fn echo() -> Handler {
     Rc::new(|req| async move { Response::new(StatusCode::OK, req.body) }.boxed_local())
 }
 
-/// Makes a handler that answers with the path of the request.
+/// Creates a handler that answers with the path of the request.
 pub fn path_echo() -> Handler {
     Rc::new(|req| {
         let path = req.head.path().to_owned();
@@ -50,7 +50,7 @@
     })
 }
 
-/// Makes a handler that passes each request on, and gives up when its caller disconnects.
+/// Creates a handler that passes each request on, and gives up when its caller disconnects.
 pub fn proxy(pool: Pool) -> Handler {
     Rc::new(move |req| {
         let pool = pool.clone();
@@ -72,12 +72,12 @@
     })
 }
 
-/// Makes the head of a `GET` with an identifier.
+/// Creates the head of a `GET` with an identifier.
 pub fn get(id: &str) -> RequestHead {
     request(Method::GET, id)
 }
 
-/// Makes the head of a request with an identifier.
+/// Creates the head of a request with an identifier.
 pub fn request(method: Method, id: &str) -> RequestHead {
     let mut head = RequestHead::new(method, Uri::from_static("/"));
     let id = HeaderValue::from_str(id).expect("an identifier of plain text");
@@ -92,7 +92,7 @@
     }
 }
 
-/// Makes options for a request that may run twice without harm.
+/// Creates options for a request that may run twice without harm.
 pub fn idempotent() -> SendOptions {
     SendOptions {
         idempotent: true,
--- a/crates/http/tests/kept.rs
+++ b/crates/http/tests/kept.rs
@@ -23,7 +23,7 @@
         .into()
 }
 
-/// Makes a body of unknown length that gives `bytes` in pieces.
+/// Creates a body of unknown length that gives `bytes` in pieces.
 fn pieces(bytes: Bytes, size: usize) -> Body {
     let (mut sender, body) = Body::channel();
     monoio::spawn(async move {
--- a/crates/http/tests/upstream_faults.rs
+++ b/crates/http/tests/upstream_faults.rs
@@ -31,7 +31,7 @@
     })
 }
 
-/// Makes a pool whose clock stands where `now` says.
+/// Creates a pool whose clock stands where `now` says.
 fn pool_with_clock(backend: &FakeBackend, config: PoolConfig) -> (Pool, Rc<Cell<u64>>) {
     let now = Rc::new(Cell::new(0));
     let read = Rc::clone(&now);
@@ -150,7 +150,7 @@
     });
 }
 
-// A caller disconnects while its upload still lies unread in the system's buffers, as the
+// A caller disconnects while its upload still lies unread in the operating system's buffers, as the
 // request waits for its turn. The end of the stream can't be read past those bytes, so it
 // would go unnoticed and the request would later run for nobody.
 #[test]
@@ -544,7 +544,7 @@
     });
 }
 
-/// Starts a backend server that answers each read with `raw` and keeps its connections; gives
+/// Starts a backend server that answers each read with `raw` and keeps its connections; returns
 /// the number of connections too.
 fn keeping_backend(raw: &'static str) -> (std::net::SocketAddr, Rc<Cell<usize>>) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("an ephemeral port");
