--- a/crates/http/src/ahead.rs
+++ b/crates/http/src/ahead.rs
@@ -1,8 +1,8 @@
-//! Requests that a caller sends before it has the answer to the one before them.
+//! Concurrent handling of pipelined requests.
 //!
-//! Served one after the other they wait for each other: on a connection with a short request
-//! behind three long ones, the short one takes as long as all four. So they are handled side
-//! by side, and answered in the order in which they came.
+//! Handled one after the other, requests of one connection suffer from head-of-line blocking: a
+//! short request behind three long ones takes as long as all four. So they are handled
+//! concurrently, and their responses are sent in the order of the requests.
 
 use std::collections::VecDeque;
 use std::fmt;
@@ -22,18 +22,18 @@
 use crate::reader::Reader;
 use crate::server::{Limits, ServerContext};
 
-/// Says whether a request may be handled while an earlier one of its connection is.
-pub type MayGoAhead = Rc<dyn Fn(&RequestHead) -> bool>;
+/// Decides whether a request may be handled concurrently with an earlier one of its connection.
+pub type AheadPredicate = Rc<dyn Fn(&RequestHead) -> bool>;
 
-/// Which requests are handled while an earlier one of their connection is.
+/// Which pipelined requests are handled concurrently with earlier ones of their connection.
 #[derive(Clone)]
 pub struct AheadRule {
-    /// The most requests of one connection that are handled beside its first one.
+    /// Maximum number of requests of one connection that are handled besides its first one.
     pub most: usize,
-    /// Says whether one may be. A request whose run can't be taken back may not: an earlier
-    /// response that breaks off closes the connection, and the caller then sends again what
-    /// was behind it, taking it for unread.
-    pub may: MayGoAhead,
+    /// Decides whether a request may be handled concurrently. It must reject requests that may
+    /// run only once: if an earlier response is truncated, the connection closes, and the caller
+    /// sends the requests after it again, assuming that they were not read.
+    pub is_allowed: AheadPredicate,
 }
 
 impl fmt::Debug for AheadRule {
@@ -44,18 +44,18 @@
     }
 }
 
-/// A request that is being handled, and what its answer needs to be written.
-pub(crate) struct Handled {
+/// A request that is being handled, with the data needed to write its response.
+pub(crate) struct InFlightRequest {
     pub(crate) response: LocalBoxFuture<'static, Response>,
     pub(crate) cancelled: Flag,
     pub(crate) is_head: bool,
-    /// Whether the caller wants the connection to close after it.
+    /// Whether the caller asked to close the connection after this request.
     pub(crate) close: bool,
 }
 
-impl Handled {
-    /// Hands a request to the server's handler.
-    pub(crate) fn begin(
+impl InFlightRequest {
+    /// Calls the server's handler with a request.
+    pub(crate) fn start(
         cx: &ServerContext,
         parsed: ParsedRequest,
         body: Body,
@@ -77,8 +77,8 @@
         }
     }
 
-    /// Lets it be handled while nobody waits for it yet.
-    fn in_background(self) -> Self {
+    /// Runs the handler as a task of its own, so that it progresses without being awaited.
+    fn spawn_handler(self) -> Self {
         Self {
             response: monoio::spawn(self.response).boxed_local(),
             ..self
@@ -86,82 +86,86 @@
     }
 }
 
-/// The requests of one connection behind the one that is being answered.
-pub(crate) struct AheadQueue {
+/// The pipelined requests of one connection after the one that is being answered.
+pub(crate) struct PipelineQueue {
     cx: Rc<ServerContext>,
     peer: SocketAddr,
-    handled: VecDeque<Handled>,
-    /// The first request that may not be handled yet, or what is wrong with it.
+    in_flight: VecDeque<InFlightRequest>,
+    /// The first request that may not be handled yet, or the error in its head.
     next: Option<Result<ParsedRequest, HeadError>>,
 }
 
-impl AheadQueue {
+impl PipelineQueue {
     pub(crate) fn new(cx: Rc<ServerContext>, peer: SocketAddr) -> Self {
         Self {
             cx,
             peer,
-            handled: VecDeque::new(),
+            in_flight: VecDeque::new(),
             next: None,
         }
     }
 
     pub(crate) fn is_empty(&self) -> bool {
-        self.handled.is_empty() && self.next.is_none()
+        self.in_flight.is_empty() && self.next.is_none()
     }
 
-    /// Gives the next request that is being handled already.
-    pub(crate) fn pop(&mut self) -> Option<Handled> {
-        self.handled.pop_front()
+    /// Removes and returns the next request in flight.
+    pub(crate) fn pop(&mut self) -> Option<InFlightRequest> {
+        self.in_flight.pop_front()
     }
 
-    /// Gives the request that was read and not yet handled.
+    /// Takes the request that was read but not started, or the error in its head.
     pub(crate) fn take_next(&mut self) -> Option<Result<ParsedRequest, HeadError>> {
         self.next.take()
     }
 
-    /// Begins to handle the requests that `reader` holds whole, as far as they may go ahead.
-    pub(crate) fn take_from(&mut self, reader: &mut Reader) {
-        while self.may_read_on()
-            && let Some(parsed) = take_whole(reader, &self.cx.limits).transpose()
+    /// Starts the requests that `reader` has buffered completely, as far as the rule allows.
+    pub(crate) fn start_from(&mut self, reader: &mut Reader) {
+        while self.may_read_next()
+            && let Some(parsed) = take_complete_head(reader, &self.cx.limits).transpose()
         {
             match parsed {
-                Ok(parsed) if self.may_handle(&parsed) => {
-                    let handled = Handled::begin(&self.cx, parsed, Body::empty(), self.peer);
-                    self.handled.push_back(handled.in_background());
+                Ok(parsed) if self.may_start(&parsed) => {
+                    let in_flight =
+                        InFlightRequest::start(&self.cx, parsed, Body::empty(), self.peer);
+                    self.in_flight.push_back(in_flight.spawn_handler());
                 }
                 other => self.next = Some(other),
             }
         }
     }
 
-    /// Says whether a further request may be read. Behind one that closes the connection
-    /// nothing is: the caller sends it again elsewhere.
-    fn may_read_on(&self) -> bool {
+    /// Returns whether a further request may be read. None is read after a request that closes the
+    /// connection: the caller sends later ones again on another connection.
+    fn may_read_next(&self) -> bool {
         let rule = self.cx.limits.ahead.as_ref();
-        let has_room = rule.is_some_and(|rule| self.handled.len() < rule.most);
-        let closes = self.handled.back().is_some_and(|last| last.close);
+        let has_room = rule.is_some_and(|rule| self.in_flight.len() < rule.most);
+        let closes = self.in_flight.back().is_some_and(|last| last.close);
         has_room && !closes && self.next.is_none() && !self.cx.stop.is_fired()
     }
 
-    fn may_handle(&self, parsed: &ParsedRequest) -> bool {
+    fn may_start(&self, parsed: &ParsedRequest) -> bool {
         let rule = self.cx.limits.ahead.as_ref();
         parsed.framing == Framing::Length(0)
             && !parsed.expects_continue
-            && rule.is_some_and(|rule| (rule.may)(&parsed.head))
+            && rule.is_some_and(|rule| (rule.is_allowed)(&parsed.head))
     }
 }
 
-impl Drop for AheadQueue {
-    /// Tells the handlers that nobody reads their answers any more.
+impl Drop for PipelineQueue {
+    /// Cancels the handlers, as their responses can't be sent.
     fn drop(&mut self) {
-        self.handled
+        self.in_flight
             .iter()
-            .for_each(|handled| handled.cancelled.fire());
+            .for_each(|in_flight| in_flight.cancelled.fire());
     }
 }
 
-/// Takes a request head from the front of what was read, where it is there whole.
-fn take_whole(reader: &mut Reader, limits: &Limits) -> Result<Option<ParsedRequest>, HeadError> {
+/// Removes a request head from the front of the buffer, if it is complete.
+fn take_complete_head(
+    reader: &mut Reader,
+    limits: &Limits,
+) -> Result<Option<ParsedRequest>, HeadError> {
     if reader.buf.is_empty() {
         return Ok(None);
     }
@@ -172,7 +176,7 @@
     }
 }
 
-/// Takes a request head of `len` bytes from the front of what was read.
+/// Removes a request head of `len` bytes from the front of the buffer.
 pub(crate) fn take_head(
     reader: &mut Reader,
     len: usize,
--- a/crates/http/src/idle.rs
+++ b/crates/http/src/idle.rs
@@ -1,4 +1,4 @@
-//! The idle connections of a server, of which the oldest gives way when the server is full.
+//! The idle connections of a server, of which the oldest is closed when the server is full.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -9,17 +9,17 @@
 /// The idle connections of a server, in the order in which they became idle.
 #[derive(Default)]
 pub(crate) struct IdleConnections {
-    next: Cell<u64>,
-    waiting: RefCell<BTreeMap<u64, Flag>>,
+    next_number: Cell<u64>,
+    entries: RefCell<BTreeMap<u64, Flag>>,
 }
 
 impl IdleConnections {
-    /// Adds a connection, for as long as the returned entry lives.
-    pub(crate) fn enter(self: &Rc<Self>) -> IdleEntry {
-        let number = self.next.get();
-        self.next.set(number + 1);
+    /// Registers a connection as idle until the returned entry is dropped.
+    pub(crate) fn register(self: &Rc<Self>) -> IdleEntry {
+        let number = self.next_number.get();
+        self.next_number.set(number + 1);
         let evicted = Flag::new();
-        self.waiting.borrow_mut().insert(number, evicted.clone());
+        self.entries.borrow_mut().insert(number, evicted.clone());
         IdleEntry {
             connections: Rc::clone(self),
             number,
@@ -27,12 +27,12 @@
         }
     }
 
-    /// Closes the connection that has been idle longest; says whether there was one.
+    /// Closes the connection that has been idle longest; returns whether there was one.
     ///
-    /// Callers that open connections and send nothing could otherwise hold every place of
-    /// the server, and all others would be refused for as long as they like.
+    /// Otherwise callers that open connections and send nothing could use up the connection
+    /// limit of the server, and all others would be rejected.
     pub(crate) fn close_oldest(&self) -> bool {
-        let oldest = self.waiting.borrow_mut().pop_first();
+        let oldest = self.entries.borrow_mut().pop_first();
         match oldest {
             Some((_, evicted)) => {
                 evicted.fire();
@@ -43,16 +43,16 @@
     }
 }
 
-/// One idle connection.
+/// The registration of one idle connection.
 pub(crate) struct IdleEntry {
     connections: Rc<IdleConnections>,
     number: u64,
-    /// Fires when the connection has to make room.
+    /// Fires when the connection has to close to admit a new one.
     pub(crate) evicted: Flag,
 }
 
 impl Drop for IdleEntry {
     fn drop(&mut self) {
-        self.connections.waiting.borrow_mut().remove(&self.number);
+        self.connections.entries.borrow_mut().remove(&self.number);
     }
 }
--- a/crates/http/src/kept.rs
+++ b/crates/http/src/kept.rs
@@ -1,8 +1,8 @@
 //! Long request bodies that can be sent more than once.
 //!
-//! A peer may refuse a request that it has not run, or not be there, after a part of the body
-//! has gone out. Read while it is sent, the body is gone then, and so is the request. Here what
-//! was read is kept until the request is answered, as far as there is memory for it.
+//! A peer may refuse a request without running it, or fail, after a part of the body was sent.
+//! A body that is only streamed could not be sent again then, and the request would fail. So the
+//! chunks that were read are retained until the request is answered, within a memory budget.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -11,15 +11,15 @@
 
 use crate::body::{Body, BodyError};
 
-/// The memory that all kept bodies of a process share.
+/// The memory budget for retained request bodies, shared by all bodies of a process.
 #[derive(Debug)]
-pub struct KeepRoom {
+pub struct ReplayBudget {
     limit: u64,
     used: Cell<u64>,
 }
 
-impl KeepRoom {
-    /// Makes room for `limit` bytes.
+impl ReplayBudget {
+    /// Creates a budget of `limit` bytes.
     pub fn new(limit: u64) -> Rc<Self> {
         Rc::new(Self {
             limit,
@@ -27,12 +27,12 @@
         })
     }
 
-    /// Gives the bytes that are kept.
+    /// Returns the number of bytes retained.
     pub fn used(&self) -> u64 {
         self.used.get()
     }
 
-    fn take(&self, bytes: u64) -> bool {
+    fn reserve(&self, bytes: u64) -> bool {
         let used = self.used.get() + bytes;
         let fits = used <= self.limit;
         if fits {
@@ -41,39 +41,39 @@
         fits
     }
 
-    fn give_back(&self, bytes: u64) {
+    fn release(&self, bytes: u64) {
         self.used.set(self.used.get() - bytes);
     }
 }
 
-/// A body that is read as it is sent, and kept to be sent again.
-pub struct KeptBody {
+/// A body that is streamed and retained, so that it can be sent again.
+pub struct ReplayableBody {
     state: Rc<State>,
     len: Option<u64>,
 }
 
 struct State {
-    room: Rc<KeepRoom>,
-    /// What was read, as long as all of it is kept.
+    budget: Rc<ReplayBudget>,
+    /// The chunks read so far; empty once they are discarded.
     chunks: RefCell<Vec<Bytes>>,
-    /// What was not read yet, while nobody reads it.
+    /// The unread rest of the body; `None` while a [`ReplayReader`] holds it.
     rest: RefCell<Option<Body>>,
-    /// Whether it was read to its end.
+    /// Whether the body was read to its end.
     has_ended: Cell<bool>,
-    /// Whether something that was read is not kept, or the body broke.
-    is_lost: Cell<bool>,
+    /// Whether the chunks were discarded, because the budget was exhausted or reading failed.
+    is_discarded: Cell<bool>,
 }
 
-impl KeptBody {
-    /// Makes a body that keeps what is read of it in `room`.
-    pub fn new(body: Body, room: &Rc<KeepRoom>) -> Self {
+impl ReplayableBody {
+    /// Creates a body that retains its chunks within `budget`.
+    pub fn new(body: Body, budget: &Rc<ReplayBudget>) -> Self {
         let len = body.known_len();
         let state = State {
-            room: Rc::clone(room),
+            budget: Rc::clone(budget),
             chunks: RefCell::default(),
             rest: RefCell::new(Some(body)),
             has_ended: Cell::new(false),
-            is_lost: Cell::new(false),
+            is_discarded: Cell::new(false),
         };
         Self {
             state: Rc::new(state),
@@ -81,43 +81,43 @@
         }
     }
 
-    /// Gives the bytes of the whole body, where that was told.
+    /// Returns the length of the whole body in bytes, if known.
     pub fn known_len(&self) -> Option<u64> {
         self.len
     }
 
-    /// Says whether the body can be sent from its first byte on.
-    pub fn is_there(&self) -> bool {
-        !self.state.is_lost.get() && self.state.rest.borrow().is_some()
+    /// Returns whether the body can be sent from its first byte.
+    pub fn is_replayable(&self) -> bool {
+        !self.state.is_discarded.get() && self.state.rest.borrow().is_some()
     }
 
-    /// Gives all of the body, where it was read to its end and all of it is kept.
-    pub fn whole(&self) -> Option<Vec<Bytes>> {
+    /// Returns the chunks of the whole body, if it was read to its end and is retained.
+    pub fn complete_chunks(&self) -> Option<Vec<Bytes>> {
         let chunks = self.state.chunks.borrow();
-        let kept: u64 = chunks.iter().map(len).sum();
-        let is_whole = self.state.has_ended.get() || self.len == Some(kept);
-        (is_whole && !self.state.is_lost.get()).then(|| chunks.clone())
+        let retained: u64 = chunks.iter().map(len).sum();
+        let is_complete = self.state.has_ended.get() || self.len == Some(retained);
+        (is_complete && !self.state.is_discarded.get()).then(|| chunks.clone())
     }
 
-    /// Reads what was not read yet, where its length is told and all of it can be kept.
+    /// Reads the rest of the body, if its length is known and fits the budget.
     pub async fn read_rest(&self) {
-        if !self.len.is_some_and(|len| self.state.has_room(len)) {
+        if !self.len.is_some_and(|len| self.state.fits_budget(len)) {
             return;
         }
-        let Some(mut body) = self.take() else {
+        let Some(mut body) = self.replay() else {
             return;
         };
         while let Some(Ok(_)) = body.next_chunk().await {}
     }
 
-    /// Gives the body from its first byte on, or nothing where a part that was sent before is not
-    /// kept any more, or an earlier send still reads it.
-    pub fn take(&self) -> Option<Body> {
-        if !self.is_there() {
+    /// Returns the body from its first byte, or `None` if chunks were discarded or an earlier send
+    /// still reads the body.
+    pub fn replay(&self) -> Option<Body> {
+        if !self.is_replayable() {
             return None;
         }
         let rest = self.state.rest.borrow_mut().take()?;
-        Some(Body::kept(KeptReader {
+        Some(Body::replayable(ReplayReader {
             state: Rc::clone(&self.state),
             rest: Some(rest),
             next: 0,
@@ -126,34 +126,34 @@
 }
 
 impl State {
-    /// Says whether a body of `len` bytes can be kept, of which some may be already.
-    fn has_room(&self, len: u64) -> bool {
-        let kept: u64 = self.chunks.borrow().iter().map(self::len).sum();
-        self.room.used.get() + len.saturating_sub(kept) <= self.room.limit
+    /// Returns whether a body of `len` bytes fits the budget, not counting chunks already retained.
+    fn fits_budget(&self, len: u64) -> bool {
+        let retained: u64 = self.chunks.borrow().iter().map(self::len).sum();
+        self.budget.used.get() + len.saturating_sub(retained) <= self.budget.limit
     }
 
-    fn keep(&self, chunk: &Bytes) {
-        if self.is_lost.get() {
+    fn retain(&self, chunk: &Bytes) {
+        if self.is_discarded.get() {
             return;
         }
-        if self.room.take(chunk.len() as u64) {
+        if self.budget.reserve(chunk.len() as u64) {
             self.chunks.borrow_mut().push(chunk.clone());
         } else {
-            self.lose();
+            self.discard();
         }
     }
 
-    /// Frees what is kept: without all of it, it is of no use.
-    fn lose(&self) {
-        self.is_lost.set(true);
+    /// Frees the retained chunks: an incomplete body can't be sent again.
+    fn discard(&self) {
+        self.is_discarded.set(true);
         let chunks = self.chunks.take();
-        self.room.give_back(chunks.iter().map(len).sum());
+        self.budget.release(chunks.iter().map(len).sum());
     }
 }
 
 impl Drop for State {
     fn drop(&mut self) {
-        self.lose();
+        self.discard();
     }
 }
 
@@ -161,14 +161,14 @@
     chunk.len() as u64
 }
 
-/// One reading of a kept body: first what was read before, then the rest.
-pub(crate) struct KeptReader {
+/// Reads a replayable body: first the retained chunks, then the rest.
+pub(crate) struct ReplayReader {
     state: Rc<State>,
     rest: Option<Body>,
     next: usize,
 }
 
-impl KeptReader {
+impl ReplayReader {
     pub(crate) fn known_len(&self) -> Option<u64> {
         let rest = self.rest.as_ref().and_then(Body::known_len)?;
         let chunks = self.state.chunks.borrow();
@@ -182,25 +182,25 @@
     }
 
     pub(crate) async fn next_chunk(&mut self) -> Option<Result<Bytes, BodyError>> {
-        let kept = self.state.chunks.borrow().get(self.next).cloned();
-        if let Some(chunk) = kept {
+        let retained = self.state.chunks.borrow().get(self.next).cloned();
+        if let Some(chunk) = retained {
             self.next += 1;
             return Some(Ok(chunk));
         }
         let read = Box::pin(self.rest.as_mut()?.next_chunk()).await;
         match &read {
             Some(Ok(chunk)) => {
-                self.state.keep(chunk);
+                self.state.retain(chunk);
                 self.next += 1;
             }
-            Some(Err(_)) => self.state.lose(),
+            Some(Err(_)) => self.state.discard(),
             None => self.state.has_ended.set(true),
         }
         read
     }
 }
 
-impl Drop for KeptReader {
+impl Drop for ReplayReader {
     fn drop(&mut self) {
         *self.state.rest.borrow_mut() = self.rest.take();
     }
--- a/crates/http/src/lib.rs
+++ b/crates/http/src/lib.rs
@@ -1,8 +1,9 @@
-//! HTTP/1.1 servers and client pools over monoio-http, with bounded buffers and strict input checks.
+//! HTTP/1.1 servers and client pools over `monoio-http`, with bounded buffers and strict input
+//! validation.
 //!
 //! [`serve`] answers callers with a [`Handler`], one task for each connection. A [`Pool`]
-//! sends requests to one backend server or peer. Bodies stream both ways in chunks, and a
-//! body is read from its connection only as fast as it is asked for.
+//! sends requests to one backend server or peer. Bodies are streamed in both directions, with
+//! backpressure: a body is read from its connection only as fast as it is consumed.
 
 mod ahead;
 mod body;
@@ -28,14 +29,14 @@
 mod timeout;
 mod writer;
 
-pub use ahead::{AheadRule, MayGoAhead};
-pub use body::{Body, BodyError, BodySender, ReaderGone};
+pub use ahead::{AheadPredicate, AheadRule};
+pub use body::{Body, BodyDropped, BodyError, BodySender};
 pub use flag::{Flag, Wait};
 pub use head::HeadError;
 pub use headers::{CALLER_HEADERS, SYSTEM_PREFIX, strip_system_headers};
-pub use kept::{KeepRoom, KeptBody};
+pub use kept::{ReplayBudget, ReplayableBody};
 pub use message::{Handler, Request, RequestHead, Response};
 pub use pool::{Pool, PoolConfig, SendOptions};
-pub use send_error::{Handed, SendError, Step};
+pub use send_error::{SendError, SendProgress, Step};
 pub use server::{Limits, serve};
 pub use socket::LivenessOptions;
