--- a/crates/cli/src/ops/key.rs
+++ b/crates/cli/src/ops/key.rs
@@ -31,7 +31,7 @@
     let rights = options
         .value(Opt::Rights)
         .ok_or_else(|| missing("rights"))?;
-    let key = NewKey::draw(id).map_err(|cause| RandomSnafu { cause }.build())?;
+    let key = NewKey::generate(id).map_err(|cause| RandomSnafu { cause }.build())?;
     let object = json!({
         "branch": options.value(Opt::Branch).unwrap_or_default(),
         "holder": holder,
--- a/crates/cli/tests/support/mod.rs
+++ b/crates/cli/tests/support/mod.rs
@@ -15,7 +15,9 @@
 use heatherknot_http::{Flag, Limits, serve};
 use heatherknot_operator::api::{DaemonStatus, ExplainAnswer, ExplainStep};
 use heatherknot_operator::{Held, OperatorContext, handler};
-use heatherknot_settings::{ChainPoint, Change, FirstKey, Holder, NewKey, OperatorKey};
+use heatherknot_settings::{
+    BootstrapKey, ChainPoint, Change, NewKey, OperatorKey, SettingsReplica,
+};
 use heatherknot_store::commit::history::{HistoryPage, StoredChange};
 use heatherknot_store::commit::{CommandId, CommitOutcome, Proposal, Rejection};
 use heatherknot_test_support::layouts;
@@ -66,7 +68,7 @@
 }
 
 fn context(memory: &Arc<Mutex<Memory>>) -> OperatorContext {
-    let holder = Rc::new(RefCell::new(Holder::new()));
+    let holder = Rc::new(RefCell::new(SettingsReplica::new()));
     let (h1, h2) = (holder.clone(), holder);
     let (m1, m2, m3, m4) = (
         memory.clone(),
@@ -105,7 +107,7 @@
     }
 }
 
-fn held(holder: &Rc<RefCell<Holder>>) -> Held {
+fn held(holder: &Rc<RefCell<SettingsReplica>>) -> Held {
     let holder = holder.borrow();
     Held {
         at: holder.at(),
@@ -182,7 +184,7 @@
     NewKey::from_bytes("first", [3; 16], [5; 32])
 }
 
-fn first_key() -> FirstKey {
+fn first_key() -> BootstrapKey {
     let key = new_key();
     let object = json!({
         "holder": "Night shift",
@@ -191,7 +193,7 @@
         "salt": key.salt,
         "hash": key.hash,
     });
-    FirstKey {
+    BootstrapKey {
         id: "first".into(),
         key: OperatorKey::read("first", object.as_object().unwrap()).unwrap(),
     }
--- a/crates/daemon/src/assemble.rs
+++ b/crates/daemon/src/assemble.rs
@@ -12,7 +12,7 @@
     Membership, MembershipContext, MembershipHooks, MembershipOptions, MethodTable, PeerContext,
     PeerId, PeerNet, PeerOptions, Relay, RelayOptions, Secret,
 };
-use heatherknot_settings::Holder;
+use heatherknot_settings::SettingsReplica;
 use heatherknot_steering::{Identity, Steering, Tuning};
 use heatherknot_store::backoff::Backoff;
 use heatherknot_store::budget::{self, CallLimits, PlatformRates};
@@ -41,7 +41,7 @@
     callers: SocketAddr,
     store: Store,
     vm_list: VmList,
-    holder: Rc<RefCell<Holder>>,
+    holder: Rc<RefCell<SettingsReplica>>,
     leaving: Flag,
     cell: ContextCell,
 }
@@ -105,7 +105,7 @@
         callers,
         store: limited_store(&cfg, &cell, &clock),
         vm_list: http_vm_list::connect(cfg.platform.vm_list, VM_LIST_TIMEOUT),
-        holder: Rc::new(RefCell::new(Holder::new())),
+        holder: Rc::new(RefCell::new(SettingsReplica::new())),
         leaving: Flag::new(),
         clock,
         cell,
--- a/crates/daemon/src/config.rs
+++ b/crates/daemon/src/config.rs
@@ -7,7 +7,7 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-use heatherknot_settings::{FirstKey, OperatorKey, SettingsError};
+use heatherknot_settings::{BootstrapKey, OperatorKey, SettingsError};
 use heatherknot_types::prelude::*;
 use serde::{Deserialize, Serialize};
 use snafu::{ResultExt, Snafu};
@@ -145,9 +145,9 @@
     /// # Errors
     ///
     /// Fails where the object is not a key; the error names the faults.
-    pub fn key(&self) -> Result<FirstKey, SettingsError> {
+    pub fn key(&self) -> Result<BootstrapKey, SettingsError> {
         let key = OperatorKey::read(&self.id, &self.key)?;
-        Ok(FirstKey {
+        Ok(BootstrapKey {
             id: self.id.as_str().into(),
             key,
         })
--- a/crates/daemon/src/context.rs
+++ b/crates/daemon/src/context.rs
@@ -9,7 +9,7 @@
 use heatherknot_gateway::slots::Member;
 use heatherknot_http::Flag;
 use heatherknot_peer::{Membership, PeerNet, Relay};
-use heatherknot_settings::Holder;
+use heatherknot_settings::SettingsReplica;
 use heatherknot_steering::Steering;
 use heatherknot_store::port::Store;
 use heatherknot_store::vm_list::VmList;
@@ -48,7 +48,7 @@
     /// The platform's list of VMs.
     pub vm_list: VmList,
     /// The settings in force.
-    pub holder: Rc<RefCell<Holder>>,
+    pub holder: Rc<RefCell<SettingsReplica>>,
     /// Since when they are in force.
     pub in_force_since: Cell<Millis>,
     /// The version of the capacity ledger in force.
--- a/crates/daemon/src/settings_task.rs
+++ b/crates/daemon/src/settings_task.rs
@@ -4,13 +4,13 @@
 use std::sync::Arc;
 
 use heatherknot_peer::settings_port::SettingsPort;
-use heatherknot_settings::Holder;
+use heatherknot_settings::SettingsReplica;
 use std::cell::RefCell;
 
 use crate::context::{ContextCell, DaemonContext};
 
 /// Makes the port by which the relay hands settings to this daemon's holder.
-pub fn port(holder: &Rc<RefCell<Holder>>, cell: &ContextCell) -> SettingsPort {
+pub fn port(holder: &Rc<RefCell<SettingsReplica>>, cell: &ContextCell) -> SettingsPort {
     let cell = cell.clone();
     let changed = Rc::new(move |_| {
         if let Some(cx) = cell.get() {
--- a/crates/daemon/tests/support/mod.rs
+++ b/crates/daemon/tests/support/mod.rs
@@ -152,7 +152,7 @@
 
 /// Draws the key of the first operator.
 pub fn key() -> NewKey {
-    NewKey::draw("first").expect("randomness")
+    NewKey::generate("first").expect("randomness")
 }
 
 /// Starts a daemon of the failure domain `north-1` and waits until it listens.
--- a/crates/operator/src/change.rs
+++ b/crates/operator/src/change.rs
@@ -106,7 +106,7 @@
         action => edited(before, &session.operator, action)?,
     };
     let edits = before.diff(&after);
-    session.operator.may_change(before, &after, &edits)?;
+    session.operator.authorize_change(before, &after, &edits)?;
     let author = Author {
         command: req.command.as_str().into(),
         who: session.operator.key.holder.clone(),
@@ -159,7 +159,7 @@
     let entry = entry_for(session.branch(), tree, change);
     let whole = entry.filter(|entry| entry.edits == change.edits);
     whole.context(missing)?;
-    Ok(change.undone(tree)?)
+    Ok(change.reverted(tree)?)
 }
 
 async fn conflicts(
--- a/crates/operator/src/context.rs
+++ b/crates/operator/src/context.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 
 use futures_util::future::LocalBoxFuture;
-use heatherknot_settings::{ChainPoint, FirstKey, Tree};
+use heatherknot_settings::{BootstrapKey, ChainPoint, Tree};
 use heatherknot_store::commit::history::HistoryPage;
 use heatherknot_store::commit::{CommandId, CommitOutcome, Proposal};
 use heatherknot_store::error::StoreError;
@@ -41,7 +41,7 @@
     /// Explains where callers of a service go; none for a service that isn't there.
     pub explain: Rc<dyn Fn(ExplainRequest) -> LocalBoxFuture<'static, Option<ExplainAnswer>>>,
     /// The first operator's key from the daemon's own configuration.
-    pub first_key: Option<FirstKey>,
+    pub first_key: Option<BootstrapKey>,
     /// Gives the wall-clock time, in milliseconds since 1970.
     pub wall_clock_ms: Rc<dyn Fn() -> u64>,
 }
--- a/crates/operator/src/read.rs
+++ b/crates/operator/src/read.rs
@@ -23,7 +23,7 @@
 pub fn get(session: &Session, req: &PathRequest) -> Result<GetAnswer, CallError> {
     let tree = &session.held.tree;
     let path = TreePath::parse(&req.path)?;
-    session.operator.may_read(tree, &path)?;
+    session.operator.authorize_read(tree, &path)?;
     let what = format!("node `{path}`");
     Ok(GetAnswer {
         revision: session.held.at.revision,
@@ -35,7 +35,7 @@
 pub fn effective(session: &Session, req: &PathRequest) -> Result<EffectiveAnswer, CallError> {
     let tree = &session.held.tree;
     let path = TreePath::parse(&req.path)?;
-    session.operator.may_read(tree, &path)?;
+    session.operator.authorize_read(tree, &path)?;
     Ok(EffectiveAnswer {
         revision: session.held.at.revision,
         values: tree.effective(&path)?,
@@ -46,7 +46,7 @@
 pub async fn diff(session: &Session, req: &DiffRequest) -> Result<DiffAnswer, CallError> {
     let tree = &session.held.tree;
     let path = TreePath::parse(&req.path)?;
-    session.operator.may_read(tree, &path)?;
+    session.operator.authorize_read(tree, &path)?;
     let held = session.held.at.revision;
     let to = req.to.unwrap_or(held);
     let asked = to.max(req.from);
--- a/crates/operator/src/report.rs
+++ b/crates/operator/src/report.rs
@@ -75,7 +75,7 @@
 /// Explains where callers of a service go.
 pub async fn explain(session: &Session, req: ExplainRequest) -> Result<ExplainAnswer, CallError> {
     let path = TreePath::parse(&req.service)?;
-    session.operator.may_read(&session.held.tree, &path)?;
+    session.operator.authorize_read(&session.held.tree, &path)?;
     let address = req.client.split('/').next().unwrap_or("");
     ensure!(
         address.parse::<IpAddr>().is_ok(),
--- a/crates/operator/tests/support/mod.rs
+++ b/crates/operator/tests/support/mod.rs
@@ -13,7 +13,7 @@
 };
 use heatherknot_operator::context::StoreFuture;
 use heatherknot_operator::{Held, OperatorContext, handler};
-use heatherknot_settings::{Change, FirstKey, Holder, NewKey, OperatorKey};
+use heatherknot_settings::{BootstrapKey, Change, NewKey, OperatorKey, SettingsReplica};
 use heatherknot_store::backoff::Backoff;
 use heatherknot_store::commit::history::audit_after;
 use heatherknot_store::commit::{ResolvePolicy, commit, find_command};
@@ -65,14 +65,14 @@
     key("first", "", &[]).0
 }
 
-fn first_key() -> FirstKey {
+fn first_key() -> BootstrapKey {
     let (_, json) = key(
         "first",
         "",
         &["read", "change", "drain", "audit", "platform"],
     );
     let key = OperatorKey::read("first", json.as_object().unwrap()).unwrap();
-    FirstKey {
+    BootstrapKey {
         id: "first".into(),
         key,
     }
@@ -86,7 +86,7 @@
 /// A daemon's side of the interface, with a holder of its own.
 pub struct Daemon {
     /// What it holds.
-    pub holder: Rc<RefCell<Holder>>,
+    pub holder: Rc<RefCell<SettingsReplica>>,
     /// What it says of all daemons.
     pub status: Rc<RefCell<Vec<DaemonStatus>>>,
     /// How often it was asked for that.
@@ -99,7 +99,7 @@
     /// Makes a daemon that reaches the platform over loopback.
     pub fn new(platform: &PlatformHandle) -> Daemon {
         let store = connect(StoreConfig::new(platform.address()));
-        let holder = Rc::new(RefCell::new(Holder::new()));
+        let holder = Rc::new(RefCell::new(SettingsReplica::new()));
         let status = Rc::new(RefCell::new(Vec::new()));
         let looks = Rc::new(Cell::new(0));
         let refreshing = Rc::new(Cell::new(0));
@@ -197,7 +197,7 @@
 
 fn context(
     store: &Store,
-    holder: &Rc<RefCell<Holder>>,
+    holder: &Rc<RefCell<SettingsReplica>>,
     status: &Rc<RefCell<Vec<DaemonStatus>>>,
     looks: &Rc<Cell<u32>>,
     refreshing: &Rc<Cell<u32>>,
@@ -256,7 +256,7 @@
     }
 }
 
-fn held(holder: &Rc<RefCell<Holder>>) -> Held {
+fn held(holder: &Rc<RefCell<SettingsReplica>>) -> Held {
     let holder = holder.borrow();
     Held {
         at: holder.at(),
@@ -264,7 +264,7 @@
     }
 }
 
-fn refresh(store: Store, holder: Rc<RefCell<Holder>>) -> StoreFuture<Held> {
+fn refresh(store: Store, holder: Rc<RefCell<SettingsReplica>>) -> StoreFuture<Held> {
     async move {
         loop {
             let after = holder.borrow().revision();
--- a/crates/peer/src/settings_port.rs
+++ b/crates/peer/src/settings_port.rs
@@ -6,7 +6,7 @@
 
 use futures_util::future::LocalBoxFuture;
 use heatherknot_settings::change::Change;
-use heatherknot_settings::holder::{Holder, Snapshot};
+use heatherknot_settings::replica::{SettingsReplica, Snapshot};
 use heatherknot_types::prelude::*;
 use serde::{Deserialize, Serialize};
 use serde_json::value::RawValue;
@@ -74,7 +74,7 @@
 
 impl SettingsPort {
     /// Makes the port of a holder; `changed` is called after each new revision.
-    pub fn for_holder(holder: Rc<RefCell<Holder>>, changed: Rc<dyn Fn(Revision)>) -> Self {
+    pub fn for_holder(holder: Rc<RefCell<SettingsReplica>>, changed: Rc<dyn Fn(Revision)>) -> Self {
         let (revision, snapshot) = (Rc::clone(&holder), Rc::clone(&holder));
         Self {
             revision: Rc::new(move || revision.borrow().revision()),
@@ -92,7 +92,7 @@
     }
 }
 
-fn apply_to(holder: &mut Holder, delivery: &Delivery) -> Result<(), String> {
+fn apply_to(holder: &mut SettingsReplica, delivery: &Delivery) -> Result<(), String> {
     let applied = match delivery {
         Delivery::Changes(changes) => {
             let changes = changes.iter().map(|c| serde_json::from_str(c.body.get()));
@@ -107,7 +107,7 @@
     applied.map(|_| ()).map_err(|e| e.to_string())
 }
 
-fn relayed_snapshot(holder: &Holder) -> Option<RelayedSnapshot> {
+fn relayed_snapshot(holder: &SettingsReplica) -> Option<RelayedSnapshot> {
     let revision = holder.revision();
     if revision == Revision::NONE {
         return None;
--- a/crates/peer/tests/relay.rs
+++ b/crates/peer/tests/relay.rs
@@ -7,7 +7,7 @@
 
 use heatherknot_peer::{Delivery, Origin, RelayedSnapshot, SettingsPort};
 use heatherknot_settings::change::ChainPoint;
-use heatherknot_settings::holder::{Holder, Snapshot};
+use heatherknot_settings::replica::{SettingsReplica, Snapshot};
 use heatherknot_types::prelude::*;
 use support::fleet::{
     FakeStore, Node, NodeSetup, all_alive, change, set_between, settled_fleet_with_store,
@@ -323,7 +323,7 @@
 #[test]
 fn a_holder_takes_newer_snapshots_only_and_tells_of_each_new_revision() {
     let snapshot = |revision: u64| {
-        let empty = Holder::new().snapshot();
+        let empty = SettingsReplica::new().snapshot();
         let at = ChainPoint {
             revision: Revision(revision),
             ..empty.at
@@ -335,7 +335,7 @@
     };
     let told = Rc::new(RefCell::new(Vec::new()));
     let tell = Rc::clone(&told);
-    let holder = Rc::new(RefCell::new(Holder::new()));
+    let holder = Rc::new(RefCell::new(SettingsReplica::new()));
     let port = SettingsPort::for_holder(holder, Rc::new(move |rev| tell.borrow_mut().push(rev)));
     let nothing = (port.snapshot)();
 
--- a/crates/settings/examples/settings-cost.rs
+++ b/crates/settings/examples/settings-cost.rs
@@ -6,7 +6,9 @@
 use std::hint::black_box;
 use std::time::Instant;
 
-use heatherknot_settings::{Author, Change, Digest, Edit, Holder, Snapshot, Tree, TreePath};
+use heatherknot_settings::{
+    Author, Change, Digest, Edit, SettingsReplica, Snapshot, Tree, TreePath,
+};
 use heatherknot_types::prelude::*;
 use serde_json::json;
 
@@ -25,7 +27,7 @@
     println!("accounts {accounts}, services {}", accounts * SERVICES);
     println!("document {} bytes", text.len());
     let before = resident_kib("VmRSS");
-    let mut holder = Holder::new();
+    let mut holder = SettingsReplica::new();
     holder
         .accept_snapshot(snapshot(&text))
         .expect("the tree holds");
@@ -51,7 +53,7 @@
 }
 
 /// Times a holder that takes one change of one value after another.
-fn follow(holder: &mut Holder) {
+fn follow(holder: &mut SettingsReplica) {
     let mut times = Vec::new();
     let mut bytes = 0;
     for round in 0..ROUNDS {
@@ -67,7 +69,7 @@
     show("accept one change and compile", times);
 }
 
-fn next_change(holder: &Holder, round: usize) -> String {
+fn next_change(holder: &SettingsReplica, round: usize) -> String {
     let path = "accounts/account-7/services/service-1/queue_len".to_string();
     let before = holder.tree().get(&TreePath::parse(&path).expect("a path"));
     let edit = Edit {
--- a/crates/settings/src/access.rs
+++ b/crates/settings/src/access.rs
@@ -57,7 +57,7 @@
 /// The first operator's key, which a daemon reads from its own configuration. With it the
 /// platform's owners fill the empty tree.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct FirstKey {
+pub struct BootstrapKey {
     /// The identifier of the key.
     pub id: Arc<str>,
     /// What it may do.
@@ -75,7 +75,7 @@
     /// Gives [`Denied::UnknownKey`], the same for an unknown identifier and a wrong secret.
     pub fn authenticate(
         tree: &Tree,
-        first: Option<&FirstKey>,
+        first: Option<&BootstrapKey>,
         secret: &str,
     ) -> Result<Operator, Denied> {
         let id = secret_id(secret).context(UnknownKeySnafu)?;
@@ -126,7 +126,7 @@
     /// # Errors
     ///
     /// Gives [`Denied::NoRight`] or [`Denied::OutsideBranch`].
-    pub fn may_read(&self, tree: &Tree, path: &TreePath) -> Result<(), Denied> {
+    pub fn authorize_read(&self, tree: &Tree, path: &TreePath) -> Result<(), Denied> {
         self.require(Right::Read)?;
         self.require_within(tree, path)
     }
@@ -136,7 +136,12 @@
     /// # Errors
     ///
     /// Gives [`Denied`] for the first edit that the key may not make.
-    pub fn may_change(&self, before: &Tree, after: &Tree, edits: &[Edit]) -> Result<(), Denied> {
+    pub fn authorize_change(
+        &self,
+        before: &Tree,
+        after: &Tree,
+        edits: &[Edit],
+    ) -> Result<(), Denied> {
         for edit in edits {
             self.may_edit(before, after, edit)?;
         }
--- a/crates/settings/src/audit.rs
+++ b/crates/settings/src/audit.rs
@@ -121,7 +121,7 @@
 
 /// Gives what is kept of a change in a pack.
 #[must_use]
-pub fn shortened(change: &Change) -> Change {
+pub fn compacted(change: &Change) -> Change {
     let mut kept = change.clone();
     for edit in &mut kept.edits {
         if values_len(edit) > KEPT_VALUE_BYTES {
--- a/crates/settings/src/change.rs
+++ b/crates/settings/src/change.rs
@@ -191,7 +191,7 @@
     ///
     /// Gives [`SettingsError::Conflict`] where a later change has changed the same node, and
     /// the errors of [`Tree::from_document`].
-    pub fn undone(&self, tree: &Tree) -> Result<Tree, SettingsError> {
+    pub fn reverted(&self, tree: &Tree) -> Result<Tree, SettingsError> {
         let edits = self.edits.iter().rev();
         let edits: Vec<Edit> = edits.map(Edit::inverse).collect();
         tree.edited(&edits)
--- a/crates/settings/src/operator_key.rs
+++ b/crates/settings/src/operator_key.rs
@@ -153,7 +153,7 @@
     /// # Errors
     ///
     /// Gives the operating system's error where it has no randomness to give.
-    pub fn draw(id: &str) -> Result<NewKey, getrandom::Error> {
+    pub fn generate(id: &str) -> Result<NewKey, getrandom::Error> {
         let mut salt = [0; SALT_BYTES];
         let mut random = [0; SECRET_BYTES];
         getrandom::fill(&mut salt)?;
--- a/crates/settings/src/holder.rs
+++ b/crates/settings/src/replica.rs
@@ -90,7 +90,7 @@
 
 /// Why a holder refused what it was given. It keeps what it holds in each of the cases.
 #[derive(Debug, Snafu)]
-pub enum HoldError {
+pub enum AcceptError {
     /// Changes between the held revision and the first one given are missing: the giver must
     /// send them, or a whole snapshot.
     #[snafu(display("hold settings: holds {held}, was given {given} without those between"))]
@@ -136,22 +136,22 @@
 /// settings, in any order and at any time. The holder takes only a higher revision than the
 /// one that it holds, so that none of them can put older settings back in force.
 #[derive(Clone, Debug)]
-pub struct Holder {
+pub struct SettingsReplica {
     at: ChainPoint,
     tree: Rc<Tree>,
     unreadable: Option<Unreadable>,
 }
 
-impl Default for Holder {
+impl Default for SettingsReplica {
     fn default() -> Self {
-        Holder::new()
+        SettingsReplica::new()
     }
 }
 
-impl Holder {
+impl SettingsReplica {
     /// Makes a holder of the empty tree at no revision.
-    pub fn new() -> Holder {
-        Holder {
+    pub fn new() -> SettingsReplica {
+        SettingsReplica {
             at: ChainPoint::default(),
             tree: Rc::new(Tree::empty()),
             unreadable: None,
@@ -189,9 +189,9 @@
     ///
     /// # Errors
     ///
-    /// Gives the [`HoldError`] for what it refused. Good revisions before an unreadable one
+    /// Gives the [`AcceptError`] for what it refused. Good revisions before an unreadable one
     /// are in force afterwards.
-    pub fn accept_changes(&mut self, changes: &[Change]) -> Result<bool, HoldError> {
+    pub fn accept_changes(&mut self, changes: &[Change]) -> Result<bool, AcceptError> {
         let same = |change: &&Change| change.revision == self.at.revision;
         if let Some(change) = changes.iter().find(same) {
             self.check_fork(change.point())?;
@@ -223,8 +223,8 @@
     ///
     /// # Errors
     ///
-    /// Gives [`HoldError::Fork`], [`HoldError::Damaged`] or [`HoldError::CannotRead`].
-    pub fn accept_snapshot(&mut self, snapshot: Snapshot) -> Result<bool, HoldError> {
+    /// Gives [`AcceptError::Fork`], [`AcceptError::Damaged`] or [`AcceptError::CannotRead`].
+    pub fn accept_snapshot(&mut self, snapshot: Snapshot) -> Result<bool, AcceptError> {
         let revision = snapshot.at.revision;
         if revision <= self.at.revision {
             if revision == self.at.revision {
@@ -243,7 +243,7 @@
 
     // Only a run with an unreadable end comes here, to bring the good revisions before that
     // end in force.
-    fn accept_one_by_one(&mut self, changes: &[Change]) -> Result<bool, HoldError> {
+    fn accept_one_by_one(&mut self, changes: &[Change]) -> Result<bool, AcceptError> {
         for change in changes {
             let tree = change.apply(&self.tree);
             let tree = tree.map_err(|source| self.cannot_read(change.revision, source))?;
@@ -252,7 +252,7 @@
         Ok(true)
     }
 
-    fn check_fork(&self, given: ChainPoint) -> Result<(), HoldError> {
+    fn check_fork(&self, given: ChainPoint) -> Result<(), AcceptError> {
         ensure!(
             given.hash == self.at.hash,
             ForkSnafu {
@@ -269,7 +269,7 @@
             .take_if(|unreadable| unreadable.revision <= at.revision);
     }
 
-    fn cannot_read(&mut self, revision: Revision, source: SettingsError) -> HoldError {
+    fn cannot_read(&mut self, revision: Revision, source: SettingsError) -> AcceptError {
         let known = self.unreadable.as_ref();
         if known.is_none_or(|known| known.revision < revision) {
             self.unreadable = Some(Unreadable {
--- a/crates/settings/tests/access.rs
+++ b/crates/settings/tests/access.rs
@@ -3,7 +3,7 @@
 mod support;
 
 use heatherknot_settings::{
-    Denied, FirstKey, NewKey, Operator, OperatorKey, Right, Tree, TreePath,
+    BootstrapKey, Denied, NewKey, Operator, OperatorKey, Right, Tree, TreePath,
 };
 use heatherknot_types::prelude::*;
 use serde_json::{Value as Json, json};
@@ -26,14 +26,14 @@
 fn operator(id: &str, branch: &str, rights: &[&str]) -> Operator {
     let (secret, json) = key_json(id, branch, rights);
     let key = OperatorKey::read(id, json.as_object().unwrap()).unwrap();
-    let first = FirstKey { id: id.into(), key };
+    let first = BootstrapKey { id: id.into(), key };
     Operator::authenticate(&Tree::empty(), Some(&first), &secret).unwrap()
 }
 
 fn try_change(operator: &Operator, before: &Tree, path: &str, value: Json) -> Result<(), Denied> {
     let after = support::with(before, path, value);
     let edits = before.diff(&after);
-    operator.may_change(before, &after, &edits)
+    operator.authorize_change(before, &after, &edits)
 }
 
 #[test]
@@ -66,8 +66,8 @@
 
 #[test]
 fn drawn_keys_differ() {
-    let one = NewKey::draw("a").unwrap();
-    let two = NewKey::draw("a").unwrap();
+    let one = NewKey::generate("a").unwrap();
+    let two = NewKey::generate("a").unwrap();
 
     assert_ne!(one.secret, two.secret);
     assert_ne!(one.salt, two.salt);
@@ -77,7 +77,7 @@
 fn a_branch_key_reads_its_branch_and_nothing_else() {
     let tree = support::tree();
     let operator = operator("tutor", BRANCH, &["read"]);
-    let read = |path: &str| operator.may_read(&tree, &TreePath::parse(path).unwrap());
+    let read = |path: &str| operator.authorize_read(&tree, &TreePath::parse(path).unwrap());
 
     assert!(read("training:gallery").is_ok());
     for path in [
@@ -214,7 +214,7 @@
             };
             let edits = before.diff(&after);
 
-            let allowed = operator.may_change(&before, &after, &edits).is_ok();
+            let allowed = operator.authorize_change(&before, &after, &edits).is_ok();
 
             let (old, new) = (before.compile(Revision(1)), after.compile(Revision(1)));
             let other = "utilities/port-louis:gallery";
--- a/crates/settings/tests/audit.rs
+++ b/crates/settings/tests/audit.rs
@@ -2,7 +2,7 @@
 
 mod support;
 
-use heatherknot_settings::audit::{entry_for, shortened};
+use heatherknot_settings::audit::{compacted, entry_for};
 use heatherknot_settings::change::verify_chain;
 use serde_json::json;
 use support::{first_change, set};
@@ -53,13 +53,13 @@
         .collect();
     let (second, _) = set(first.point(), &support::tree(), long, json!(routes));
 
-    let (short, shortened) = (shortened(&first), shortened(&second));
+    let (short, compacted) = (compacted(&first), compacted(&second));
 
     assert_eq!(short, first);
-    assert_eq!(shortened.edits[0].path, second.edits[0].path);
+    assert_eq!(compacted.edits[0].path, second.edits[0].path);
     assert_eq!(
-        (&shortened.edits[0].before, &shortened.edits[0].after),
+        (&compacted.edits[0].before, &compacted.edits[0].after),
         (&None, &None)
     );
-    assert!(verify_chain(first.point(), &[shortened]).is_ok());
+    assert!(verify_chain(first.point(), &[compacted]).is_ok());
 }
--- a/crates/settings/tests/holder.rs
+++ b/crates/settings/tests/holder.rs
@@ -2,8 +2,8 @@
 
 mod support;
 
-use heatherknot_settings::holder::HoldError;
-use heatherknot_settings::{ChainPoint, Change, Digest, Holder, Snapshot};
+use heatherknot_settings::replica::AcceptError;
+use heatherknot_settings::{ChainPoint, Change, Digest, SettingsReplica, Snapshot};
 use heatherknot_types::prelude::*;
 use serde_json::json;
 use support::{Draw, accepted_trees, chain, first_change, set};
@@ -16,8 +16,8 @@
     vec![first, second, third]
 }
 
-fn holder_at(changes: &[Change]) -> Holder {
-    let mut holder = Holder::new();
+fn holder_at(changes: &[Change]) -> SettingsReplica {
+    let mut holder = SettingsReplica::new();
     holder.accept_changes(changes).unwrap();
     holder
 }
@@ -25,7 +25,7 @@
 #[test]
 fn changes_bring_their_revisions_in_force_in_order() {
     let changes = three_changes();
-    let mut holder = Holder::new();
+    let mut holder = SettingsReplica::new();
 
     let first = holder.accept_changes(&changes[..1]).unwrap();
     let rest = holder.accept_changes(&changes).unwrap();
@@ -61,7 +61,7 @@
             let trees = accepted_trees(draws);
             let base = Snapshot::new(first_change().point(), &trees[0].document());
             let changes = chain(base.at, &trees);
-            let mut holder = Holder::new();
+            let mut holder = SettingsReplica::new();
             holder.accept_snapshot(base.clone()).unwrap();
 
             for (from, len, whole) in deliveries {
@@ -95,7 +95,7 @@
 
     let gap = matches!(
         refused,
-        Err(HoldError::Gap {
+        Err(AcceptError::Gap {
             held: Revision(1),
             given: Revision(3)
         })
@@ -116,7 +116,7 @@
 
     let refused = holder.accept_snapshot(newer);
 
-    assert!(matches!(refused, Err(HoldError::CannotRead { .. })));
+    assert!(matches!(refused, Err(AcceptError::CannotRead { .. })));
     assert_eq!(holder.revision(), Revision(3));
     assert_eq!(holder.unreadable().unwrap().revision, Revision(4));
     let undone = snapshot_of(5, &good);
@@ -141,13 +141,13 @@
     document["defaults"]["deadline_ms"] = json!("6 s");
     changes[2].tree = Digest::of(&document);
     changes[2].hash = changes[2].computed_hash();
-    let mut holder = Holder::new();
+    let mut holder = SettingsReplica::new();
 
     let refused = holder.accept_changes(&changes);
 
     assert!(matches!(
         refused,
-        Err(HoldError::CannotRead {
+        Err(AcceptError::CannotRead {
             revision: Revision(3),
             ..
         })
@@ -166,7 +166,7 @@
 
     assert!(matches!(
         refused,
-        Err(HoldError::Fork {
+        Err(AcceptError::Fork {
             revision: Revision(3)
         })
     ));
@@ -181,13 +181,13 @@
     let mut snapshot = Snapshot::new(good.at(), &altered);
     snapshot.digest = good.tree().digest();
     changes[1].edits[0].after = Some(json!(1));
-    let mut holder = Holder::new();
+    let mut holder = SettingsReplica::new();
 
     let by_changes = holder.accept_changes(&changes);
     let by_snapshot = holder.accept_snapshot(snapshot);
 
-    assert!(matches!(by_changes, Err(HoldError::Broken { .. })));
-    assert!(matches!(by_snapshot, Err(HoldError::Damaged { .. })));
+    assert!(matches!(by_changes, Err(AcceptError::Broken { .. })));
+    assert!(matches!(by_snapshot, Err(AcceptError::Damaged { .. })));
     assert_eq!(holder.revision(), Revision::NONE);
 }
 
@@ -197,7 +197,7 @@
     let good = holder_at(&changes);
 
     let text = serde_json::to_string(&good.snapshot()).unwrap();
-    let mut holder = Holder::new();
+    let mut holder = SettingsReplica::new();
     let taken = holder.accept_snapshot(serde_json::from_str(&text).unwrap());
 
     assert!(taken.unwrap());
--- a/crates/settings/tests/properties.rs
+++ b/crates/settings/tests/properties.rs
@@ -70,7 +70,7 @@
             let changes = chain(ChainPoint::default(), &trees);
             let Some(last) = changes.last() else { return };
 
-            let undone = last.undone(&trees[trees.len() - 1]).unwrap();
+            let undone = last.reverted(&trees[trees.len() - 1]).unwrap();
 
             assert_eq!(undone, trees[trees.len() - 2]);
         });
--- a/crates/store/src/commit/maintenance.rs
+++ b/crates/store/src/commit/maintenance.rs
@@ -1,7 +1,7 @@
 //! Keeps what the store holds of the settings small: snapshots, packs, old records.
 
 use bytes::Bytes;
-use heatherknot_settings::audit::shortened;
+use heatherknot_settings::audit::compacted;
 use heatherknot_settings::{Change, Snapshot};
 use heatherknot_types::prelude::*;
 
@@ -94,7 +94,7 @@
 /// kept as it is.
 fn shorten(change: &Bytes) -> Bytes {
     match serde_json::from_slice::<Change>(change) {
-        Ok(change) => to_json(&shortened(&change)),
+        Ok(change) => to_json(&compacted(&change)),
         Err(_) => change.clone(),
     }
 }
