--- a/crates/cli/src/lib.rs
+++ b/crates/cli/src/lib.rs
@@ -27,21 +27,21 @@
 
 /// What one run of the program prints, and how it ends.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Finished {
+pub struct CommandOutput {
     /// The text for standard output.
-    pub out: String,
+    pub stdout: String,
     /// The text for standard error.
-    pub err: String,
+    pub stderr: String,
     /// The exit code.
     pub exit: Exit,
 }
 
 /// Runs one command.
-pub fn run(args: Vec<OsString>, env: &Env) -> Finished {
+pub fn run(args: Vec<OsString>, env: &Env) -> CommandOutput {
     match parse::parse(args) {
-        Ok(Parsed::Help(text)) => Finished {
-            out: text,
-            err: String::new(),
+        Ok(Parsed::Help(text)) => CommandOutput {
+            stdout: text,
+            stderr: String::new(),
             exit: Exit::Ok,
         },
         Ok(Parsed::Run(invocation)) => {
@@ -52,24 +52,24 @@
     }
 }
 
-fn finish(outcome: Result<Report, CliError>, json: bool) -> Finished {
+fn finish(outcome: Result<Report, CliError>, json: bool) -> CommandOutput {
     match outcome {
-        Ok(report) => Finished {
-            out: if json {
+        Ok(report) => CommandOutput {
+            stdout: if json {
                 report.json_text()
             } else {
                 report.human
             },
-            err: report.note,
+            stderr: report.note,
             exit: report.exit,
         },
-        Err(error) => Finished {
-            out: if json {
+        Err(error) => CommandOutput {
+            stdout: if json {
                 error_json(&error)
             } else {
                 String::new()
             },
-            err: format!("heatherknot: {error}\n"),
+            stderr: format!("heatherknot: {error}\n"),
             exit: error.exit(),
         },
     }
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -9,7 +9,7 @@
     let args = std::env::args_os().skip(1).collect();
     let finished = heatherknot_cli::run(args, &Env::of_process());
     // Where nobody reads the output any more, the exit code still tells what happened.
-    let _ = stderr().write_all(finished.err.as_bytes());
-    let _ = stdout().write_all(finished.out.as_bytes());
+    let _ = stderr().write_all(finished.stderr.as_bytes());
+    let _ = stdout().write_all(finished.stdout.as_bytes());
     finished.exit.into()
 }
--- a/crates/cli/tests/accounts.rs
+++ b/crates/cli/tests/accounts.rs
@@ -51,7 +51,7 @@
 
     assert_eq!(shown.exit, Exit::Ok);
     let line = shown
-        .out
+        .stdout
         .lines()
         .find(|line| line.starts_with("north"))
         .unwrap();
@@ -67,7 +67,7 @@
 
     let shown = cli(&[], &["accounts", &alone]);
 
-    assert!(shown.out.contains("own share"));
+    assert!(shown.stdout.contains("own share"));
 }
 
 #[test]
@@ -83,12 +83,12 @@
     let wrong = cli(&[], &["accounts", "localhost"]);
 
     assert_eq!(some.exit, Exit::Ok);
-    assert!(some.err.contains(&free.to_string()));
+    assert!(some.stderr.contains(&free.to_string()));
     assert_ne!(none.exit, Exit::Ok);
-    assert!(none.err.contains(&free.to_string()));
+    assert!(none.stderr.contains(&free.to_string()));
     assert!(
         wrong
-            .err
+            .stderr
             .contains("found `localhost`, expected one such as")
     );
 }
--- a/crates/cli/tests/commands.rs
+++ b/crates/cli/tests/commands.rs
@@ -24,12 +24,12 @@
 
     let long = "accounts/utilities/accounts/port-louis/services/gallery";
     assert_eq!(
-        set.out,
+        set.stdout,
         format!("accepted as r2\n  + {long}/queue_len: 7\n")
     );
-    assert_eq!(get.out, "7\n");
+    assert_eq!(get.stdout, "7\n");
     let line = effective
-        .out
+        .stdout
         .lines()
         .find(|line| line.starts_with("queue_len"))
         .unwrap();
@@ -48,11 +48,11 @@
     let dry = cli(&daemon, &["set", "--dry-run", &path, "bulk"]);
     let wrong = cli(&daemon, &["set", "--dry-run", &path, "urgent"]);
 
-    assert!(dry.out.starts_with("would be accepted\n") && dry.out.contains("\"bulk\""));
+    assert!(dry.stdout.starts_with("would be accepted\n") && dry.stdout.contains("\"bulk\""));
     assert_eq!(wrong.exit, Exit::NotAccepted);
     assert!(
         wrong
-            .out
+            .stdout
             .contains("key `class`: found the text \"urgent\", expected one of")
     );
     assert_eq!(deployment.changes(), 1);
@@ -74,14 +74,14 @@
     let after = cli(&daemon, &["get", "defaults"]);
 
     assert_eq!(
-        history.out,
+        history.stdout,
         "r2  2026-12-02 19:02:03Z  defaults/queue_len\n"
     );
     let who = "r2  2026-12-02 19:02:03Z  Night shift (key first, command seven)\n";
-    assert_eq!(audit.out, format!("{who}  + defaults/queue_len: 7\n"));
-    assert_eq!(diff.out, "  + defaults/queue_len: 7\n");
-    assert!(undo.out.starts_with("accepted as r3\n"));
-    assert!(!after.out.contains("queue_len"));
+    assert_eq!(audit.stdout, format!("{who}  + defaults/queue_len: 7\n"));
+    assert_eq!(diff.stdout, "  + defaults/queue_len: 7\n");
+    assert!(undo.stdout.starts_with("accepted as r3\n"));
+    assert!(!after.stdout.contains("queue_len"));
 }
 
 #[test]
@@ -93,7 +93,7 @@
     let again = cli(&daemon, &["drain", "place", "north-1"]);
 
     assert_eq!(again.exit, Exit::Ok);
-    assert_eq!(again.out, "nothing to change: r2 already is as asked\n");
+    assert_eq!(again.stdout, "nothing to change: r2 already is as asked\n");
     assert_eq!(deployment.changes(), 2);
 }
 
@@ -110,7 +110,7 @@
         let drain = cli(&daemon, &["drain", kind, name]);
         let undrain = cli(&daemon, &["undrain", kind, name]);
 
-        assert!(drain.out.contains("draining"), "{drain:?}");
+        assert!(drain.stdout.contains("draining"), "{drain:?}");
         assert_eq!(undrain.exit, Exit::Ok, "{undrain:?}");
     }
     assert_eq!(deployment.changes(), 9);
@@ -128,24 +128,24 @@
     let whoami = cli(&daemon, &["whoami"]);
 
     assert!(
-        status.out.starts_with("r1 in force on 1 daemons\nVM"),
+        status.stdout.starts_with("r1 in force on 1 daemons\nVM"),
         "{}",
-        status.out
+        status.stdout
     );
     assert!(
         status
-            .out
+            .stdout
             .contains("entry-1  north-1  alive  r1        for 4.2 s  300 ms ago")
     );
     assert_eq!((reached.exit, missed.exit), (Exit::Ok, Exit::Failed));
-    assert!(missed.err.contains("r2 is not in force everywhere yet"));
+    assert!(missed.stderr.contains("r2 is not in force everywhere yet"));
     assert!(
         explain
-            .out
+            .stdout
             .contains("place north-1  18 requests in flight  21     250 ms")
     );
     assert_eq!(
-        whoami.out,
+        whoami.stdout,
         "key first of Night shift: read, change, drain, audit, platform in the root\n"
     );
 }
@@ -158,7 +158,11 @@
     let set = cli(&daemon, &["set", "--wait", "defaults/queue_len", "7"]);
 
     assert_eq!(set.exit, Exit::Ok);
-    assert!(set.out.ends_with("in force everywhere\n"), "{}", set.out);
+    assert!(
+        set.stdout.ends_with("in force everywhere\n"),
+        "{}",
+        set.stdout
+    );
 }
 
 #[test]
@@ -213,7 +217,10 @@
 
     let drawn = cli(&[], &new);
     let again = cli(&[], &new);
-    let added = cli(&[daemon.address], &["set", "operators/comms", &drawn.out]);
+    let added = cli(
+        &[daemon.address],
+        &["set", "operators/comms", &drawn.stdout],
+    );
     let whoami = heatherknot_cli::run(
         [
             "whoami",
@@ -234,11 +241,15 @@
         .mode();
     let random = std::fs::read_to_string(&secret_file).unwrap();
     assert_eq!(mode & 0o777, 0o600);
-    assert!(!drawn.out.contains(random.trim().split_once('.').unwrap().1));
+    assert!(
+        !drawn
+            .stdout
+            .contains(random.trim().split_once('.').unwrap().1)
+    );
     assert_eq!(again.exit, Exit::Failed);
     assert_eq!(added.exit, Exit::Ok, "{added:?}");
     assert_eq!(
-        whoami.out,
+        whoami.stdout,
         "key comms of Comms: read, change in utilities/port-louis\n"
     );
 }
@@ -251,7 +262,7 @@
     let finished = cli(&[support::nobody()], &["apply", path.to_str().unwrap()]);
 
     assert_eq!(finished.exit, Exit::Failed);
-    assert!(finished.err.contains("broken.json") && finished.err.contains("line 2"));
+    assert!(finished.stderr.contains("broken.json") && finished.stderr.contains("line 2"));
 }
 
 #[test]
@@ -269,7 +280,7 @@
     ] {
         let finished = cli(&daemon, args);
 
-        assert!(!finished.out.contains(&random) && !finished.err.contains(&random));
+        assert!(!finished.stdout.contains(&random) && !finished.stderr.contains(&random));
     }
     assert_eq!(json!(random.len()), 64);
 }
--- a/crates/cli/tests/lost_answers.rs
+++ b/crates/cli/tests/lost_answers.rs
@@ -25,7 +25,7 @@
     let finished = cli(&[nobody()], &set("1"));
 
     assert_eq!(finished.exit, Exit::NotAccepted);
-    assert!(finished.out.contains("no daemon answered"));
+    assert!(finished.stdout.contains("no daemon answered"));
 }
 
 // An operator's daemon dies after it got the request. Nobody can say whether the change was
@@ -37,9 +37,9 @@
 
     assert_eq!(finished.exit, Exit::Unknown);
     assert!(
-        finished.err.contains("--command-id seven"),
+        finished.stderr.contains("--command-id seven"),
         "{}",
-        finished.err
+        finished.stderr
     );
 }
 
@@ -54,8 +54,8 @@
     let again = cli(&[daemon], &set("10"));
 
     assert_eq!(finished.exit, Exit::Ok, "{finished:?}");
-    assert!(finished.out.starts_with("accepted as r2\n"));
-    assert!(again.out.starts_with("accepted as r2\n"));
+    assert!(finished.stdout.starts_with("accepted as r2\n"));
+    assert!(again.stdout.starts_with("accepted as r2\n"));
     assert_eq!(deployment.changes(), 2);
 }
 
@@ -93,12 +93,12 @@
     assert_eq!(finished.exit, Exit::NotAccepted);
     assert!(
         finished
-            .out
+            .stdout
             .contains("r2  2026-12-02 19:02:03Z  Night shift"),
         "{}",
-        finished.out
+        finished.stdout
     );
-    assert!(finished.out.contains("+ defaults/queue_len: 8"));
+    assert!(finished.stdout.contains("+ defaults/queue_len: 8"));
     assert_eq!(behind.exit, Exit::Failed);
 }
 
--- a/crates/cli/tests/rejected.rs
+++ b/crates/cli/tests/rejected.rs
@@ -63,7 +63,10 @@
     let json = cli(&[], &["rejected", "--json", &one, &other]);
 
     assert_eq!(shown.exit, Exit::Ok);
-    let line = shown.out.lines().find(|line| line.starts_with(FINGERPRINT));
+    let line = shown
+        .stdout
+        .lines()
+        .find(|line| line.starts_with(FINGERPRINT));
     let cells: Vec<&str> = line.unwrap().split_whitespace().collect();
     assert_eq!(cells[1..5], ["rejected", "r-1", "north", "3"]);
     assert_eq!(cells.last(), Some(&"2"));
@@ -79,8 +82,8 @@
     let tried = cli(&[], &["release", FINGERPRINT, &address, "--dry-run"]);
 
     assert_eq!(released.exit, Exit::Ok);
-    assert!(released.out.starts_with("1 released"));
-    assert!(tried.out.starts_with("1 would be released"));
+    assert!(released.stdout.starts_with("1 released"));
+    assert!(tried.stdout.starts_with("1 would be released"));
     let asked = asked.lock().unwrap();
     let (path, word, body) = &asked[0];
     let body: Json = serde_json::from_str(body).unwrap();
@@ -96,5 +99,5 @@
     let finished = cli(&[], &["release", "abc", "127.0.0.1:9"]);
 
     assert_eq!(finished.exit, Exit::Usage);
-    assert!(finished.err.contains("'abc' is not a valid fingerprint"));
+    assert!(finished.stderr.contains("'abc' is not a valid fingerprint"));
 }
--- a/crates/cli/tests/replay.rs
+++ b/crates/cli/tests/replay.rs
@@ -35,9 +35,9 @@
 
     assert_eq!(finished.exit, Exit::Ok, "{finished:?}");
     assert!(
-        finished.out.contains("ok   few refused"),
+        finished.stdout.contains("ok   few refused"),
         "{}",
-        finished.out
+        finished.stdout
     );
 }
 
@@ -64,5 +64,9 @@
     let finished = cli(&[], &["replay", path.to_str().unwrap()]);
 
     assert_eq!(finished.exit, Exit::Failed);
-    assert!(finished.err.contains("no-trace.jsonl"), "{}", finished.err);
+    assert!(
+        finished.stderr.contains("no-trace.jsonl"),
+        "{}",
+        finished.stderr
+    );
 }
--- a/crates/cli/tests/support/mod.rs
+++ b/crates/cli/tests/support/mod.rs
@@ -11,7 +11,7 @@
 
 use futures_util::FutureExt;
 use heatherknot_cli::env::Env;
-use heatherknot_cli::{Finished, run};
+use heatherknot_cli::{CommandOutput, run};
 use heatherknot_http::{Flag, Limits, serve};
 use heatherknot_operator::api::{DaemonStatus, ExplainAnswer, ExplainStep};
 use heatherknot_operator::{Held, OperatorContext, handler};
@@ -205,7 +205,7 @@
 }
 
 /// Runs the program against daemons with the first operator's key from the environment.
-pub fn cli(servers: &[SocketAddr], args: &[&str]) -> Finished {
+pub fn cli(servers: &[SocketAddr], args: &[&str]) -> CommandOutput {
     let servers: Vec<String> = servers.iter().map(SocketAddr::to_string).collect();
     let env = Env {
         servers: Some(servers.join(",")),
@@ -216,8 +216,8 @@
 }
 
 /// Gives the JSON that a run printed.
-pub fn json_of(finished: &Finished) -> Json {
-    serde_json::from_str(&finished.out).unwrap()
+pub fn json_of(finished: &CommandOutput) -> Json {
+    serde_json::from_str(&finished.stdout).unwrap()
 }
 
 /// Gives a path for a file of one test, in the directory that the build keeps for tests.
--- a/crates/cli/tests/trace.rs
+++ b/crates/cli/tests/trace.rs
@@ -34,14 +34,14 @@
         log_file("trace-second", SECOND_VM),
     );
     let told = cli(&[], &["trace", "r-1", &second, &first]);
-    assert_eq!(told.exit, Exit::Ok, "{}", told.err);
-    let sent = told.out.find("request sent").expect("the send");
-    let ended = told.out.find("request ended").expect("the end");
-    assert!(sent < ended && told.out.contains("north-1"));
-    assert!(told.out.contains("1 of 2 sends have no line"));
-    assert!(told.out.contains("north-2 dropped 4 lines"));
-    assert!(told.out.contains("1 lines are not JSON"));
-    assert!(!told.out.contains("r-2"));
+    assert_eq!(told.exit, Exit::Ok, "{}", told.stderr);
+    let sent = told.stdout.find("request sent").expect("the send");
+    let ended = told.stdout.find("request ended").expect("the end");
+    assert!(sent < ended && told.stdout.contains("north-1"));
+    assert!(told.stdout.contains("1 of 2 sends have no line"));
+    assert!(told.stdout.contains("north-2 dropped 4 lines"));
+    assert!(told.stdout.contains("1 lines are not JSON"));
+    assert!(!told.stdout.contains("r-2"));
 }
 
 #[test]
@@ -60,10 +60,10 @@
     let first = log_file("trace-none", FIRST_VM);
     let unknown = cli(&[], &["trace", "r-9", &first]);
     assert_eq!(unknown.exit, Exit::Failed);
-    assert!(unknown.out.contains("not sampled"));
+    assert!(unknown.stdout.contains("not sampled"));
     let absent = cli(&[], &["trace", "r-9", "/no/such/log"]);
     assert_eq!(absent.exit, Exit::Failed);
-    assert!(absent.err.contains("/no/such/log"));
+    assert!(absent.stderr.contains("/no/such/log"));
 }
 
 const JOINED: &str = r#"
@@ -84,11 +84,11 @@
     let joined = log_file("trace-joined", JOINED);
     let told = cli(&[], &["trace", "r-1", &joined]);
     assert!(
-        told.out.contains("north-1") && !told.out.contains("south-1"),
+        told.stdout.contains("north-1") && !told.stdout.contains("south-1"),
         "{}",
-        told.out
+        told.stdout
     );
-    assert!(!told.out.contains("can't be told"));
+    assert!(!told.stdout.contains("can't be told"));
 }
 
 #[test]
@@ -96,14 +96,14 @@
     let text = JOINED.replace(r#""vm":"north-1","run":"1","#, "");
     let joined = log_file("trace-unnamed", &text);
     let told = cli(&[], &["trace", "r-1", &joined]);
-    assert!(told.out.contains("can't be told"), "{}", told.out);
+    assert!(told.stdout.contains("can't be told"), "{}", told.stdout);
 }
 
 #[test]
 fn losses_are_split_by_reason_route_vm_and_moment() {
     let joined = log_file("losses-joined", JOINED);
     let told = cli(&[], &["losses", "--json", &joined]);
-    assert_eq!(told.exit, Exit::Ok, "{}", told.err);
+    assert_eq!(told.exit, Exit::Ok, "{}", told.stderr);
     let found = json_of(&told);
     assert_eq!(found["lost"], 3);
     let reasons = &found["by_reason"];
@@ -119,7 +119,7 @@
     assert_eq!(found["by_route"]["maps"], 2);
     assert_eq!(found["by_vm"]["south-1"], 2);
     assert_eq!(found["by_second"]["2026-01-02 10:00:03"], 2);
-    let text = cli(&[], &["losses", &joined]).out;
+    let text = cli(&[], &["losses", &joined]).stdout;
     assert!(
         text.contains("3 requests were refused, failed or late"),
         "{text}"
--- a/crates/cli/tests/usage.rs
+++ b/crates/cli/tests/usage.rs
@@ -3,10 +3,10 @@
 mod support;
 
 use heatherknot_cli::exit::Exit;
-use heatherknot_cli::{Finished, run};
+use heatherknot_cli::{CommandOutput, run};
 use support::{cli, nobody};
 
-fn bare(args: &[&str]) -> Finished {
+fn bare(args: &[&str]) -> CommandOutput {
     run(args.iter().map(Into::into).collect(), &Default::default())
 }
 
@@ -49,9 +49,9 @@
 
         assert_eq!(finished.exit, Exit::Usage, "{args:?}");
         assert!(
-            finished.err.contains(expected),
+            finished.stderr.contains(expected),
             "{args:?}: {}",
-            finished.err
+            finished.stderr
         );
     }
 }
@@ -61,8 +61,8 @@
     let no_server = bare(&["status"]);
     let no_key = bare(&["status", "--server", "127.0.0.1:1"]);
 
-    assert!(no_server.exit == Exit::Usage && no_server.err.contains("HEATHERKNOT_SERVERS"));
-    assert!(no_key.exit == Exit::Usage && no_key.err.contains("HEATHERKNOT_KEY_FILE"));
+    assert!(no_server.exit == Exit::Usage && no_server.stderr.contains("HEATHERKNOT_SERVERS"));
+    assert!(no_key.exit == Exit::Usage && no_key.stderr.contains("HEATHERKNOT_KEY_FILE"));
 }
 
 #[test]
@@ -74,14 +74,14 @@
     assert_eq!(overview.exit, Exit::Ok);
     for spec in &heatherknot_cli::command::COMMANDS {
         assert!(
-            overview.out.contains(&format!("\n  {}", spec.name)),
+            overview.stdout.contains(&format!("\n  {}", spec.name)),
             "{}",
             spec.name
         );
     }
-    assert!(overview.out.contains("4 not known"));
+    assert!(overview.stdout.contains("4 not known"));
     assert_eq!(of_wait, same);
-    assert!(of_wait.out.contains("wait REVISION"));
+    assert!(of_wait.stdout.contains("wait REVISION"));
 }
 
 #[test]
--- a/crates/daemon/tests/failures.rs
+++ b/crates/daemon/tests/failures.rs
@@ -5,7 +5,7 @@
 use std::net::{SocketAddr, TcpStream};
 use std::thread;
 
-use heatherknot_cli::Finished;
+use heatherknot_cli::CommandOutput;
 use heatherknot_cli::exit::Exit;
 use heatherknot_daemon::callers::{TICKET_PATH, TicketAnswer};
 use heatherknot_settings::NewKey;
@@ -255,12 +255,12 @@
         daemon.wait_until(|status| status.revision >= Revision(2));
         assert_eq!(daemon.status().revision, Revision(2));
         let shown = operate(daemon, &key, &["get", "defaults/queue_len"]);
-        assert_eq!(shown.out.trim(), value);
+        assert_eq!(shown.stdout.trim(), value);
     }
 }
 
 /// Runs a command again and again, as long as its outcome is unknown.
-fn operate_until_known(daemon: &DaemonProcess, key: &NewKey, args: &[&str]) -> Finished {
+fn operate_until_known(daemon: &DaemonProcess, key: &NewKey, args: &[&str]) -> CommandOutput {
     loop {
         let finished = operate(daemon, key, args);
         if finished.exit != Exit::Unknown {
@@ -298,11 +298,11 @@
     assert_eq!(without_store.exit, Exit::Unknown, "{without_store:?}");
     for answer in [&again, &late] {
         assert_eq!(answer.exit, Exit::Ok, "{answer:?}");
-        assert!(answer.out.starts_with("accepted as r2\n"), "{answer:?}");
+        assert!(answer.stdout.starts_with("accepted as r2\n"), "{answer:?}");
     }
-    assert!(other.out.starts_with("accepted as r3\n"), "{other:?}");
+    assert!(other.stdout.starts_with("accepted as r3\n"), "{other:?}");
     let shown = operate(&daemon, &key, &["get", "defaults/queue_len"]);
-    assert_eq!(shown.out.trim(), "64");
+    assert_eq!(shown.stdout.trim(), "64");
 }
 
 // The store is down for a long stretch and one of two daemons is replaced meanwhile. The new
@@ -331,7 +331,7 @@
 
     assert_eq!(started.revision, Revision(2));
     assert_eq!(of_first.revision, Revision(2));
-    assert!(next.out.starts_with("accepted as r3\n"), "{next:?}");
+    assert!(next.stdout.starts_with("accepted as r3\n"), "{next:?}");
     let seen = first.wait_until(|status| status.revision != Revision(2));
     assert_eq!(seen.revision, Revision(3));
 }
--- a/crates/daemon/tests/process.rs
+++ b/crates/daemon/tests/process.rs
@@ -105,12 +105,12 @@
     ];
     let set = operate(&third, &key, &args);
 
-    assert_eq!(set.exit, Exit::Ok, "{}{}", set.out, set.err);
+    assert_eq!(set.exit, Exit::Ok, "{}{}", set.stdout, set.stderr);
     for daemon in [&first, &second, &third] {
         daemon.wait_until(|status| status.revision == Revision(2));
     }
     let shown = operate(&second, &key, &["get", "defaults/queue_len"]);
-    assert!(shown.out.contains("99"), "{}", shown.out);
+    assert!(shown.stdout.contains("99"), "{}", shown.stdout);
 }
 
 // The platform's store goes down after settings are in force. A caller that asks for entry
@@ -168,7 +168,7 @@
     let refused = operate(&daemon, &key(), &["get"]);
 
     assert_ne!(refused.exit, Exit::Ok);
-    assert!(refused.out.is_empty());
+    assert!(refused.stdout.is_empty());
 }
 
 #[test]
@@ -263,7 +263,13 @@
     let trace = heatherknot_replay::parse::read(&file).expect("a trace");
     fs::remove_file(&file).unwrap();
 
-    assert_eq!(replayed.exit, Exit::Ok, "{}{}", replayed.out, replayed.err);
+    assert_eq!(
+        replayed.exit,
+        Exit::Ok,
+        "{}{}",
+        replayed.stdout,
+        replayed.stderr
+    );
     assert_eq!(trace.head.plan.revision, Revision(1));
     assert_eq!(
         trace.head.vms[&DomainName::from("north-1")],
@@ -300,9 +306,9 @@
     );
     let refused = operate(&daemon, &key, &["explain", GALLERY, "somewhere"]);
 
-    assert_eq!(explained.exit, Exit::Ok, "{}", explained.err);
-    let explained: serde_json::Value = serde_json::from_str(&explained.out).unwrap();
+    assert_eq!(explained.exit, Exit::Ok, "{}", explained.stderr);
+    let explained: serde_json::Value = serde_json::from_str(&explained.stdout).unwrap();
     assert!(explained["places"].is_array(), "{explained}");
     assert_ne!(refused.exit, Exit::Ok);
-    assert!(refused.err.contains("client"), "{}", refused.err);
+    assert!(refused.stderr.contains("client"), "{}", refused.stderr);
 }
--- a/crates/daemon/tests/support/mod.rs
+++ b/crates/daemon/tests/support/mod.rs
@@ -10,7 +10,7 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex};
 
-use heatherknot_cli::Finished;
+use heatherknot_cli::CommandOutput;
 use heatherknot_cli::env::Env;
 use heatherknot_cli::exit::Exit;
 use heatherknot_daemon::operators::page::{DAEMON_PATH, DaemonStatus};
@@ -187,7 +187,13 @@
     let file = settings_file(document);
     let finished = operate(daemon, key, &["apply", &file.to_string_lossy()]);
     std::fs::remove_file(file).expect("the file is there");
-    assert_eq!(finished.exit, Exit::Ok, "{}{}", finished.out, finished.err);
+    assert_eq!(
+        finished.exit,
+        Exit::Ok,
+        "{}{}",
+        finished.stdout,
+        finished.stderr
+    );
 }
 
 /// Waits a little before a state is looked at again. Each look takes a connection, and a loop
@@ -265,12 +271,12 @@
 }
 
 /// Runs the operators' client against a daemon.
-pub fn operate(daemon: &DaemonProcess, key: &NewKey, args: &[&str]) -> Finished {
+pub fn operate(daemon: &DaemonProcess, key: &NewKey, args: &[&str]) -> CommandOutput {
     operate_at(daemon.operators, &key.secret, args)
 }
 
 /// Runs the operators' client against the daemon at an address.
-pub fn operate_at(operators: SocketAddr, secret: &str, args: &[&str]) -> Finished {
+pub fn operate_at(operators: SocketAddr, secret: &str, args: &[&str]) -> CommandOutput {
     let env = Env {
         servers: Some(operators.to_string()),
         key: Some(secret.to_owned()),
--- a/crates/daemon/tests/walks.rs
+++ b/crates/daemon/tests/walks.rs
@@ -74,7 +74,7 @@
         let mut told = String::new();
         wait_until("the request's end is in the log", || {
             let args = ["trace", "--around", id, log].map(Into::into).to_vec();
-            told = heatherknot_cli::run(args, &Env::default()).out;
+            told = heatherknot_cli::run(args, &Env::default()).stdout;
             told.contains("request ended")
         });
         told
