--- a/crates/cli/src/client.rs
+++ b/crates/cli/src/client.rs
@@ -4,7 +4,9 @@
 use std::time::Duration;
 
 use heatherknot_http::{Body, Pool, PoolConfig, RequestHead, Response, SendOptions, SendProgress};
-use heatherknot_operator::api::{ChangeAnswer, ChangeOutcome, ChangeRequest, ErrorAnswer, PREFIX};
+use heatherknot_operator::api::{
+    ChangeOutcome, ChangeRequest, ChangeResponse, ErrorResponse, PATH_PREFIX,
+};
 use heatherknot_types::outcome::OUTCOME_HEADER;
 use heatherknot_types::prelude::*;
 use http::header::{AUTHORIZATION, CONTENT_TYPE};
@@ -36,7 +38,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum ChangeResult {
     /// A daemon answered, and nothing was lost before.
-    Answered(ChangeAnswer),
+    Answered(ChangeResponse),
     /// It was refused, or reached no daemon.
     NotAccepted(String),
     /// A daemon answered that it can't reach the store. This try has changed nothing; of an
@@ -173,7 +175,7 @@
             Ok(body) => Body::full(body),
             Err(error) => return Try::NotSent(error.to_string()),
         };
-        let uri = Uri::try_from(format!("{PREFIX}{call}")).unwrap_or_default();
+        let uri = Uri::try_from(format!("{PATH_PREFIX}{call}")).unwrap_or_default();
         let mut head = RequestHead::new(Method::POST, uri);
         head.headers.insert(AUTHORIZATION, self.token.clone());
         let json = HeaderValue::from_static("application/json");
@@ -208,13 +210,13 @@
 
 /// What one answer to a change says.
 enum Judged {
-    Final(ChangeAnswer),
+    Final(ChangeResponse),
     Unknown(String),
     Refused(ChangeResult),
 }
 
 fn judge(peer: SocketAddr, status: StatusCode, body: &[u8]) -> Judged {
-    if let Ok(answer) = serde_json::from_slice::<ChangeAnswer>(body) {
+    if let Ok(answer) = serde_json::from_slice::<ChangeResponse>(body) {
         return match answer.outcome {
             ChangeOutcome::Accepted | ChangeOutcome::Checked | ChangeOutcome::Unchanged => {
                 Judged::Final(answer)
@@ -226,7 +228,7 @@
             }
         };
     }
-    if serde_json::from_slice::<ErrorAnswer>(body).is_ok() {
+    if serde_json::from_slice::<ErrorResponse>(body).is_ok() {
         let error = format!("{peer}: {}", error_text(status, body));
         return Judged::Refused(match status {
             StatusCode::SERVICE_UNAVAILABLE => ChangeResult::NoStore(error),
@@ -253,7 +255,7 @@
 }
 
 fn error_text(status: StatusCode, body: &[u8]) -> String {
-    match serde_json::from_slice::<ErrorAnswer>(body) {
+    match serde_json::from_slice::<ErrorResponse>(body) {
         Ok(answer) => answer.error,
         Err(_) => format!("status {status}"),
     }
--- a/crates/cli/src/ops/change.rs
+++ b/crates/cli/src/ops/change.rs
@@ -1,6 +1,8 @@
 //! Commands that change settings.
 
-use heatherknot_operator::api::{Action, ChangeAnswer, ChangeOutcome, ChangeRequest, DrainTarget};
+use heatherknot_operator::api::{
+    Action, ChangeOutcome, ChangeRequest, ChangeResponse, DrainTarget,
+};
 use heatherknot_settings::audit::AuditEntry;
 use heatherknot_types::prelude::*;
 use serde_json::{Value as Json, json};
@@ -128,7 +130,7 @@
     }
 }
 
-fn answered(req: &ChangeRequest, answer: &ChangeAnswer) -> Report {
+fn answered(req: &ChangeRequest, answer: &ChangeResponse) -> Report {
     let edits = text::edits(&answer.edits);
     match (answer.outcome, answer.revision) {
         (ChangeOutcome::Accepted, Some(revision)) => {
@@ -149,7 +151,7 @@
 }
 
 fn not_accepted(req: &ChangeRequest, reason: &str, conflicts: &[AuditEntry]) -> Report {
-    let answer = ChangeAnswer {
+    let answer = ChangeResponse {
         outcome: ChangeOutcome::NotAccepted,
         revision: None,
         edits: Vec::new(),
@@ -162,7 +164,7 @@
 }
 
 fn unknown(req: &ChangeRequest, cause: &str) -> Report {
-    let answer = ChangeAnswer {
+    let answer = ChangeResponse {
         outcome: ChangeOutcome::Unknown,
         revision: None,
         edits: Vec::new(),
@@ -178,7 +180,7 @@
 }
 
 /// Adds the command's identifier, with which a program can run the command again.
-fn with_command(req: &ChangeRequest, answer: &ChangeAnswer) -> Json {
+fn with_command(req: &ChangeRequest, answer: &ChangeResponse) -> Json {
     let mut json = json!(answer);
     json["command"] = json!(req.command);
     json
--- a/crates/cli/src/ops/read.rs
+++ b/crates/cli/src/ops/read.rs
@@ -1,8 +1,8 @@
 //! Commands that read settings and their history.
 
 use heatherknot_operator::api::{
-    AuditAnswer, DiffAnswer, DiffRequest, EffectiveAnswer, GetAnswer, HistoryAnswer,
-    HistoryRequest, PathRequest,
+    AuditResponse, DiffRequest, DiffResponse, EffectiveResponse, GetResponse, HistoryRequest,
+    HistoryResponse, PathRequest,
 };
 use heatherknot_settings::audit::AuditEntry;
 
@@ -22,14 +22,14 @@
 
 /// Shows the node at a path.
 pub async fn get(client: &Client, invocation: &Invocation) -> Result<Report, CliError> {
-    let answer: GetAnswer = client.call("get", &path_request(invocation)).await?;
+    let answer: GetResponse = client.call("get", &path_request(invocation)).await?;
     let human = format!("{:#}\n", answer.value);
     Ok(Report::new(Exit::Ok, human, &answer))
 }
 
 /// Shows the settings in force at a node.
 pub async fn effective(client: &Client, invocation: &Invocation) -> Result<Report, CliError> {
-    let answer: EffectiveAnswer = client.call("effective", &path_request(invocation)).await?;
+    let answer: EffectiveResponse = client.call("effective", &path_request(invocation)).await?;
     let rows = answer.values.iter().map(|row| {
         let limit = row.limit.map_or(String::new(), |limit| limit.to_string());
         let value = row.value.to_string();
@@ -58,7 +58,7 @@
             .unwrap_or_default()
             .to_string(),
     };
-    let answer: DiffAnswer = client.call("diff", &req).await?;
+    let answer: DiffResponse = client.call("diff", &req).await?;
     let human = text::edits(&answer.edits);
     Ok(Report::new(Exit::Ok, human, &answer))
 }
@@ -74,7 +74,7 @@
 /// Lists the changes of the branch.
 pub async fn history(client: &Client, invocation: &Invocation) -> Result<Report, CliError> {
     let req = history_request(&invocation.options)?;
-    let answer: HistoryAnswer = client.call("history", &req).await?;
+    let answer: HistoryResponse = client.call("history", &req).await?;
     let lines = answer.changes.iter().map(|entry| {
         let time = text::time(entry.at_ms);
         format!("{}  {time}  {}\n", entry.revision, entry.paths.join(" "))
@@ -89,7 +89,7 @@
 /// Shows the audit trail of the branch.
 pub async fn audit(client: &Client, invocation: &Invocation) -> Result<Report, CliError> {
     let req = history_request(&invocation.options)?;
-    let answer: AuditAnswer = client.call("audit", &req).await?;
+    let answer: AuditResponse = client.call("audit", &req).await?;
     let human: String = answer.entries.iter().map(entry).collect();
     let exit = if answer.broken.is_some() {
         Exit::Failed
--- a/crates/cli/src/ops/report.rs
+++ b/crates/cli/src/ops/report.rs
@@ -1,7 +1,7 @@
 //! Commands that show what the daemons do.
 
 use heatherknot_operator::api::{
-    DaemonStatus, ExplainAnswer, ExplainRequest, RevisionCount, StatusAnswer, WhoAmIAnswer,
+    DaemonStatus, ExplainRequest, ExplainResponse, RevisionCount, StatusResponse, WhoAmIResponse,
 };
 use serde_json::json;
 
@@ -14,7 +14,7 @@
 
 /// Shows which revision is in force where.
 pub async fn status(client: &Client) -> Result<Report, CliError> {
-    let answer: StatusAnswer = client.call("status", &json!({})).await?;
+    let answer: StatusResponse = client.call("status", &json!({})).await?;
     let mut human = counts(&answer.counts);
     if !answer.daemons.is_empty() {
         let rows: Vec<Vec<String>> = answer.daemons.iter().map(row).collect();
@@ -58,7 +58,7 @@
         service: invocation.args[0].clone(),
         client: invocation.args[1].clone(),
     };
-    let answer: ExplainAnswer = client.call("explain", &req).await?;
+    let answer: ExplainResponse = client.call("explain", &req).await?;
     let places: Vec<String> = answer
         .places
         .iter()
@@ -77,7 +77,7 @@
 
 /// Shows what the key may do.
 pub async fn whoami(client: &Client) -> Result<Report, CliError> {
-    let answer: WhoAmIAnswer = client.call("whoami", &json!({})).await?;
+    let answer: WhoAmIResponse = client.call("whoami", &json!({})).await?;
     let branch = if answer.branch.is_empty() {
         "the root"
     } else {
--- a/crates/cli/src/ops/wait.rs
+++ b/crates/cli/src/ops/wait.rs
@@ -1,6 +1,6 @@
 //! Waiting until a revision is in force on every daemon.
 
-use heatherknot_operator::api::{MAX_WAIT_MS, WaitAnswer, WaitRequest};
+use heatherknot_operator::api::{MAX_WAIT_MS, WaitRequest, WaitResponse};
 use heatherknot_types::prelude::*;
 
 use super::report::counts;
@@ -31,14 +31,14 @@
 }
 
 /// Waits until a revision is in force on every daemon or the client's time is over.
-pub async fn until_in_force(client: &Client, asked: Revision) -> Result<WaitAnswer, CliError> {
+pub async fn until_in_force(client: &Client, asked: Revision) -> Result<WaitResponse, CliError> {
     loop {
         let left = client.time_left().since(MARGIN);
         let req = WaitRequest {
             revision: asked,
             timeout_ms: left.0.min(MAX_WAIT_MS),
         };
-        let answer: WaitAnswer = client.call_for("wait", &req, left).await?;
+        let answer: WaitResponse = client.call_for("wait", &req, left).await?;
         if answer.in_force || client.time_left() <= MARGIN {
             return Ok(answer);
         }
--- a/crates/cli/tests/support/mod.rs
+++ b/crates/cli/tests/support/mod.rs
@@ -13,8 +13,8 @@
 use heatherknot_cli::env::Env;
 use heatherknot_cli::{CommandOutput, run};
 use heatherknot_http::{Flag, Limits, serve};
-use heatherknot_operator::api::{DaemonStatus, ExplainAnswer, ExplainStep};
-use heatherknot_operator::{Held, OperatorContext, handler};
+use heatherknot_operator::api::{DaemonStatus, ExplainResponse, ExplainStep};
+use heatherknot_operator::{CurrentSettings, OperatorContext, handler};
 use heatherknot_settings::{
     BootstrapKey, ChainPoint, Change, NewKey, OperatorKey, SettingsReplica,
 };
@@ -78,7 +78,7 @@
     );
     let m5 = memory.clone();
     OperatorContext {
-        held: Rc::new(move || held(&h1)),
+        current_settings: Rc::new(move || held(&h1)),
         refresh: Rc::new(move || {
             let changes = m1.lock().unwrap().changes.clone();
             h2.borrow_mut().accept_changes(&changes).unwrap();
@@ -107,10 +107,10 @@
     }
 }
 
-fn held(holder: &Rc<RefCell<SettingsReplica>>) -> Held {
+fn held(holder: &Rc<RefCell<SettingsReplica>>) -> CurrentSettings {
     let holder = holder.borrow();
-    Held {
-        at: holder.at(),
+    CurrentSettings {
+        chain_point: holder.at(),
         tree: holder.tree().clone(),
     }
 }
@@ -167,8 +167,8 @@
     }
 }
 
-fn explanation() -> ExplainAnswer {
-    ExplainAnswer {
+fn explanation() -> ExplainResponse {
+    ExplainResponse {
         revision: Revision(1),
         places: vec!["north-1".into(), "south-1".into()],
         steps: vec![ExplainStep {
--- a/crates/daemon/src/operators/calls.rs
+++ b/crates/daemon/src/operators/calls.rs
@@ -4,8 +4,8 @@
 use std::rc::Rc;
 use std::time::{SystemTime, UNIX_EPOCH};
 
-use heatherknot_operator::api::{ExplainAnswer, ExplainRequest, ExplainStep};
-use heatherknot_operator::{Held, OperatorContext};
+use heatherknot_operator::api::{ExplainRequest, ExplainResponse, ExplainStep};
+use heatherknot_operator::{CurrentSettings, OperatorContext};
 use heatherknot_steering::explain::{Explanation, Limit, PlaceExplanation};
 use heatherknot_store::commit::head::read_head;
 use heatherknot_store::commit::maintenance::{self, MaintenanceConfig};
@@ -25,7 +25,7 @@
     let of = |cx: &Rc<DaemonContext>| Rc::clone(cx);
     let (a, b, c, d, e, f, g) = (of(cx), of(cx), of(cx), of(cx), of(cx), of(cx), of(cx));
     OperatorContext {
-        held: Rc::new(move || held(&a)),
+        current_settings: Rc::new(move || held(&a)),
         refresh: Rc::new(move || {
             let cx = Rc::clone(&b);
             Box::pin(async move { refresh(&cx).await })
@@ -58,17 +58,17 @@
     since.unwrap_or_default().as_millis() as u64
 }
 
-fn held(cx: &DaemonContext) -> Held {
+fn held(cx: &DaemonContext) -> CurrentSettings {
     let holder = cx.holder.borrow();
-    Held {
-        at: holder.at(),
+    CurrentSettings {
+        chain_point: holder.at(),
         tree: Rc::clone(holder.tree()),
     }
 }
 
 /// Brings the newest accepted settings in force: a change made from older ones would lose the
 /// race for certain.
-async fn refresh(cx: &DaemonContext) -> Result<Held, StoreError> {
+async fn refresh(cx: &DaemonContext) -> Result<CurrentSettings, StoreError> {
     let newest = read_head(&cx.store).await?.head.revision;
     while cx.holder.borrow().revision() < newest {
         let held = cx.holder.borrow().revision();
@@ -103,7 +103,7 @@
     }
 }
 
-fn explain(cx: &DaemonContext, req: &ExplainRequest) -> Option<ExplainAnswer> {
+fn explain(cx: &DaemonContext, req: &ExplainRequest) -> Option<ExplainResponse> {
     let service = ServiceName::from(req.service.as_str());
     let explained = cx.steering.borrow().explain(&service, cx.clock.now())?;
     let block = client_block(&req.client)?;
@@ -111,7 +111,7 @@
         .steering
         .borrow()
         .ranked_places(&service, &block_bytes(block));
-    Some(ExplainAnswer {
+    Some(ExplainResponse {
         revision: explained.revision,
         places,
         steps: steps(&explained),
--- a/crates/operator/src/api.rs
+++ b/crates/operator/src/api.rs
@@ -11,7 +11,7 @@
 use serde_json::Value as Json;
 
 /// The beginning of the path of every call.
-pub const PREFIX: &str = "/v1/";
+pub const PATH_PREFIX: &str = "/v1/";
 
 /// Asks for the node at a path.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
@@ -23,7 +23,7 @@
 
 /// The node at a path.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct GetAnswer {
+pub struct GetResponse {
     /// The revision that the answering daemon has in force.
     pub revision: Revision,
     /// The node.
@@ -32,7 +32,7 @@
 
 /// The settings in force at a node.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct EffectiveAnswer {
+pub struct EffectiveResponse {
     /// The revision that the answering daemon has in force.
     pub revision: Revision,
     /// Each value with its origin.
@@ -133,7 +133,7 @@
 
 /// The answer to a change.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct ChangeAnswer {
+pub struct ChangeResponse {
     /// What became of it.
     pub outcome: ChangeOutcome,
     /// The revision that it made; where nothing was to be changed, the newest one.
@@ -166,7 +166,7 @@
 
 /// The difference between two revisions.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct DiffAnswer {
+pub struct DiffResponse {
     /// The earlier revision.
     pub from: Revision,
     /// The later revision.
@@ -200,7 +200,7 @@
 
 /// Changes of the key's branch.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct HistoryAnswer {
+pub struct HistoryResponse {
     /// The changes, the oldest first.
     pub changes: Vec<HistoryEntry>,
     /// The last revision looked at; asking again after it gives what follows.
@@ -211,7 +211,7 @@
 
 /// Entries of the audit trail.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct AuditAnswer {
+pub struct AuditResponse {
     /// The entries that concern the branch, the oldest first.
     pub entries: Vec<AuditEntry>,
     /// The last revision looked at; asking again after it gives what follows.
@@ -263,7 +263,7 @@
 
 /// Which revision is in force where.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct StatusAnswer {
+pub struct StatusResponse {
     /// The revision that the answering daemon has in force.
     pub revision: Revision,
     /// How many daemons have which revision, the newest first.
@@ -288,7 +288,7 @@
 
 /// What a wait came to.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct WaitAnswer {
+pub struct WaitResponse {
     /// Whether the revision, or a newer one, is in force on every daemon that isn't gone.
     pub in_force: bool,
     /// How many daemons have which revision, the newest first.
@@ -322,7 +322,7 @@
 
 /// Why a caller of a service goes where it goes.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct ExplainAnswer {
+pub struct ExplainResponse {
     /// The revision that the answering daemon has in force.
     pub revision: Revision,
     /// The places that the caller is sent to, the first choice first.
@@ -332,11 +332,11 @@
 }
 
 /// Who the operator is.
-pub type WhoAmIAnswer = OperatorSummary;
+pub type WhoAmIResponse = OperatorSummary;
 
 /// Why a call failed.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct ErrorAnswer {
+pub struct ErrorResponse {
     /// What went wrong, for people.
     pub error: String,
 }
--- a/crates/operator/src/call.rs
+++ b/crates/operator/src/call.rs
@@ -2,7 +2,7 @@
 
 use http::Method;
 
-use crate::api::PREFIX;
+use crate::api::PATH_PREFIX;
 use crate::error::{CallError, NoSuchCallSnafu};
 
 /// A call.
@@ -66,7 +66,9 @@
     ///
     /// Gives [`CallError::NoSuchCall`].
     pub fn find(method: &Method, path: &str) -> Result<Call, CallError> {
-        let name = path.strip_prefix(PREFIX).filter(|_| method == Method::POST);
+        let name = path
+            .strip_prefix(PATH_PREFIX)
+            .filter(|_| method == Method::POST);
         let mut calls = Call::ALL.into_iter();
         let found = calls.find(|call| Some(call.as_str()) == name);
         found.ok_or_else(|| {
--- a/crates/operator/src/change.rs
+++ b/crates/operator/src/change.rs
@@ -10,7 +10,7 @@
 use serde_json::json;
 use snafu::{OptionExt, ResultExt, ensure};
 
-use crate::api::{Action, ChangeAnswer, ChangeOutcome, ChangeRequest};
+use crate::api::{Action, ChangeOutcome, ChangeRequest, ChangeResponse};
 use crate::drain::{self, put};
 use crate::error::{CallError, NotFoundSnafu, NotYetSnafu, StoreSnafu, ValueSnafu};
 use crate::session::Session;
@@ -19,7 +19,7 @@
 const MAX_RACES: u32 = 8;
 
 /// Gives the HTTP status of an answer.
-pub fn status(answer: &ChangeAnswer) -> StatusCode {
+pub fn status(answer: &ChangeResponse) -> StatusCode {
     match answer.outcome {
         ChangeOutcome::Accepted | ChangeOutcome::Checked | ChangeOutcome::Unchanged => {
             StatusCode::OK
@@ -38,7 +38,10 @@
 ///
 /// Gives a [`CallError`] where the change was not accepted and can't be; the outcomes that the
 /// store decides are in the answer.
-pub async fn change(session: &mut Session, req: &ChangeRequest) -> Result<ChangeAnswer, CallError> {
+pub async fn change(
+    session: &mut Session,
+    req: &ChangeRequest,
+) -> Result<ChangeResponse, CallError> {
     let command = command_id(&session.operator, req)?;
     // The answer to an earlier run may have been lost after the store accepted the change. Made
     // again from today's tree, the change would be empty or conflict with itself.
@@ -49,13 +52,13 @@
     }
     // A change by another operator that this daemon hasn't heard of yet is one that this
     // operator can't have seen, so it counts as made since.
-    let base = req.base.unwrap_or(session.held.at.revision);
+    let base = req.base.unwrap_or(session.held.chain_point.revision);
     if !req.dry_run {
         refresh(session).await?;
     }
     for _ in 0..MAX_RACES {
         let Some(made) = make(session, req).await? else {
-            let newest = session.held.at.revision;
+            let newest = session.held.chain_point.revision;
             return Ok(answer(ChangeOutcome::Unchanged, Some(newest)));
         };
         let conflicts = conflicts(session, base, &made.edits).await?;
@@ -64,7 +67,7 @@
         }
         if req.dry_run {
             let edits = made.edits;
-            return Ok(ChangeAnswer {
+            return Ok(ChangeResponse {
                 edits,
                 ..answer(ChangeOutcome::Checked, None)
             });
@@ -113,7 +116,7 @@
         key: session.operator.id.clone(),
         at_ms: (session.cx.wall_clock_ms)(),
     };
-    match Change::between(session.held.at, before, &after, author) {
+    match Change::between(session.held.chain_point, before, &after, author) {
         Err(SettingsError::Unchanged) => Ok(None),
         made => Ok(Some(made?)),
     }
@@ -167,7 +170,7 @@
     base: Revision,
     ours: &[Edit],
 ) -> Result<Vec<AuditEntry>, CallError> {
-    let held = session.held.at.revision;
+    let held = session.held.chain_point.revision;
     if base >= held {
         return Ok(Vec::new());
     }
@@ -192,7 +195,7 @@
 /// What the store's outcome comes to.
 enum Settled {
     /// The answer.
-    Answer(Box<ChangeAnswer>),
+    Answer(Box<ChangeResponse>),
     /// Another change came first; this one is to be made again from the given revision.
     Raced(Revision),
 }
@@ -204,7 +207,7 @@
             log::info!(key:% = key, revision = revision.0; "change accepted");
             // The daemon's own copy follows at once instead of with the next watch message.
             monoio::spawn((session.cx.refresh)());
-            ChangeAnswer {
+            ChangeResponse {
                 edits: change.edits,
                 ..answer(ChangeOutcome::Accepted, Some(revision))
             }
@@ -221,7 +224,7 @@
         }
         CommitOutcome::Unknown(error) => {
             log::warn!(key:% = key, error:% = error; "outcome of a change unknown");
-            ChangeAnswer {
+            ChangeResponse {
                 reason: Some(format!("commit: {error}")),
                 ..answer(ChangeOutcome::Unknown, None)
             }
@@ -236,7 +239,7 @@
 /// change made from that would lose again, so the operator is told to ask another daemon.
 async fn catch_up(session: &mut Session, newest: Revision) -> Result<(), CallError> {
     refresh(session).await?;
-    let held = session.held.at.revision;
+    let held = session.held.chain_point.revision;
     let asked = newest;
     ensure!(held >= newest, NotYetSnafu { asked, held });
     Ok(())
@@ -248,8 +251,8 @@
     session.renew(held)
 }
 
-fn answer(outcome: ChangeOutcome, revision: Option<Revision>) -> ChangeAnswer {
-    ChangeAnswer {
+fn answer(outcome: ChangeOutcome, revision: Option<Revision>) -> ChangeResponse {
+    ChangeResponse {
         outcome,
         revision,
         edits: Vec::new(),
@@ -258,15 +261,15 @@
     }
 }
 
-fn not_accepted(reason: String) -> ChangeAnswer {
-    ChangeAnswer {
+fn not_accepted(reason: String) -> ChangeResponse {
+    ChangeResponse {
         reason: Some(reason),
         ..answer(ChangeOutcome::NotAccepted, None)
     }
 }
 
-fn conflict(conflicts: Vec<AuditEntry>, edits: Vec<Edit>) -> ChangeAnswer {
-    ChangeAnswer {
+fn conflict(conflicts: Vec<AuditEntry>, edits: Vec<Edit>) -> ChangeResponse {
+    ChangeResponse {
         edits,
         conflicts,
         ..not_accepted("others have changed the same settings since".to_string())
--- a/crates/operator/src/context.rs
+++ b/crates/operator/src/context.rs
@@ -9,13 +9,13 @@
 use heatherknot_store::error::StoreError;
 use heatherknot_types::prelude::*;
 
-use crate::api::{DaemonStatus, ExplainAnswer, ExplainRequest};
+use crate::api::{DaemonStatus, ExplainRequest, ExplainResponse};
 
 /// The settings that the daemon has in force.
 #[derive(Clone, Debug)]
-pub struct Held {
+pub struct CurrentSettings {
     /// The revision, and the hash of the change that made it.
-    pub at: ChainPoint,
+    pub chain_point: ChainPoint,
     /// The tree.
     pub tree: Rc<Tree>,
 }
@@ -27,9 +27,9 @@
 #[derive(Clone)]
 pub struct OperatorContext {
     /// Gives the settings in force.
-    pub held: Rc<dyn Fn() -> Held>,
+    pub current_settings: Rc<dyn Fn() -> CurrentSettings>,
     /// Brings the newest accepted settings from the store in force and gives them.
-    pub refresh: Rc<dyn Fn() -> StoreFuture<Held>>,
+    pub refresh: Rc<dyn Fn() -> StoreFuture<CurrentSettings>>,
     /// Has a change accepted.
     pub commit: Rc<dyn Fn(Proposal) -> LocalBoxFuture<'static, CommitOutcome>>,
     /// Finds the revision that a command has made.
@@ -39,7 +39,7 @@
     /// Gives what is known of every daemon.
     pub status: Rc<dyn Fn() -> LocalBoxFuture<'static, Vec<DaemonStatus>>>,
     /// Explains where callers of a service go; none for a service that isn't there.
-    pub explain: Rc<dyn Fn(ExplainRequest) -> LocalBoxFuture<'static, Option<ExplainAnswer>>>,
+    pub explain: Rc<dyn Fn(ExplainRequest) -> LocalBoxFuture<'static, Option<ExplainResponse>>>,
     /// The first operator's key from the daemon's own configuration.
     pub first_key: Option<BootstrapKey>,
     /// Gives the wall-clock time, in milliseconds since 1970.
--- a/crates/operator/src/handler.rs
+++ b/crates/operator/src/handler.rs
@@ -9,7 +9,7 @@
 use snafu::ResultExt;
 use std::rc::Rc;
 
-use crate::api::ErrorAnswer;
+use crate::api::ErrorResponse;
 use crate::call::Call;
 use crate::change;
 use crate::context::OperatorContext;
@@ -38,7 +38,7 @@
             let status = error.status();
             log::warn!(step = "operator call", peer:% = peer, path:% = path, status = status.as_u16(), error:% = error; "refused");
             let error = error.to_string();
-            json(status, &ErrorAnswer { error })
+            json(status, &ErrorResponse { error })
         }
     }
 }
--- a/crates/operator/src/lib.rs
+++ b/crates/operator/src/lib.rs
@@ -15,5 +15,5 @@
 mod report;
 mod session;
 
-pub use crate::context::{Held, OperatorContext};
+pub use crate::context::{CurrentSettings, OperatorContext};
 pub use crate::handler::handler;
--- a/crates/operator/src/read.rs
+++ b/crates/operator/src/read.rs
@@ -8,8 +8,8 @@
 use snafu::{OptionExt, ensure};
 
 use crate::api::{
-    AuditAnswer, DiffAnswer, DiffRequest, EffectiveAnswer, GetAnswer, HistoryAnswer, HistoryEntry,
-    HistoryRequest, PathRequest,
+    AuditResponse, DiffRequest, DiffResponse, EffectiveResponse, GetResponse, HistoryEntry,
+    HistoryRequest, HistoryResponse, PathRequest,
 };
 use crate::error::{CallError, NotFoundSnafu, NotYetSnafu};
 use crate::session::{Session, read_change};
@@ -20,34 +20,34 @@
 const MAX_LIMIT: usize = 1000;
 
 /// Gives the node at a path.
-pub fn get(session: &Session, req: &PathRequest) -> Result<GetAnswer, CallError> {
+pub fn get(session: &Session, req: &PathRequest) -> Result<GetResponse, CallError> {
     let tree = &session.held.tree;
     let path = TreePath::parse(&req.path)?;
     session.operator.authorize_read(tree, &path)?;
     let what = format!("node `{path}`");
-    Ok(GetAnswer {
-        revision: session.held.at.revision,
+    Ok(GetResponse {
+        revision: session.held.chain_point.revision,
         value: tree.get(&path).context(NotFoundSnafu { what })?,
     })
 }
 
 /// Gives the settings in force at a node, with the origin of each.
-pub fn effective(session: &Session, req: &PathRequest) -> Result<EffectiveAnswer, CallError> {
+pub fn effective(session: &Session, req: &PathRequest) -> Result<EffectiveResponse, CallError> {
     let tree = &session.held.tree;
     let path = TreePath::parse(&req.path)?;
     session.operator.authorize_read(tree, &path)?;
-    Ok(EffectiveAnswer {
-        revision: session.held.at.revision,
+    Ok(EffectiveResponse {
+        revision: session.held.chain_point.revision,
         values: tree.effective(&path)?,
     })
 }
 
 /// Gives the difference between two revisions of one node.
-pub async fn diff(session: &Session, req: &DiffRequest) -> Result<DiffAnswer, CallError> {
+pub async fn diff(session: &Session, req: &DiffRequest) -> Result<DiffResponse, CallError> {
     let tree = &session.held.tree;
     let path = TreePath::parse(&req.path)?;
     session.operator.authorize_read(tree, &path)?;
-    let held = session.held.at.revision;
+    let held = session.held.chain_point.revision;
     let to = req.to.unwrap_or(held);
     let asked = to.max(req.from);
     ensure!(asked <= held, NotYetSnafu { asked, held });
@@ -58,7 +58,7 @@
         rewind(&document, &changes[later.unwrap_or(changes.len())..])
     };
     let (before, after) = (at(req.from)?, at(to)?);
-    Ok(DiffAnswer {
+    Ok(DiffResponse {
         from: req.from,
         to,
         edits: node_diff(&path, &before, &after),
@@ -84,7 +84,10 @@
 }
 
 /// Gives the changes of the key's branch, without who made them.
-pub async fn history(session: &Session, req: &HistoryRequest) -> Result<HistoryAnswer, CallError> {
+pub async fn history(
+    session: &Session,
+    req: &HistoryRequest,
+) -> Result<HistoryResponse, CallError> {
     session.operator.require(Right::Read)?;
     let looked = look(session, req).await?;
     let changes = looked.entries.into_iter().map(|entry| HistoryEntry {
@@ -92,7 +95,7 @@
         at_ms: entry.at_ms,
         paths: entry.edits.into_iter().map(|edit| edit.path).collect(),
     });
-    Ok(HistoryAnswer {
+    Ok(HistoryResponse {
         changes: changes.collect(),
         seen: looked.seen.revision,
         more: looked.more,
@@ -100,10 +103,10 @@
 }
 
 /// Gives the audit trail of the key's branch and whether its chain holds.
-pub async fn audit(session: &Session, req: &HistoryRequest) -> Result<AuditAnswer, CallError> {
+pub async fn audit(session: &Session, req: &HistoryRequest) -> Result<AuditResponse, CallError> {
     session.operator.require(Right::Audit)?;
     let looked = look(session, req).await?;
-    Ok(AuditAnswer {
+    Ok(AuditResponse {
         entries: looked.entries,
         seen: looked.seen.revision,
         seen_hash: looked.seen.hash,
--- a/crates/operator/src/report.rs
+++ b/crates/operator/src/report.rs
@@ -8,8 +8,8 @@
 use snafu::{OptionExt, ensure};
 
 use crate::api::{
-    DaemonStatus, ExplainAnswer, ExplainRequest, MAX_WAIT_MS, RevisionCount, StatusAnswer,
-    WaitAnswer, WaitRequest, WhoAmIAnswer,
+    DaemonStatus, ExplainRequest, ExplainResponse, MAX_WAIT_MS, RevisionCount, StatusResponse,
+    WaitRequest, WaitResponse, WhoAmIResponse,
 };
 use crate::error::{CallError, NotFoundSnafu, ValueSnafu};
 use crate::session::Session;
@@ -19,12 +19,12 @@
 
 /// Gives which revision is in force where. Names of VMs and failure domains are for keys of
 /// the root; other keys get the counts.
-pub async fn status(session: &Session) -> Result<StatusAnswer, CallError> {
+pub async fn status(session: &Session) -> Result<StatusResponse, CallError> {
     session.operator.require(Right::Read)?;
     let daemons = (session.cx.status)().await;
     let counts = counts(&daemons);
-    Ok(StatusAnswer {
-        revision: session.held.at.revision,
+    Ok(StatusResponse {
+        revision: session.held.chain_point.revision,
         counts,
         daemons: if session.operator.key.covers("") {
             daemons
@@ -47,7 +47,7 @@
 }
 
 /// Waits until a revision is in force on every daemon that isn't gone.
-pub async fn wait(session: &Session, req: &WaitRequest) -> Result<WaitAnswer, CallError> {
+pub async fn wait(session: &Session, req: &WaitRequest) -> Result<WaitResponse, CallError> {
     session.operator.require(Right::Read)?;
     ensure!(
         req.timeout_ms <= MAX_WAIT_MS,
@@ -62,18 +62,18 @@
         let counts = counts(&(session.cx.status)().await);
         let in_force = counts.iter().all(|count| count.revision >= req.revision);
         if in_force || look == looks {
-            return Ok(WaitAnswer { in_force, counts });
+            return Ok(WaitResponse { in_force, counts });
         }
         monoio::time::sleep(Duration::from_millis(LOOK_MS)).await;
     }
-    Ok(WaitAnswer {
+    Ok(WaitResponse {
         in_force: false,
         counts: Vec::new(),
     })
 }
 
 /// Explains where callers of a service go.
-pub async fn explain(session: &Session, req: ExplainRequest) -> Result<ExplainAnswer, CallError> {
+pub async fn explain(session: &Session, req: ExplainRequest) -> Result<ExplainResponse, CallError> {
     let path = TreePath::parse(&req.service)?;
     session.operator.authorize_read(&session.held.tree, &path)?;
     let address = req.client.split('/').next().unwrap_or("");
@@ -91,6 +91,6 @@
 }
 
 /// Says who the operator is.
-pub fn whoami(session: &Session) -> WhoAmIAnswer {
-    WhoAmIAnswer::from(&session.operator)
+pub fn whoami(session: &Session) -> WhoAmIResponse {
+    WhoAmIResponse::from(&session.operator)
 }
--- a/crates/operator/src/session.rs
+++ b/crates/operator/src/session.rs
@@ -7,7 +7,7 @@
 use http::header::AUTHORIZATION;
 use snafu::{OptionExt, ResultExt, ensure};
 
-use crate::context::{Held, OperatorContext};
+use crate::context::{CurrentSettings, OperatorContext};
 use crate::error::{CallError, NoKeySnafu, StoreSnafu, TooFarSnafu, UnreadableChangeSnafu};
 
 /// The most changes that one call reads.
@@ -20,7 +20,7 @@
     /// What the daemon gives.
     pub cx: OperatorContext,
     /// The settings in force when the call came, or when they were last refreshed.
-    pub held: Held,
+    pub held: CurrentSettings,
     /// Who calls.
     pub operator: Operator,
     secret: String,
@@ -34,7 +34,7 @@
     /// Gives [`CallError::NoKey`] or [`CallError::Refused`].
     pub fn open(cx: &OperatorContext, headers: &HeaderMap) -> Result<Session, CallError> {
         let secret = bearer(headers).context(NoKeySnafu)?;
-        let held = (cx.held)();
+        let held = (cx.current_settings)();
         let operator = Operator::authenticate(&held.tree, cx.first_key.as_ref(), secret)?;
         Ok(Session {
             cx: cx.clone(),
@@ -49,7 +49,7 @@
     /// # Errors
     ///
     /// Gives [`CallError::Refused`].
-    pub fn renew(&mut self, held: Held) -> Result<(), CallError> {
+    pub fn renew(&mut self, held: CurrentSettings) -> Result<(), CallError> {
         let first = self.cx.first_key.as_ref();
         self.operator = Operator::authenticate(&held.tree, first, &self.secret)?;
         self.held = held;
--- a/crates/operator/tests/calls.rs
+++ b/crates/operator/tests/calls.rs
@@ -3,8 +3,8 @@
 mod support;
 
 use heatherknot_operator::api::{
-    Action, AuditAnswer, ChangeAnswer, ChangeOutcome, ChangeRequest, DaemonStatus, DiffAnswer,
-    DrainTarget, EffectiveAnswer, HistoryAnswer, StatusAnswer, WaitAnswer,
+    Action, AuditResponse, ChangeOutcome, ChangeRequest, ChangeResponse, DaemonStatus,
+    DiffResponse, DrainTarget, EffectiveResponse, HistoryResponse, StatusResponse, WaitResponse,
 };
 use heatherknot_types::prelude::*;
 use http::StatusCode;
@@ -57,7 +57,7 @@
         },
     };
 
-    let (_, answer): (_, ChangeAnswer) = daemon.call(&first_secret(), "change", &req);
+    let (_, answer): (_, ChangeResponse) = daemon.call(&first_secret(), "change", &req);
 
     assert_eq!(answer.outcome, ChangeOutcome::Checked);
     assert_eq!(answer.edits[0].path, format!("{ACCOUNT}/services/studio"));
@@ -107,7 +107,7 @@
     daemon.must_set("a", "defaults/queue_len", json!(9));
     daemon.must_set("b", "defaults/queue_len", json!(8));
     daemon.must_set("c", "defaults/deadline_ms", json!(900));
-    let diff = |from: u64, to: u64, path: &str| -> DiffAnswer {
+    let diff = |from: u64, to: u64, path: &str| -> DiffResponse {
         let req = json!({ "from": from, "to": to, "path": path });
         daemon.call(&first_secret(), "diff", &req).1
     };
@@ -138,7 +138,7 @@
     let daemon = Daemon::with_layout(&platform);
     let req = json!({ "path": "utilities/port-louis:gallery" });
 
-    let (_, answer): (_, EffectiveAnswer) = daemon.call(&first_secret(), "effective", &req);
+    let (_, answer): (_, EffectiveResponse) = daemon.call(&first_secret(), "effective", &req);
 
     let origin = |key: &str| {
         let row = answer.values.iter().find(|row| row.key == key).unwrap();
@@ -164,9 +164,9 @@
         json!(7),
     );
 
-    let (_, own): (_, AuditAnswer) = daemon.call(&secret, "audit", &json!({}));
-    let (_, all): (_, AuditAnswer) = daemon.call(&first_secret(), "audit", &json!({}));
-    let (_, page): (_, HistoryAnswer) =
+    let (_, own): (_, AuditResponse) = daemon.call(&secret, "audit", &json!({}));
+    let (_, all): (_, AuditResponse) = daemon.call(&first_secret(), "audit", &json!({}));
+    let (_, page): (_, HistoryResponse) =
         daemon.call(&secret, "history", &json!({ "after": 1, "limit": 2 }));
 
     let revisions: Vec<u64> = own.entries.iter().map(|entry| entry.revision.0).collect();
@@ -193,7 +193,7 @@
     let text = String::from_utf8(platform.get(key).unwrap().to_vec()).unwrap();
     platform.put(key, text.replace("Holder of first", "Holder of third"));
 
-    let (_, answer): (_, AuditAnswer) = daemon.call(&first_secret(), "audit", &json!({}));
+    let (_, answer): (_, AuditResponse) = daemon.call(&first_secret(), "audit", &json!({}));
 
     assert!(
         answer
@@ -272,8 +272,8 @@
         daemon_status("c", "gone", 1),
     ];
 
-    let (_, root): (_, StatusAnswer) = daemon.call(&first_secret(), "status", &json!({}));
-    let (_, branch): (_, StatusAnswer) = daemon.call(&secret, "status", &json!({}));
+    let (_, root): (_, StatusResponse) = daemon.call(&first_secret(), "status", &json!({}));
+    let (_, branch): (_, StatusResponse) = daemon.call(&secret, "status", &json!({}));
 
     let counts: Vec<_> = branch
         .counts
@@ -292,7 +292,7 @@
         daemon_status("a", "alive", 2),
         daemon_status("b", "suspect", 1),
     ];
-    let wait = |revision: u64| -> WaitAnswer {
+    let wait = |revision: u64| -> WaitResponse {
         let req = json!({ "revision": revision, "timeout_ms": 200 });
         daemon.call(&first_secret(), "wait", &req).1
     };
--- a/crates/operator/tests/racing.rs
+++ b/crates/operator/tests/racing.rs
@@ -2,7 +2,9 @@
 
 mod support;
 
-use heatherknot_operator::api::{Action, ChangeAnswer, ChangeOutcome, ChangeRequest, DrainTarget};
+use heatherknot_operator::api::{
+    Action, ChangeOutcome, ChangeRequest, ChangeResponse, DrainTarget,
+};
 use heatherknot_settings::{ChainPoint, Change};
 use heatherknot_test_support::platform::{Down, PlatformHandle};
 use heatherknot_types::prelude::*;
@@ -75,7 +77,7 @@
                 value: json!(700),
             },
         };
-        daemon.call::<ChangeAnswer>(&first_secret(), "change", &req)
+        daemon.call::<ChangeResponse>(&first_secret(), "change", &req)
     };
 
     let (status, same) = ask("b", PATH);
@@ -211,7 +213,7 @@
             draining: true,
         },
     };
-    let (_, answer): (_, ChangeAnswer) = two.call(&first_secret(), "change", &req);
+    let (_, answer): (_, ChangeResponse) = two.call(&first_secret(), "change", &req);
 
     assert_eq!(
         (answer.outcome, answer.revision),
--- a/crates/operator/tests/support/mod.rs
+++ b/crates/operator/tests/support/mod.rs
@@ -9,10 +9,10 @@
 use futures_util::FutureExt;
 use heatherknot_http::{Body, Flag, Handler, Request, RequestHead};
 use heatherknot_operator::api::{
-    Action, ChangeAnswer, ChangeOutcome, ChangeRequest, DaemonStatus, ExplainAnswer,
+    Action, ChangeOutcome, ChangeRequest, ChangeResponse, DaemonStatus, ExplainResponse,
 };
 use heatherknot_operator::context::StoreFuture;
-use heatherknot_operator::{Held, OperatorContext, handler};
+use heatherknot_operator::{CurrentSettings, OperatorContext, handler};
 use heatherknot_settings::{BootstrapKey, Change, NewKey, OperatorKey, SettingsReplica};
 use heatherknot_store::backoff::Backoff;
 use heatherknot_store::commit::history::audit_after;
@@ -152,7 +152,7 @@
     }
 
     /// Asks for a change.
-    pub fn change(&self, secret: &str, command: &str, action: Action) -> ChangeAnswer {
+    pub fn change(&self, secret: &str, command: &str, action: Action) -> ChangeResponse {
         let req = ChangeRequest {
             command: command.to_string(),
             base: None,
@@ -163,7 +163,7 @@
     }
 
     /// Sets one value.
-    pub fn set(&self, secret: &str, command: &str, path: &str, value: Json) -> ChangeAnswer {
+    pub fn set(&self, secret: &str, command: &str, path: &str, value: Json) -> ChangeResponse {
         let path = path.to_string();
         self.change(secret, command, Action::Set { path, value })
     }
@@ -207,7 +207,7 @@
     let (status, looks) = (status.clone(), looks.clone());
     let refreshing = refreshing.clone();
     OperatorContext {
-        held: Rc::new(move || held(&h1)),
+        current_settings: Rc::new(move || held(&h1)),
         refresh: Rc::new(move || {
             let (refreshed, refreshing) = (refresh(s1.clone(), h2.clone()), refreshing.clone());
             refreshing.set(refreshing.get() + 1);
@@ -236,7 +236,7 @@
             async move { daemons }.boxed_local()
         }),
         explain: Rc::new(|req| {
-            let answer = ExplainAnswer {
+            let answer = ExplainResponse {
                 revision: Revision(1),
                 places: vec![PlaceName::from("north-1")],
                 steps: Vec::new(),
@@ -256,15 +256,15 @@
     }
 }
 
-fn held(holder: &Rc<RefCell<SettingsReplica>>) -> Held {
+fn held(holder: &Rc<RefCell<SettingsReplica>>) -> CurrentSettings {
     let holder = holder.borrow();
-    Held {
-        at: holder.at(),
+    CurrentSettings {
+        chain_point: holder.at(),
         tree: holder.tree().clone(),
     }
 }
 
-fn refresh(store: Store, holder: Rc<RefCell<SettingsReplica>>) -> StoreFuture<Held> {
+fn refresh(store: Store, holder: Rc<RefCell<SettingsReplica>>) -> StoreFuture<CurrentSettings> {
     async move {
         loop {
             let after = holder.borrow().revision();
