--- a/crates/daemon/examples/walkthrough/backends.rs
+++ b/crates/daemon/examples/walkthrough/backends.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use heatherknot_test_support::backend::{Behavior, FakeBackend, WhenFull};
-use heatherknot_test_support::layouts::Spot;
+use heatherknot_test_support::layouts::UpstreamSpec;
 use heatherknot_test_support::runtime;
 use heatherknot_types::prelude::*;
 
@@ -58,7 +58,7 @@
 }
 
 struct Server {
-    spot: Spot,
+    spot: UpstreamSpec,
     backend: FakeBackend,
 }
 
@@ -130,7 +130,7 @@
     }
 }
 
-fn start_one(spot: Spot, times: &BTreeMap<ServiceName, Duration>) -> Server {
+fn start_one(spot: UpstreamSpec, times: &BTreeMap<ServiceName, Duration>) -> Server {
     let time = times
         .iter()
         .find(|(service, _)| service.as_str().rsplit(':').next() == Some(spot.service));
--- a/crates/daemon/examples/walkthrough/scenario.rs
+++ b/crates/daemon/examples/walkthrough/scenario.rs
@@ -68,7 +68,7 @@
     /// Gives the settings of the layout, with the addresses that `address` gives.
     pub fn settings(
         &self,
-        address: impl FnMut(&layouts::Spot) -> std::net::SocketAddr,
+        address: impl FnMut(&layouts::UpstreamSpec) -> std::net::SocketAddr,
     ) -> serde_json::Value {
         match self.layout {
             Layout::PortLouis => layouts::port_louis(address),
--- a/crates/daemon/tests/support/backends.rs
+++ b/crates/daemon/tests/support/backends.rs
@@ -8,7 +8,7 @@
 use heatherknot_gateway::REASON_HEADER;
 use heatherknot_http::{Body, Pool, PoolConfig, RequestHead, SendOptions};
 use heatherknot_test_support::backend::{Behavior, FakeBackend, REQUEST_ID_HEADER};
-use heatherknot_test_support::layouts::{self, Spot};
+use heatherknot_test_support::layouts::{self, UpstreamSpec};
 use heatherknot_test_support::runtime;
 use heatherknot_types::outcome::{DEADLINE_HEADER, IDEMPOTENCY_HEADER, OUTCOME_HEADER};
 use heatherknot_types::outcome::{Outcome, SERVICE_HEADER};
@@ -122,7 +122,7 @@
     }
 }
 
-fn is_own(spot: &Spot) -> bool {
+fn is_own(spot: &UpstreamSpec) -> bool {
     spot.service == "publisher" && spot.place == "north-1"
 }
 
--- a/crates/gateway/tests/common/mod.rs
+++ b/crates/gateway/tests/common/mod.rs
@@ -253,7 +253,7 @@
     let not_run = HeaderName::from_static("x-not-run");
     FakeBackend::start(Behavior {
         slots,
-        shed_answer: (
+        shed_response: (
             StatusCode::SERVICE_UNAVAILABLE,
             vec![(not_run, HeaderValue::from_static("1"))],
         ),
--- a/crates/gateway/tests/once.rs
+++ b/crates/gateway/tests/once.rs
@@ -136,10 +136,10 @@
         let (vm, time, _network) = one_vm(plan(&[&server], 3)).await;
 
         for key in [ticket_of(&vm), "own-key".to_owned()] {
-            server.change(|s| s.sheds = true);
+            server.change(|s| s.shed_all = true);
             let before = total_runs(&server);
             let refused = vm.send(TestRequest::post("first").key(&key)).await;
-            server.change(|s| s.sheds = false);
+            server.change(|s| s.shed_all = false);
             warm_up(&[&vm], &time).await;
             let repeat = vm.send(TestRequest::post("again").key(&key)).await;
 
--- a/crates/gateway/tests/outcomes.rs
+++ b/crates/gateway/tests/outcomes.rs
@@ -105,7 +105,7 @@
     // A backend server refuses requests before it runs them, and says so by the agreed header.
     block_on(async {
         let (good, shedding) = (backend(3), backend(3));
-        shedding.change(|b| b.sheds = true);
+        shedding.change(|b| b.shed_all = true);
         let (vm, _time, _network) = one_vm(plan(&[&good, &shedding], 3)).await;
 
         let answers = ask_each(&vm, TestRequest::post).await;
@@ -126,8 +126,8 @@
     block_on(async {
         let server = backend(3);
         server.change(|b| {
-            b.sheds = true;
-            b.shed_answer.1.clear();
+            b.shed_all = true;
+            b.shed_response.1.clear();
         });
         let (vm, _time, _network) = one_vm(plan(&[&server], 3)).await;
 
@@ -145,7 +145,7 @@
     block_on(async {
         let (one, two) = (backend(3), backend(3));
         for server in [&one, &two] {
-            server.change(|b| b.sheds = true);
+            server.change(|b| b.shed_all = true);
         }
         let (vm, _time, _network) = one_vm(plan(&[&one, &two], 3)).await;
 
@@ -215,7 +215,7 @@
 fn short_answer_that_breaks_off_is_unknown_or_sent_again() {
     block_on(async {
         let server = backend(3);
-        server.change(|b| b.fault = Fault::HalfBody);
+        server.change(|b| b.fault = Fault::TruncatedBody);
         let (vm, _time, _network) = one_vm(plan(&[&server], 3)).await;
 
         let answer = vm.send(TestRequest::post("r1")).await;
@@ -246,7 +246,7 @@
         let (vm, _time, _network) = one_vm_with(plan(&[&server], 3), impatient()).await;
         vm.send(TestRequest::get("opens")).await;
 
-        server.silence_open_connections();
+        server.blackhole_open_connections();
         let answer = vm.send(TestRequest::get("r1")).await;
 
         assert_eq!(answer.outcome, "answered");
@@ -262,7 +262,7 @@
         let (vm, _time, _network) = one_vm_with(plan(&[&server], 3), impatient()).await;
         vm.send(TestRequest::get("opens")).await;
 
-        server.silence_open_connections();
+        server.blackhole_open_connections();
         let lost = vm.send(TestRequest::post("r1")).await;
         let next = vm.send(TestRequest::post("r2")).await;
 
--- a/crates/gateway/tests/request_path.rs
+++ b/crates/gateway/tests/request_path.rs
@@ -311,7 +311,7 @@
         let server = backend(1);
         server.change(|b| {
             b.body_len = 1 << 20;
-            b.fault = Fault::HalfBody;
+            b.fault = Fault::TruncatedBody;
         });
         let (vm, _time, _network) = one_vm(plan(&[&server], 1)).await;
         let mut caller = RawCaller::connect(vm.address).await.expect("a connection");
--- a/crates/http/tests/upstream_faults.rs
+++ b/crates/http/tests/upstream_faults.rs
@@ -55,7 +55,7 @@
 fn body_that_breaks_off_upstream_is_broken_for_the_caller() {
     for chunked in [false, true] {
         block_on(async {
-            let (backend, pool) = faulty(Fault::HalfBody);
+            let (backend, pool) = faulty(Fault::TruncatedBody);
             backend.change(|b| b.chunked = chunked);
             let address = start(proxy(pool.clone()));
 
@@ -243,7 +243,7 @@
 // could credit the lesson hours twice.
 #[test]
 fn request_whose_connection_closes_unanswered_may_have_been_sent() {
-    for (fault, runs) in [(Fault::ClosesAfterRun, 1), (Fault::ClosesUnrun, 0)] {
+    for (fault, runs) in [(Fault::ClosesAfterRun, 1), (Fault::ClosesBeforeRun, 0)] {
         block_on(async {
             let (backend, pool) = faulty(fault.clone());
 
@@ -279,7 +279,7 @@
         ];
         futures_util::future::join_all(both).await;
         assert_eq!(pool.idle(), 2);
-        backend.silence_open_connections();
+        backend.blackhole_open_connections();
         now.set(10);
 
         let sent = pool.send(get("c"), Body::empty(), idempotent()).await;
@@ -305,7 +305,7 @@
         let (backend, _) = backend(Behavior::default());
         let (pool, now) = pool_with_clock(&backend, PoolConfig::default());
         send_ok(&pool, "a", idempotent()).await;
-        backend.silence_open_connections();
+        backend.blackhole_open_connections();
         now.set(1_001);
 
         let head = request(Method::POST, "once");
--- a/crates/operator/tests/racing.rs
+++ b/crates/operator/tests/racing.rs
@@ -144,7 +144,7 @@
     platform.faults(|faults| faults.hold_writes = 1);
 
     let answer = daemon.set(&first_secret(), "a", PATH, json!(9));
-    platform.release_held();
+    platform.apply_held_writes();
 
     assert_eq!(answer.outcome, ChangeOutcome::NotAccepted);
     assert_eq!(changes_in(&platform), 1);
--- a/crates/store/examples/store_cost.rs
+++ b/crates/store/examples/store_cost.rs
@@ -250,7 +250,7 @@
         let before = platform.calls().total();
         monoio::time::sleep(Duration::from_secs(4)).await;
         let idle_calls = platform.calls().total() - before;
-        platform.faults(|faults| faults.watch_quiet = quiet);
+        platform.faults(|faults| faults.watch_stalled = quiet);
         let mut times = Vec::new();
         for base in 0..commits {
             let next = proposal(format!("f{base}"), base);
--- a/crates/store/tests/capacity.rs
+++ b/crates/store/tests/capacity.rs
@@ -210,7 +210,7 @@
         assert!(a.keeper.reconcile(&nobody()).await.is_err());
         assert!(a.keeper.reconcile(&nobody()).await.is_err());
         let reread = a.keeper.limit();
-        platform.release_held();
+        platform.apply_held_writes();
         rounds(&[&b, &a], &nobody()).await;
         (reread, limits(&[&a, &b]))
     });
--- a/crates/store/tests/claim.rs
+++ b/crates/store/tests/claim.rs
@@ -281,7 +281,7 @@
                     let claim = daemon.claim(key(&name), owner("vm")).await;
                     *winners.entry(text % 3).or_default() += u32::from(is_won(&claim));
                     if fault % 8 < 4 {
-                        platform.release_held();
+                        platform.apply_held_writes();
                     }
                 }
             });
--- a/crates/store/tests/commit.rs
+++ b/crates/store/tests/commit.rs
@@ -89,7 +89,8 @@
     let change = Bytes::from("change of other");
     platform.faults(|faults| {
         let change_key = keys::change(Revision(1));
-        faults.race = vec![(keys::HEAD.to_owned(), head), (change_key, change.clone())];
+        faults.concurrent_writes =
+            vec![(keys::HEAD.to_owned(), head), (change_key, change.clone())];
     });
 
     let outcome = block_on(commit(&store, &proposal("a", 0), &policy(3)));
@@ -147,7 +148,7 @@
 
     let (outcome, released, after_release, again, new) = block_on(async {
         let outcome = commit(&store, &proposal("a", 0), &policy(3)).await;
-        let released = platform.release_held();
+        let released = platform.apply_held_writes();
         let after_release = stored_changes(&platform);
         let again = commit(&store, &proposal("a", 0), &policy(3)).await;
         let new = commit(&store, &proposal("b", 0), &policy(3)).await;
@@ -172,7 +173,7 @@
     let store = store(&platform);
     let command = keys::command(&CommandId::parse("a").unwrap());
     let withdrawn = Bytes::from(r#""withdrawn""#);
-    platform.faults(|faults| faults.race = vec![(command, withdrawn)]);
+    platform.faults(|faults| faults.concurrent_writes = vec![(command, withdrawn)]);
 
     let outcome = block_on(commit(&store, &proposal("a", 0), &policy(3)));
 
@@ -212,7 +213,7 @@
         commit(&store, &proposal("a", 0), &policy(0)).await;
         resolve_command(&store, &command, &policy(3)).await
     });
-    platform.release_held();
+    platform.apply_held_writes();
 
     assert_eq!(outcome, CommitOutcome::NotAccepted(Rejection::Withdrawn));
     assert_eq!(newest(&platform), Revision::NONE);
@@ -313,7 +314,7 @@
             let store = store(&platform);
 
             let outcomes = block_on(run_script(&platform, &store, script));
-            platform.release_held();
+            platform.apply_held_writes();
 
             let changes = stored_changes(&platform);
             for (index, outcome) in outcomes.iter().enumerate() {
@@ -348,7 +349,7 @@
         let next = proposal(&format!("c{index}"), base.0);
         outcomes.push(commit(store, &next, &policy(2)).await);
         if index % 3 == 2 {
-            platform.release_held();
+            platform.apply_held_writes();
         }
     }
     outcomes
--- a/crates/store/tests/follow.rs
+++ b/crates/store/tests/follow.rs
@@ -124,7 +124,7 @@
     let status = block_on(async {
         let follower = following(&store, &daemon, OFTEN);
         eventually(|| platform.calls().watching == 1).await;
-        platform.faults(|faults| faults.watch_quiet = true);
+        platform.faults(|faults| faults.watch_stalled = true);
         accept(&store, 0, 1).await;
         daemon.reaches(1).await;
         eventually(|| follower.status().missed > 0).await;
@@ -211,10 +211,10 @@
         let follower = following(&store, &daemon, NEVER);
         daemon.reaches(1).await;
         eventually(|| platform.calls().watching == 1).await;
-        platform.faults(|faults| faults.watch_quiet = true);
+        platform.faults(|faults| faults.watch_stalled = true);
         accept(&store, 1, 2).await;
         platform.compact();
-        platform.faults(|faults| faults.watch_quiet = false);
+        platform.faults(|faults| faults.watch_stalled = false);
         daemon.reaches(2).await;
         assert!(follower.status().failures > 0);
     });
--- a/crates/store/tests/protocol.rs
+++ b/crates/store/tests/protocol.rs
@@ -297,7 +297,7 @@
             start: StoreRevision(0),
         };
         let mut watch = (store.watch)(req).await.unwrap();
-        platform.faults(|faults| faults.watch_quiet = true);
+        platform.faults(|faults| faults.watch_stalled = true);
         store.put("w", "1").await.unwrap();
         watch.next().await.unwrap().unwrap_err()
     });
@@ -344,10 +344,10 @@
 
     let (lagging, caught_up) = block_on(async {
         (list.read)().await.unwrap();
-        platform.faults(|faults| faults.vm_frozen = true);
+        platform.faults(|faults| faults.vm_list_frozen = true);
         platform.set_vms(vec![vm(PlatformVmState::Gone)]);
         let lagging = (list.read)().await.unwrap();
-        platform.faults(|faults| faults.vm_frozen = false);
+        platform.faults(|faults| faults.vm_list_frozen = false);
         (lagging, (list.read)().await.unwrap())
     });
 
--- a/crates/test-support/src/backend.rs
+++ b/crates/test-support/src/backend.rs
@@ -34,11 +34,11 @@
     /// The first requests after the start, which take longer.
     pub cold_start: ColdStart,
     /// Whether every request is refused before it runs.
-    pub sheds: bool,
+    pub shed_all: bool,
     /// Whether answers and the health answer say that the server is leaving.
     pub draining: bool,
     /// What a refused request gets.
-    pub shed_answer: (StatusCode, Vec<(HeaderName, HeaderValue)>),
+    pub shed_response: (StatusCode, Vec<(HeaderName, HeaderValue)>),
     /// What the answers of a leaving server carry.
     pub drain_header: (HeaderName, HeaderValue),
     /// Length of the body of each answer, in bytes; it begins with the request's identifier.
@@ -76,13 +76,13 @@
     #[default]
     None,
     /// The request is not run, and its connection is closed unanswered.
-    ClosesUnrun,
+    ClosesBeforeRun,
     /// The request runs, and its connection is closed unanswered.
     ClosesAfterRun,
     /// The request runs and is never answered; the connection stays open.
     NeverAnswers,
     /// The connection closes after half of the answer's body.
-    HalfBody,
+    TruncatedBody,
     /// The request is answered before its body is read, and the connection is closed.
     AnswersEarly,
     /// The request runs, and these bytes are its answer.
@@ -97,9 +97,9 @@
             response_time: Duration::ZERO,
             held: false,
             cold_start: ColdStart::default(),
-            sheds: false,
+            shed_all: false,
             draining: false,
-            shed_answer: (StatusCode::SERVICE_UNAVAILABLE, Vec::new()),
+            shed_response: (StatusCode::SERVICE_UNAVAILABLE, Vec::new()),
             drain_header: (
                 HeaderName::from_static("x-draining"),
                 HeaderValue::from_static("1"),
@@ -170,7 +170,7 @@
 
     /// Makes every connection that is open now silent: its bytes are taken and lost, as by
     /// a middlebox that has forgotten it. New connections work.
-    pub fn silence_open_connections(&self) {
+    pub fn blackhole_open_connections(&self) {
         self.state.silent_below.set(self.state.accepted.get());
     }
 
--- a/crates/test-support/src/backend/connection.rs
+++ b/crates/test-support/src/backend/connection.rs
@@ -169,11 +169,11 @@
             return Err(io::ErrorKind::ConnectionAborted.into());
         }
         let body = self.read_body(&head).await?;
-        if behavior.fault == Fault::ClosesUnrun {
+        if behavior.fault == Fault::ClosesBeforeRun {
             return Err(io::ErrorKind::ConnectionAborted.into());
         }
-        if behavior.sheds || !self.wait_for_slot(&behavior).await {
-            let (status, headers) = &behavior.shed_answer;
+        if behavior.shed_all || !self.wait_for_slot(&behavior).await {
+            let (status, headers) = &behavior.shed_response;
             return self
                 .write(&head.method, &behavior, *status, headers, Bytes::new())
                 .await;
@@ -266,7 +266,7 @@
             false => (format!("content-length: {}\r\n\r\n", body.len()), ""),
         };
         text += &framing;
-        let half = behavior.fault == Fault::HalfBody;
+        let half = behavior.fault == Fault::TruncatedBody;
         let sent = match (method == Method::HEAD, half) {
             (true, _) => 0,
             (false, true) => body.len() / 2,
--- a/crates/test-support/src/layouts.rs
+++ b/crates/test-support/src/layouts.rs
@@ -7,7 +7,7 @@
 
 /// The upstream for which a layout needs an address.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Spot {
+pub struct UpstreamSpec {
     /// The service, without its account.
     pub service: &'static str,
     /// The name of the upstream, unique in the layout.
@@ -46,7 +46,7 @@
 
 /// Gives the settings of Port Louis: `gallery`, `publisher` and `studio` in six failure
 /// domains (`north-1` to `south-2`), with the addresses that the function gives.
-pub fn port_louis(address: impl FnMut(&Spot) -> SocketAddr) -> Json {
+pub fn port_louis(address: impl FnMut(&UpstreamSpec) -> SocketAddr) -> Json {
     let layout = Layout {
         group: "utilities",
         account: "port-louis",
@@ -73,7 +73,7 @@
 
 /// Gives the settings of Enlace: `catalogo`, `asignaciones` and `expediente` in six failure
 /// domains (`valle-central-1` to `limon-2`), with the addresses that the function gives.
-pub fn enlace(address: impl FnMut(&Spot) -> SocketAddr) -> Json {
+pub fn enlace(address: impl FnMut(&UpstreamSpec) -> SocketAddr) -> Json {
     let layout = Layout {
         group: "training",
         account: "enlace",
@@ -99,7 +99,7 @@
 }
 
 /// Gives a different loopback address for each call, for tests that open no connection.
-pub fn unused_addresses() -> impl FnMut(&Spot) -> SocketAddr {
+pub fn unused_addresses() -> impl FnMut(&UpstreamSpec) -> SocketAddr {
     let mut port = 20_000;
     move |_| {
         port += 1;
@@ -116,8 +116,8 @@
     }
 }
 
-fn document(layout: &Layout, mut address: impl FnMut(&Spot) -> SocketAddr) -> Json {
-    let spots: Vec<Spot> = layout
+fn document(layout: &Layout, mut address: impl FnMut(&UpstreamSpec) -> SocketAddr) -> Json {
+    let spots: Vec<UpstreamSpec> = layout
         .services
         .iter()
         .flat_map(|service| spots(layout, service))
@@ -143,9 +143,9 @@
     })
 }
 
-fn spots(layout: &Layout, service: &ServiceLayout) -> Vec<Spot> {
+fn spots(layout: &Layout, service: &ServiceLayout) -> Vec<UpstreamSpec> {
     let domains: Vec<String> = domains(layout).map(|(domain, _)| domain).collect();
-    let spot = |at: usize| Spot {
+    let spot = |at: usize| UpstreamSpec {
         service: service.name,
         name: format!("{}-{}", service.name, at + 1),
         place: domains[at % domains.len()].clone(),
@@ -162,7 +162,7 @@
     })
 }
 
-fn upstream(spot: &Spot, address: SocketAddr) -> (String, Json) {
+fn upstream(spot: &UpstreamSpec, address: SocketAddr) -> (String, Json) {
     let settings = json!({
         "place": spot.place,
         "address": address.to_string(),
@@ -172,7 +172,7 @@
     (spot.name.clone(), settings)
 }
 
-fn platform(layout: &Layout, spots: &[Spot]) -> Json {
+fn platform(layout: &Layout, spots: &[UpstreamSpec]) -> Json {
     let slots_in = |domain: &str| -> u32 {
         let here = spots.iter().filter(|spot| spot.place == domain);
         here.map(|spot| u32::from(spot.slots)).sum()
--- a/crates/test-support/src/platform/conn.rs
+++ b/crates/test-support/src/platform/conn.rs
@@ -123,7 +123,7 @@
 
 /// Lets another client's writes take place before a transaction.
 fn race(state: &mut State, body: &Value) {
-    for (key, value) in std::mem::take(&mut state.faults.race) {
+    for (key, value) in std::mem::take(&mut state.faults.concurrent_writes) {
         state.kv.put_now(key.as_bytes(), value);
     }
     if strike(&mut state.faults.conflicts) {
@@ -177,7 +177,7 @@
     write_chunk(writer, &created).await?;
     loop {
         let pending = Box::pin(until(state, |state| {
-            !state.faults.watch_quiet && state.kv.revision >= next || state.faults.down.is_some()
+            !state.faults.watch_stalled && state.kv.revision >= next || state.faults.down.is_some()
         }));
         let progress = Box::pin(monoio::time::sleep(PROGRESS));
         let due = matches!(select(pending, progress).await, Either::Left(_));
@@ -186,7 +186,7 @@
             if state.faults.down.is_some() {
                 return None;
             }
-            if state.faults.watch_quiet {
+            if state.faults.watch_stalled {
                 continue;
             }
             if next <= state.kv.compacted {
--- a/crates/test-support/src/platform/faults.rs
+++ b/crates/test-support/src/platform/faults.rs
@@ -25,22 +25,22 @@
     /// This many of the next reads are closed unanswered.
     pub close_reads: u32,
     /// This many of the next writes are closed unanswered and applied only by
-    /// [`release_held`](super::PlatformHandle::release_held).
+    /// [`apply_held_writes`](super::PlatformHandle::apply_held_writes).
     pub hold_writes: u32,
     /// Before this many of the next transactions that may write, another client rewrites the
     /// keys compared.
     pub conflicts: u32,
     /// Writes of another client that take place just before the next transaction that may
     /// write.
-    pub race: Vec<(String, Bytes)>,
+    pub concurrent_writes: Vec<(String, Bytes)>,
     /// This many of the next calls are refused as too many.
     pub rate_limited: u32,
     /// Watches stay open and bring nothing.
-    pub watch_quiet: bool,
+    pub watch_stalled: bool,
     /// Watches leave out this many of the next changes.
     pub skip_events: u32,
     /// The VM list shows the state of this long ago.
     pub vm_lag: Duration,
     /// The VM list shows what it last showed, whatever is set meanwhile.
-    pub vm_frozen: bool,
+    pub vm_list_frozen: bool,
 }
--- a/crates/test-support/src/platform/mod.rs
+++ b/crates/test-support/src/platform/mod.rs
@@ -125,9 +125,9 @@
 
     /// Applies the writes that [`Faults::hold_writes`] kept back, in the order of arrival,
     /// and gives their number.
-    pub fn release_held(&self) -> usize {
+    pub fn apply_held_writes(&self) -> usize {
         let mut state = self.lock();
-        let released = state.release_held();
+        let released = state.apply_held_writes();
         state.wake();
         released
     }
--- a/crates/test-support/src/platform/state.rs
+++ b/crates/test-support/src/platform/state.rs
@@ -45,7 +45,7 @@
         }
     }
 
-    pub fn release_held(&mut self) -> usize {
+    pub fn apply_held_writes(&mut self) -> usize {
         let held = std::mem::take(&mut self.held);
         for (path, body) in &held {
             api::apply(&mut self.kv, path, body);
--- a/crates/test-support/src/platform/vms.rs
+++ b/crates/test-support/src/platform/vms.rs
@@ -61,7 +61,7 @@
     }
 
     pub fn read(&mut self, faults: &Faults) -> Value {
-        if !faults.vm_frozen {
+        if !faults.vm_list_frozen {
             self.shown = self.newest(faults.vm_lag);
         }
         let version = &self.versions[self.shown];
