--- a/crates/cli/tests/support/mod.rs
+++ b/crates/cli/tests/support/mod.rs
@@ -11,11 +11,13 @@
 
 use futures_util::FutureExt;
 use heatherknot_cli::env::Env;
-use heatherknot_cli::{Finished, run};
+use heatherknot_cli::{CommandOutput, run};
 use heatherknot_http::{Flag, Limits, serve};
-use heatherknot_operator::api::{DaemonStatus, ExplainAnswer, ExplainStep};
-use heatherknot_operator::{Held, OperatorContext, handler};
-use heatherknot_settings::{ChainPoint, Change, FirstKey, Holder, NewKey, OperatorKey};
+use heatherknot_operator::api::{DaemonStatus, ExplainResponse, ExplainStep};
+use heatherknot_operator::{CurrentSettings, OperatorContext, handler};
+use heatherknot_settings::{
+    BootstrapKey, ChainPoint, Change, NewKey, OperatorKey, SettingsReplica,
+};
 use heatherknot_store::commit::history::{HistoryPage, StoredChange};
 use heatherknot_store::commit::{CommandId, CommitOutcome, Proposal, Rejection};
 use heatherknot_test_support::layouts;
@@ -66,7 +68,7 @@
 }
 
 fn context(memory: &Arc<Mutex<Memory>>) -> OperatorContext {
-    let holder = Rc::new(RefCell::new(Holder::new()));
+    let holder = Rc::new(RefCell::new(SettingsReplica::new()));
     let (h1, h2) = (holder.clone(), holder);
     let (m1, m2, m3, m4) = (
         memory.clone(),
@@ -76,7 +78,7 @@
     );
     let m5 = memory.clone();
     OperatorContext {
-        held: Rc::new(move || held(&h1)),
+        current_settings: Rc::new(move || held(&h1)),
         refresh: Rc::new(move || {
             let changes = m1.lock().unwrap().changes.clone();
             h2.borrow_mut().accept_changes(&changes).unwrap();
@@ -105,10 +107,10 @@
     }
 }
 
-fn held(holder: &Rc<RefCell<Holder>>) -> Held {
+fn held(holder: &Rc<RefCell<SettingsReplica>>) -> CurrentSettings {
     let holder = holder.borrow();
-    Held {
-        at: holder.at(),
+    CurrentSettings {
+        chain_point: holder.at(),
         tree: holder.tree().clone(),
     }
 }
@@ -165,8 +167,8 @@
     }
 }
 
-fn explanation() -> ExplainAnswer {
-    ExplainAnswer {
+fn explanation() -> ExplainResponse {
+    ExplainResponse {
         revision: Revision(1),
         places: vec!["north-1".into(), "south-1".into()],
         steps: vec![ExplainStep {
@@ -182,7 +184,7 @@
     NewKey::from_bytes("first", [3; 16], [5; 32])
 }
 
-fn first_key() -> FirstKey {
+fn first_key() -> BootstrapKey {
     let key = new_key();
     let object = json!({
         "holder": "Night shift",
@@ -191,7 +193,7 @@
         "salt": key.salt,
         "hash": key.hash,
     });
-    FirstKey {
+    BootstrapKey {
         id: "first".into(),
         key: OperatorKey::read("first", object.as_object().unwrap()).unwrap(),
     }
@@ -203,7 +205,7 @@
 }
 
 /// Runs the program against daemons with the first operator's key from the environment.
-pub fn cli(servers: &[SocketAddr], args: &[&str]) -> Finished {
+pub fn cli(servers: &[SocketAddr], args: &[&str]) -> CommandOutput {
     let servers: Vec<String> = servers.iter().map(SocketAddr::to_string).collect();
     let env = Env {
         servers: Some(servers.join(",")),
@@ -214,8 +216,8 @@
 }
 
 /// Gives the JSON that a run printed.
-pub fn json_of(finished: &Finished) -> Json {
-    serde_json::from_str(&finished.out).unwrap()
+pub fn json_of(finished: &CommandOutput) -> Json {
+    serde_json::from_str(&finished.stdout).unwrap()
 }
 
 /// Gives a path for a file of one test, in the directory that the build keeps for tests.
--- a/crates/gateway/tests/outcomes.rs
+++ b/crates/gateway/tests/outcomes.rs
@@ -106,7 +106,7 @@
     // not-run header, and against lost or doubled runs of them.
     block_on(async {
         let (good, shedding) = (backend(3), backend(3));
-        shedding.change(|b| b.sheds = true);
+        shedding.change(|b| b.shed_all = true);
         let (vm, _time, _network) = one_vm(plan(&[&good, &shedding], 3)).await;
 
         let answers = send_requests(&vm, TestRequest::post).await;
@@ -127,8 +127,8 @@
     block_on(async {
         let server = backend(3);
         server.change(|b| {
-            b.sheds = true;
-            b.shed_answer.1.clear();
+            b.shed_all = true;
+            b.shed_response.1.clear();
         });
         let (vm, _time, _network) = one_vm(plan(&[&server], 3)).await;
 
@@ -146,7 +146,7 @@
     block_on(async {
         let (one, two) = (backend(3), backend(3));
         for server in [&one, &two] {
-            server.change(|b| b.sheds = true);
+            server.change(|b| b.shed_all = true);
         }
         let (vm, _time, _network) = one_vm(plan(&[&one, &two], 3)).await;
 
@@ -222,7 +222,7 @@
     // Guards against delivering half of a short response, or retrying a POST that may have run.
     block_on(async {
         let server = backend(3);
-        server.change(|b| b.fault = Fault::HalfBody);
+        server.change(|b| b.fault = Fault::TruncatedBody);
         let (vm, _time, _network) = one_vm(plan(&[&server], 3)).await;
 
         let answer = vm.send(TestRequest::post("r1")).await;
@@ -253,7 +253,7 @@
         let (vm, _time, _network) = one_vm_with(plan(&[&server], 3), short_silence_limit()).await;
         vm.send(TestRequest::get("opens")).await;
 
-        server.silence_open_connections();
+        server.blackhole_open_connections();
         let answer = vm.send(TestRequest::get("r1")).await;
 
         assert_eq!(answer.outcome, "answered");
@@ -270,7 +270,7 @@
         let (vm, _time, _network) = one_vm_with(plan(&[&server], 3), short_silence_limit()).await;
         vm.send(TestRequest::get("opens")).await;
 
-        server.silence_open_connections();
+        server.blackhole_open_connections();
         let lost = vm.send(TestRequest::post("r1")).await;
         let next = vm.send(TestRequest::post("r2")).await;
 
--- a/crates/gateway/tests/request_path.rs
+++ b/crates/gateway/tests/request_path.rs
@@ -327,7 +327,7 @@
         let server = backend(1);
         server.change(|b| {
             b.body_len = 1 << 20;
-            b.fault = Fault::HalfBody;
+            b.fault = Fault::TruncatedBody;
         });
         let (vm, _time, _network) = one_vm(plan(&[&server], 1)).await;
         let mut caller = RawCaller::connect(vm.address).await.expect("a connection");
--- a/crates/http/tests/upstream_faults.rs
+++ b/crates/http/tests/upstream_faults.rs
@@ -54,7 +54,7 @@
 fn truncated_upstream_body_is_truncated_for_the_caller() {
     for chunked in [false, true] {
         block_on(async {
-            let (backend, pool) = faulty(Fault::HalfBody);
+            let (backend, pool) = faulty(Fault::TruncatedBody);
             backend.change(|b| b.chunked = chunked);
             let address = start(proxy(pool.clone()));
 
@@ -244,7 +244,7 @@
 // be reported as not sent: a retry could run an at-most-once request twice.
 #[test]
 fn close_without_a_response_is_reported_as_maybe_sent() {
-    for (fault, runs) in [(Fault::ClosesAfterRun, 1), (Fault::ClosesUnrun, 0)] {
+    for (fault, runs) in [(Fault::ClosesAfterRun, 1), (Fault::ClosesBeforeRun, 0)] {
         block_on(async {
             let (backend, pool) = faulty(fault.clone());
 
@@ -280,7 +280,7 @@
         ];
         futures_util::future::join_all(both).await;
         assert_eq!(pool.idle(), 2);
-        backend.silence_open_connections();
+        backend.blackhole_open_connections();
         now.set(10);
 
         let sent = pool.send(get("c"), Body::empty(), idempotent()).await;
@@ -306,7 +306,7 @@
         let (backend, _) = backend(Behavior::default());
         let (pool, now) = pool_with_clock(&backend, PoolConfig::default());
         send_ok(&pool, "a", idempotent()).await;
-        backend.silence_open_connections();
+        backend.blackhole_open_connections();
         now.set(1_001);
 
         let head = request(Method::POST, "once");
--- a/crates/peer/tests/relay.rs
+++ b/crates/peer/tests/relay.rs
@@ -8,7 +8,7 @@
 
 use heatherknot_peer::{Delivery, Origin, RelayedSnapshot, SettingsPort};
 use heatherknot_settings::change::ChainPoint;
-use heatherknot_settings::holder::{Holder, Snapshot};
+use heatherknot_settings::replica::{SettingsReplica, Snapshot};
 use heatherknot_types::prelude::*;
 use support::fleet::{
     FakeStore, TestDaemon, TestDaemonSetup, all_alive, change, set_path_between,
@@ -334,7 +334,7 @@
 #[test]
 fn a_holder_applies_only_newer_snapshots_and_notifies_of_each() {
     let snapshot = |revision: u64| {
-        let empty = Holder::new().snapshot();
+        let empty = SettingsReplica::new().snapshot();
         let at = ChainPoint {
             revision: Revision(revision),
             ..empty.at
@@ -346,7 +346,7 @@
     };
     let notified = Rc::new(RefCell::new(Vec::new()));
     let recorder = Rc::clone(&notified);
-    let holder = Rc::new(RefCell::new(Holder::new()));
+    let holder = Rc::new(RefCell::new(SettingsReplica::new()));
     let port =
         SettingsPort::for_holder(holder, Rc::new(move |rev| recorder.borrow_mut().push(rev)));
     let initial = (port.snapshot)();
--- a/crates/store/src/commit/maintenance.rs
+++ b/crates/store/src/commit/maintenance.rs
@@ -2,7 +2,7 @@
 //! old command records.
 
 use bytes::Bytes;
-use heatherknot_settings::audit::shortened;
+use heatherknot_settings::audit::compacted;
 use heatherknot_settings::{Change, Snapshot};
 use heatherknot_types::prelude::*;
 
@@ -97,7 +97,7 @@
 /// example because it has a newer schema, is stored unmodified.
 fn shorten(change: &Bytes) -> Bytes {
     match serde_json::from_slice::<Change>(change) {
-        Ok(change) => to_json(&shortened(&change)),
+        Ok(change) => to_json(&compacted(&change)),
         Err(_) => change.clone(),
     }
 }
--- a/crates/store/tests/capacity.rs
+++ b/crates/store/tests/capacity.rs
@@ -213,7 +213,7 @@
         assert!(a.reconciler.reconcile(&no_departures()).await.is_err());
         assert!(a.reconciler.reconcile(&no_departures()).await.is_err());
         let reread = a.reconciler.limit();
-        platform.release_held();
+        platform.apply_held_writes();
         reconcile_all(&[&b, &a], &no_departures()).await;
         (reread, limits(&[&a, &b]))
     });
--- a/crates/store/tests/follow.rs
+++ b/crates/store/tests/follow.rs
@@ -125,7 +125,7 @@
     let status = block_on(async {
         let follower = following(&store, &daemon, FREQUENT_POLLING);
         eventually(|| platform.calls().watching == 1).await;
-        platform.faults(|faults| faults.watch_quiet = true);
+        platform.faults(|faults| faults.watch_stalled = true);
         accept(&store, 0, 1).await;
         daemon.wait_for(1).await;
         eventually(|| follower.status().incomplete_watches > 0).await;
@@ -212,10 +212,10 @@
         let follower = following(&store, &daemon, NO_POLLING);
         daemon.wait_for(1).await;
         eventually(|| platform.calls().watching == 1).await;
-        platform.faults(|faults| faults.watch_quiet = true);
+        platform.faults(|faults| faults.watch_stalled = true);
         accept(&store, 1, 2).await;
         platform.compact();
-        platform.faults(|faults| faults.watch_quiet = false);
+        platform.faults(|faults| faults.watch_stalled = false);
         daemon.wait_for(2).await;
         assert!(follower.status().failures > 0);
     });
--- a/crates/store/tests/protocol.rs
+++ b/crates/store/tests/protocol.rs
@@ -305,7 +305,7 @@
             start: StoreRevision(0),
         };
         let mut watch = (store.watch)(req).await.unwrap();
-        platform.faults(|faults| faults.watch_quiet = true);
+        platform.faults(|faults| faults.watch_stalled = true);
         store.put("w", "1").await.unwrap();
         watch.next().await.unwrap().unwrap_err()
     });
@@ -354,10 +354,10 @@
 
     let (lagging, caught_up) = block_on(async {
         (list.read)().await.unwrap();
-        platform.faults(|faults| faults.vm_frozen = true);
+        platform.faults(|faults| faults.vm_list_frozen = true);
         platform.set_vms(vec![vm(PlatformVmState::Gone)]);
         let lagging = (list.read)().await.unwrap();
-        platform.faults(|faults| faults.vm_frozen = false);
+        platform.faults(|faults| faults.vm_list_frozen = false);
         (lagging, (list.read)().await.unwrap())
     });
 
