--- a/crates/operator/src/api.rs
+++ b/crates/operator/src/api.rs
@@ -1,4 +1,4 @@
-//! The messages of the operators' interface.
+//! The request and response types of the operator API.
 
 use std::net::SocketAddr;
 
@@ -10,10 +10,10 @@
 use serde::{Deserialize, Serialize};
 use serde_json::Value as Json;
 
-/// The beginning of the path of every call.
+/// The path prefix of every call.
 pub const PATH_PREFIX: &str = "/v1/";
 
-/// Asks for the node at a path.
+/// A request for the node at a path, or for the settings in force there.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PathRequest {
@@ -21,16 +21,16 @@
     pub path: String,
 }
 
-/// The node at a path.
+/// The response to a `get` call.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct GetResponse {
     /// The revision that the answering daemon has in force.
     pub revision: Revision,
-    /// The node.
+    /// The value of the node.
     pub value: Json,
 }
 
-/// The settings in force at a node.
+/// The response to an `effective` call.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct EffectiveResponse {
     /// The revision that the answering daemon has in force.
@@ -39,33 +39,33 @@
     pub values: Vec<EffectiveValue>,
 }
 
-/// Asks for a change.
+/// A request to change the settings.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ChangeRequest {
     /// The identifier of the command, 1 to 64 letters, digits, `-` or `_`. The same request
     /// with the same identifier takes effect at most once.
     pub command: String,
-    /// The revision that the operator had before them. A change made since of the same nodes
-    /// is a conflict.
+    /// The revision that the change is based on. A later change of the same nodes is a conflict.
+    /// If absent, the revision that the daemon has in force when the request arrives.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub base: Option<Revision>,
-    /// Whether to check the change only.
+    /// Whether to validate the change without committing it.
     #[serde(default)]
     pub dry_run: bool,
-    /// What to do.
+    /// The change to make.
     pub action: Action,
 }
 
-/// What a change does.
+/// The kind of a change.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub enum Action {
-    /// Puts a value, or a whole branch, at a path.
+    /// Sets the value or subtree at a path.
     Set {
         /// The path.
         path: String,
-        /// The value or the object.
+        /// The new value or object.
         value: Json,
     },
     /// Removes the node at a path.
@@ -73,21 +73,21 @@
         /// The path.
         path: String,
     },
-    /// Takes one earlier change back and keeps those after it.
+    /// Reverts one earlier change and keeps the changes after it.
     Undo {
-        /// The revision that the earlier change made.
+        /// The revision that the earlier change created.
         revision: Revision,
     },
     /// Starts or ends a drain.
     Drain {
-        /// What is drained.
+        /// The target of the drain.
         target: DrainTarget,
-        /// Whether to start it or to end it.
+        /// `true` to start the drain, `false` to end it.
         draining: bool,
     },
 }
 
-/// What can be drained.
+/// The target of a drain.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub enum DrainTarget {
@@ -115,48 +115,48 @@
     },
 }
 
-/// What became of a change.
+/// The outcome of a change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum ChangeOutcome {
-    /// It is accepted and will be in force everywhere.
+    /// The change is accepted and will be in force everywhere.
     Accepted,
-    /// It was not accepted and won't be.
+    /// The change was not accepted and can't take effect later.
     NotAccepted,
-    /// It may or may not have been accepted. The same command run again finds out.
+    /// The change may or may not have been accepted. Running the same command again tells which.
     Unknown,
-    /// It was only checked, and would be accepted.
+    /// A dry run found the change valid.
     Checked,
-    /// The settings already are as asked.
+    /// The settings already are as requested.
     Unchanged,
 }
 
-/// The answer to a change.
+/// The response to a `change` call.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ChangeResponse {
-    /// What became of it.
+    /// The outcome of the change.
     pub outcome: ChangeOutcome,
-    /// The revision that it made; where nothing was to be changed, the newest one.
+    /// The revision that the change created, or the newest one if nothing had to change.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub revision: Option<Revision>,
-    /// The edits that the change consists of.
+    /// The edits of the change.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub edits: Vec<Edit>,
-    /// Why it wasn't accepted, or why that isn't known.
+    /// Why the change was not accepted, or why its outcome is unknown.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub reason: Option<String>,
-    /// The changes by others that it conflicts with.
+    /// The changes since `base` that this one conflicts with.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub conflicts: Vec<AuditEntry>,
 }
 
-/// Asks for the difference between two revisions.
+/// A request for the difference between two revisions.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct DiffRequest {
-    /// The earlier revision.
+    /// The revision to compare from; may be the later one.
     pub from: Revision,
-    /// The later revision; the one in force where left out.
+    /// The revision to compare to; the one in force if absent.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub to: Option<Revision>,
     /// The node to compare; empty for the root.
@@ -164,179 +164,179 @@
     pub path: String,
 }
 
-/// The difference between two revisions.
+/// The response to a `diff` call.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct DiffResponse {
-    /// The earlier revision.
+    /// The revision compared from.
     pub from: Revision,
-    /// The later revision.
+    /// The revision compared to.
     pub to: Revision,
-    /// The edits that lead from one to the other, with paths from the root.
+    /// The edits that turn `from` into `to`, with paths from the root.
     pub edits: Vec<Edit>,
 }
 
-/// Asks for changes of the key's branch, the oldest first.
+/// A request for the changes of the key's branch, oldest first.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct HistoryRequest {
-    /// Only changes after this revision.
+    /// The revision after which to start.
     #[serde(default)]
     pub after: Revision,
-    /// The most changes to look at; fewer may concern the branch.
+    /// The maximum number of changes to scan; those outside the branch count but are not returned.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub limit: Option<usize>,
 }
 
-/// One change as `history` shows it: without who made it and without values.
+/// A change as `history` returns it, without its author and values.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct HistoryEntry {
-    /// The revision that the change made.
+    /// The revision that the change created.
     pub revision: Revision,
-    /// Wall-clock time, in milliseconds since 1970.
+    /// The wall-clock time of the change, in milliseconds since the Unix epoch.
     pub at_ms: u64,
-    /// The paths changed.
+    /// The changed paths.
     pub paths: Vec<String>,
 }
 
-/// Changes of the key's branch.
+/// The response to a `history` call.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct HistoryResponse {
-    /// The changes, the oldest first.
+    /// The changes, oldest first.
     pub changes: Vec<HistoryEntry>,
-    /// The last revision looked at; asking again after it gives what follows.
+    /// The last revision scanned; the `after` of the next request.
     pub seen: Revision,
-    /// Whether there are changes after it.
+    /// Whether there are changes after `seen`.
     pub more: bool,
 }
 
-/// Entries of the audit trail.
+/// The response to an `audit` call.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct AuditResponse {
-    /// The entries that concern the branch, the oldest first.
+    /// The entries that concern the key's branch, oldest first.
     pub entries: Vec<AuditEntry>,
-    /// The last revision looked at; asking again after it gives what follows.
+    /// The last revision scanned; the `after` of the next request.
     pub seen: Revision,
-    /// The hash of the change that made that revision.
+    /// The hash of the change that created `seen`.
     pub seen_hash: Digest,
-    /// Whether there are entries after it.
+    /// Whether there are entries after `seen`.
     pub more: bool,
-    /// Where the chain of hashes is broken among the entries looked at.
+    /// The first error in the hash chain of the changes scanned.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub broken: Option<String>,
 }
 
-/// What is known of the settings in force on one daemon.
+/// The last known status of the settings on one daemon.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DaemonStatus {
     /// The daemon's VM.
     pub vm: VmName,
     /// The VM's failure domain.
     pub domain: DomainName,
-    /// What membership says of it: `alive`, `suspect`, `leaving` or `gone`.
+    /// The membership state: `alive`, `suspect`, `leaving` or `gone`.
     pub state: String,
     /// The revision in force.
     pub revision: Revision,
-    /// How long it has been in force, in milliseconds, when the daemon said so.
+    /// How long the revision had been in force at the time of the report, in milliseconds.
     pub in_force_ms: u64,
-    /// How old that word is, in milliseconds.
+    /// The age of the daemon's report, in milliseconds.
     pub age_ms: u64,
-    /// A newer revision that the daemon can't read, and why.
+    /// A newer revision that the daemon can't read, and the reason.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub unreadable: Option<String>,
 }
 
 impl DaemonStatus {
-    /// Tells whether the daemon counts for whether a revision is in force everywhere.
-    pub fn counts(&self) -> bool {
+    /// Returns whether the daemon has to apply a revision before it is in force everywhere.
+    pub fn is_present(&self) -> bool {
         self.state != "gone"
     }
 }
 
-/// How many daemons have one revision in force.
+/// The number of daemons that have a revision in force.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RevisionCount {
     /// The revision.
     pub revision: Revision,
-    /// The daemons, without those that are gone.
+    /// The number of daemons, without those that are gone.
     pub daemons: usize,
 }
 
-/// Which revision is in force where.
+/// The response to a `status` call.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct StatusResponse {
     /// The revision that the answering daemon has in force.
     pub revision: Revision,
-    /// How many daemons have which revision, the newest first.
+    /// The number of daemons on each revision, newest first.
     pub counts: Vec<RevisionCount>,
-    /// Each daemon; only for keys of the root.
+    /// The status of each daemon; empty unless the key is bound to the root.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub daemons: Vec<DaemonStatus>,
 }
 
-/// Waits until a revision is in force on every daemon.
+/// A request to wait until a revision is in force on every daemon.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct WaitRequest {
     /// The revision.
     pub revision: Revision,
-    /// How long to wait, in milliseconds; at most [`MAX_WAIT_MS`] at once.
+    /// The maximum time to wait, in milliseconds; at most [`MAX_WAIT_MS`].
     pub timeout_ms: u64,
 }
 
-/// The longest wait of one call.
+/// The longest wait of one call, in milliseconds.
 pub const MAX_WAIT_MS: u64 = 20_000;
 
-/// What a wait came to.
+/// The response to a `wait` call.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct WaitResponse {
-    /// Whether the revision, or a newer one, is in force on every daemon that isn't gone.
+    /// Whether the revision or a newer one is in force on every daemon that isn't gone.
     pub in_force: bool,
-    /// How many daemons have which revision, the newest first.
+    /// The number of daemons on each revision, newest first.
     pub counts: Vec<RevisionCount>,
 }
 
-/// Asks why a caller of a service goes where it goes.
+/// A request to explain how a caller of a service is routed.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ExplainRequest {
     /// The service, as `account-path:service`.
     pub service: String,
-    /// The caller's address or block.
+    /// The caller's address or address block.
     pub client: String,
 }
 
-/// One fact that a decision rests on.
+/// A fact behind a routing decision.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ExplainStep {
-    /// What the fact is about, such as `place north-1`.
+    /// The subject of the fact, such as `place north-1`.
     pub subject: String,
-    /// The fact, in words.
+    /// The fact as text.
     pub fact: String,
-    /// The limit that it is held against.
+    /// The limit that the fact is compared with.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub limit: Option<String>,
-    /// How old the report is that the fact comes from, in milliseconds.
+    /// The age of the report that the fact comes from, in milliseconds.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub age_ms: Option<u64>,
 }
 
-/// Why a caller of a service goes where it goes.
+/// The response to an `explain` call.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ExplainResponse {
     /// The revision that the answering daemon has in force.
     pub revision: Revision,
-    /// The places that the caller is sent to, the first choice first.
+    /// The places that the caller is sent to, in order of preference.
     pub places: Vec<PlaceName>,
-    /// The facts, in the order in which they decided.
+    /// The facts, in the order in which they were applied.
     pub steps: Vec<ExplainStep>,
 }
 
-/// Who the operator is.
+/// The response to a `whoami` call.
 pub type WhoAmIResponse = OperatorSummary;
 
-/// Why a call failed.
+/// The response to a call that failed.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ErrorResponse {
-    /// What went wrong, for people.
+    /// The error message.
     pub error: String,
 }
--- a/crates/operator/src/call.rs
+++ b/crates/operator/src/call.rs
@@ -1,32 +1,32 @@
-//! The calls of the interface, by the last part of their path.
+//! The calls of the operator API, named by the last segment of the path.
 
 use http::Method;
 
 use crate::api::PATH_PREFIX;
-use crate::error::{CallError, NoSuchCallSnafu};
+use crate::error::{CallError, UnknownCallSnafu};
 
-/// A call.
+/// A call of the operator API.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Call {
-    /// The node at a path.
+    /// Returns the node at a path.
     Get,
-    /// The settings in force at a node.
+    /// Returns the settings in force at a node.
     Effective,
-    /// A change.
+    /// Changes the settings.
     Change,
-    /// The difference between two revisions.
+    /// Returns the difference between two revisions.
     Diff,
-    /// The changes of the branch.
+    /// Lists the changes of the key's branch.
     History,
-    /// The audit trail of the branch.
+    /// Returns the audit trail of the key's branch.
     Audit,
-    /// Which revision is in force where.
+    /// Reports the revision in force on each daemon.
     Status,
-    /// A wait until a revision is in force.
+    /// Waits until a revision is in force on every daemon.
     Wait,
-    /// Why a caller goes where it goes.
+    /// Explains how a caller is routed.
     Explain,
-    /// Who the operator is.
+    /// Describes the operator's key.
     WhoAmI,
 }
 
@@ -44,7 +44,7 @@
         Call::WhoAmI,
     ];
 
-    /// Gives the last part of the path.
+    /// Returns the name of the call, which is the last segment of its path.
     pub fn as_str(self) -> &'static str {
         match self {
             Call::Get => "get",
@@ -60,11 +60,11 @@
         }
     }
 
-    /// Finds the call of a request.
+    /// Returns the call for a method and path.
     ///
     /// # Errors
     ///
-    /// Gives [`CallError::NoSuchCall`].
+    /// Returns [`CallError::UnknownCall`].
     pub fn find(method: &Method, path: &str) -> Result<Call, CallError> {
         let name = path
             .strip_prefix(PATH_PREFIX)
@@ -74,7 +74,7 @@
         found.ok_or_else(|| {
             let names: Vec<&str> = Call::ALL.iter().map(|call| call.as_str()).collect();
             let calls = names.join(", ");
-            NoSuchCallSnafu { calls }.build()
+            UnknownCallSnafu { calls }.build()
         })
     }
 }
--- a/crates/operator/src/change.rs
+++ b/crates/operator/src/change.rs
@@ -1,4 +1,5 @@
-//! Changes of the settings: made from the newest tree, checked, and accepted by the store.
+//! Changes the settings: builds a change from the newest tree, validates it and commits it to the
+//! store.
 
 use heatherknot_settings::audit::{AuditEntry, entry_for};
 use heatherknot_settings::{
@@ -11,20 +12,23 @@
 use snafu::{OptionExt, ResultExt, ensure};
 
 use crate::api::{Action, ChangeOutcome, ChangeRequest, ChangeResponse};
-use crate::drain::{self, put};
-use crate::error::{CallError, NotFoundSnafu, NotYetSnafu, StoreSnafu, ValueSnafu};
+use crate::drain::{self, put_edit};
+use crate::error::{
+    CallError, InvalidValueSnafu, NotFoundSnafu, RevisionNotInForceSnafu, StoreSnafu,
+};
 use crate::session::Session;
 
-/// How often a change that lost a race is made again from the newer tree.
-const MAX_RACES: u32 = 8;
+/// The maximum number of commit attempts; each one after a conflict rebuilds the change from the
+/// newer tree.
+const MAX_COMMIT_ATTEMPTS: u32 = 8;
 
-/// Gives the HTTP status of an answer.
-pub fn status(answer: &ChangeResponse) -> StatusCode {
-    match answer.outcome {
+/// Returns the HTTP status of a response.
+pub fn status(response: &ChangeResponse) -> StatusCode {
+    match response.outcome {
         ChangeOutcome::Accepted | ChangeOutcome::Checked | ChangeOutcome::Unchanged => {
             StatusCode::OK
         }
-        ChangeOutcome::NotAccepted if answer.conflicts.is_empty() => {
+        ChangeOutcome::NotAccepted if response.conflicts.is_empty() => {
             StatusCode::SERVICE_UNAVAILABLE
         }
         ChangeOutcome::NotAccepted => StatusCode::CONFLICT,
@@ -32,59 +36,61 @@
     }
 }
 
-/// Makes, checks and commits a change.
+/// Builds, validates and commits a change.
 ///
 /// # Errors
 ///
-/// Gives a [`CallError`] where the change was not accepted and can't be; the outcomes that the
-/// store decides are in the answer.
+/// Returns a [`CallError`] if the request is invalid or not permitted, if the store can't be read,
+/// or if this daemon can't apply the newest settings. The outcome of the commit itself is reported in the response.
 pub async fn change(
     session: &mut Session,
     req: &ChangeRequest,
 ) -> Result<ChangeResponse, CallError> {
     let command = command_id(&session.operator, req)?;
-    // The answer to an earlier run may have been lost after the store accepted the change. Made
-    // again from today's tree, the change would be empty or conflict with itself.
+    // The response to an earlier run of the command may have been lost after the store accepted the
+    // change. Rebuilt from the current tree, the change would be empty or conflict with itself.
     if !req.dry_run
-        && let Some(revision) = find(session, &command).await?
+        && let Some(revision) = find_accepted(session, &command).await?
     {
-        return Ok(answer(ChangeOutcome::Accepted, Some(revision)));
+        return Ok(new_response(ChangeOutcome::Accepted, Some(revision)));
     }
-    // A change by another operator that this daemon hasn't heard of yet is one that this
-    // operator can't have seen, so it counts as made since.
-    let base = req.base.unwrap_or(session.held.chain_point.revision);
+    // The default base is taken before the refresh: this operator can't have seen changes that
+    // this daemon had not received yet, so they have to be checked for conflicts.
+    let base = req.base.unwrap_or(session.settings.chain_point.revision);
     if !req.dry_run {
         refresh(session).await?;
     }
-    for _ in 0..MAX_RACES {
-        let Some(made) = make(session, req).await? else {
-            let newest = session.held.chain_point.revision;
-            return Ok(answer(ChangeOutcome::Unchanged, Some(newest)));
+    for _ in 0..MAX_COMMIT_ATTEMPTS {
+        let Some(change) = build_change(session, req).await? else {
+            let newest = session.settings.chain_point.revision;
+            return Ok(new_response(ChangeOutcome::Unchanged, Some(newest)));
         };
-        let conflicts = conflicts(session, base, &made.edits).await?;
+        let conflicts = find_conflicts(session, base, &change.edits).await?;
         if !conflicts.is_empty() {
-            return Ok(conflict(conflicts, made.edits));
+            return Ok(conflict_response(conflicts, change.edits));
         }
         if req.dry_run {
-            let edits = made.edits;
+            let edits = change.edits;
             return Ok(ChangeResponse {
                 edits,
-                ..answer(ChangeOutcome::Checked, None)
+                ..new_response(ChangeOutcome::Checked, None)
             });
         }
-        let outcome = (session.cx.commit)(proposal(&command, &made)).await;
-        match settled(session, outcome, made) {
-            Settled::Answer(answer) => return Ok(*answer),
-            Settled::Raced(newest) => catch_up(session, newest).await?,
+        let outcome = (session.cx.commit)(build_proposal(&command, &change)).await;
+        match handle_outcome(session, outcome, change) {
+            CommitStep::Done(response) => return Ok(*response),
+            CommitStep::Retry(newest) => refresh_to(session, newest).await?,
         }
     }
-    Ok(not_accepted("other changes kept coming first".to_string()))
+    Ok(not_accepted_response(
+        "other changes kept coming first".to_string(),
+    ))
 }
 
-/// Gives the identifier by which the store knows the command: one key's command can't be taken
-/// for another's, nor for another change under the same name.
+/// Returns the identifier of the command in the store. It is a hash over the key, the name and the
+/// action, so that a name reused by another key or for another action is a different command.
 fn command_id(operator: &Operator, req: &ChangeRequest) -> Result<CommandId, CallError> {
-    let invalid = ValueSnafu {
+    let invalid = InvalidValueSnafu {
         key: "command",
         found: &req.command,
         expected: "1 to 64 letters, digits, `-` or `_`",
@@ -94,19 +100,22 @@
     CommandId::parse(&digest.to_string()).context(invalid)
 }
 
-async fn find(session: &Session, command: &CommandId) -> Result<Option<Revision>, CallError> {
+async fn find_accepted(
+    session: &Session,
+    command: &CommandId,
+) -> Result<Option<Revision>, CallError> {
     let found = (session.cx.find_command)(command.clone()).await;
     found.context(StoreSnafu {
         step: "look for the command",
     })
 }
 
-/// Makes the change from the tree held; none where that already is as asked.
-async fn make(session: &Session, req: &ChangeRequest) -> Result<Option<Change>, CallError> {
-    let before = &session.held.tree;
+/// Builds the change from the session's tree; `None` if the tree already is as requested.
+async fn build_change(session: &Session, req: &ChangeRequest) -> Result<Option<Change>, CallError> {
+    let before = &session.settings.tree;
     let after = match &req.action {
-        Action::Undo { revision } => undo(session, *revision).await?,
-        action => edited(before, &session.operator, action)?,
+        Action::Undo { revision } => undone_tree(session, *revision).await?,
+        action => apply_action(before, &session.operator, action)?,
     };
     let edits = before.diff(&after);
     session.operator.authorize_change(before, &after, &edits)?;
@@ -116,23 +125,23 @@
         key: session.operator.id.clone(),
         at_ms: (session.cx.wall_clock_ms)(),
     };
-    match Change::between(session.held.chain_point, before, &after, author) {
+    match Change::between(session.settings.chain_point, before, &after, author) {
         Err(SettingsError::Unchanged) => Ok(None),
-        made => Ok(Some(made?)),
+        result => Ok(Some(result?)),
     }
 }
 
-fn edited(before: &Tree, operator: &Operator, action: &Action) -> Result<Tree, CallError> {
+fn apply_action(before: &Tree, operator: &Operator, action: &Action) -> Result<Tree, CallError> {
     let edits = match action {
         Action::Set { path, value } => {
-            let path = within(before, operator, path)?;
-            vec![put(before, &path, Some(value.clone()))]
+            let path = parse_path_in_branch(before, operator, path)?;
+            vec![put_edit(before, &path, Some(value.clone()))]
         }
         Action::Unset { path } => {
-            let path = within(before, operator, path)?;
+            let path = parse_path_in_branch(before, operator, path)?;
             let what = format!("node `{path}`");
             before.get(&path).context(NotFoundSnafu { what })?;
-            vec![put(before, &path, None)]
+            vec![put_edit(before, &path, None)]
         }
         Action::Drain { target, draining } => drain::edits(before, operator, target, *draining)?,
         Action::Undo { .. } => Vec::new(),
@@ -140,50 +149,56 @@
     Ok(before.edited(&edits)?)
 }
 
-/// Reads a path, which must lie in the operator's branch before anything is told about it.
-fn within(tree: &Tree, operator: &Operator, path: &str) -> Result<TreePath, CallError> {
+/// Parses a path and checks that it lies in the operator's branch, so that errors reveal nothing
+/// about nodes elsewhere.
+fn parse_path_in_branch(
+    tree: &Tree,
+    operator: &Operator,
+    path: &str,
+) -> Result<TreePath, CallError> {
     let path = TreePath::parse(path)?;
-    let is_new_key = path.segments().len() > 1 && path.to_string().starts_with("operators/");
-    if !is_new_key {
+    let is_operator_key = path.segments().len() > 1 && path.to_string().starts_with("operators/");
+    if !is_operator_key {
         operator.require_within(tree, &path)?;
     }
     Ok(path)
 }
 
-async fn undo(session: &Session, revision: Revision) -> Result<Tree, CallError> {
+async fn undone_tree(session: &Session, revision: Revision) -> Result<Tree, CallError> {
     let what = format!("change {revision}");
-    let missing = NotFoundSnafu { what };
+    let not_found = NotFoundSnafu { what };
     let before = Revision(revision.0.saturating_sub(1));
-    let changes = session.changes(before, revision).await?;
+    let changes = session.read_changes(before, revision).await?;
     let change = changes.first().filter(|change| change.revision == revision);
-    let change = change.context(missing.clone())?;
-    let tree = &session.held.tree;
-    // A change that reaches beyond the branch is one that this key must not even hear of.
+    let change = change.context(not_found.clone())?;
+    let tree = &session.settings.tree;
+    // A change with edits outside the key's branch is reported as not_found, so that the key learns
+    // nothing about it.
     let entry = entry_for(session.branch(), tree, change);
-    let whole = entry.filter(|entry| entry.edits == change.edits);
-    whole.context(missing)?;
+    let complete = entry.filter(|entry| entry.edits == change.edits);
+    complete.context(not_found)?;
     Ok(change.reverted(tree)?)
 }
 
-async fn conflicts(
+async fn find_conflicts(
     session: &Session,
     base: Revision,
-    ours: &[Edit],
+    edits: &[Edit],
 ) -> Result<Vec<AuditEntry>, CallError> {
-    let held = session.held.chain_point.revision;
-    if base >= held {
+    let current = session.settings.chain_point.revision;
+    if base >= current {
         return Ok(Vec::new());
     }
     let mut conflicts = Vec::new();
-    for change in session.changes(base, held).await? {
-        if edit::overlap(ours, &change.edits)? {
-            conflicts.extend(entry_for(session.branch(), &session.held.tree, &change));
+    for change in session.read_changes(base, current).await? {
+        if edit::overlap(edits, &change.edits)? {
+            conflicts.extend(entry_for(session.branch(), &session.settings.tree, &change));
         }
     }
     Ok(conflicts)
 }
 
-fn proposal(command: &CommandId, change: &Change) -> Proposal {
+fn build_proposal(command: &CommandId, change: &Change) -> Proposal {
     Proposal {
         command: command.clone(),
         base: Revision(change.revision.0 - 1),
@@ -192,66 +207,69 @@
     }
 }
 
-/// What the store's outcome comes to.
-enum Settled {
-    /// The answer.
-    Answer(Box<ChangeResponse>),
-    /// Another change came first; this one is to be made again from the given revision.
-    Raced(Revision),
+/// How to proceed after a commit attempt.
+enum CommitStep {
+    /// Returns this response.
+    Done(Box<ChangeResponse>),
+    /// Another change was committed first; rebuilds this one from at least the given revision.
+    Retry(Revision),
 }
 
-fn settled(session: &Session, outcome: CommitOutcome, change: Change) -> Settled {
+fn handle_outcome(session: &Session, outcome: CommitOutcome, change: Change) -> CommitStep {
     let key = session.operator.id.to_string();
-    let answer = match outcome {
+    let response = match outcome {
         CommitOutcome::Accepted(revision) => {
             log::info!(key:% = key, revision = revision.0; "change accepted");
-            // The daemon's own copy follows at once instead of with the next watch message.
+            // Updates this daemon's settings now instead of with the next watch message.
             monoio::spawn((session.cx.refresh)());
             ChangeResponse {
                 edits: change.edits,
-                ..answer(ChangeOutcome::Accepted, Some(revision))
+                ..new_response(ChangeOutcome::Accepted, Some(revision))
             }
         }
         CommitOutcome::NotAccepted(Rejection::Conflict { newest, .. }) => {
-            return Settled::Raced(newest);
+            return CommitStep::Retry(newest);
         }
-        CommitOutcome::NotAccepted(Rejection::Withdrawn) => not_accepted(
+        CommitOutcome::NotAccepted(Rejection::Withdrawn) => not_accepted_response(
             "the store's answer was lost, and the change was withdrawn before it took effect"
                 .to_string(),
         ),
         CommitOutcome::NotAccepted(Rejection::Failed(error)) => {
-            not_accepted(format!("commit: {error}"))
+            not_accepted_response(format!("commit: {error}"))
         }
         CommitOutcome::Unknown(error) => {
             log::warn!(key:% = key, error:% = error; "outcome of a change unknown");
             ChangeResponse {
                 reason: Some(format!("commit: {error}")),
-                ..answer(ChangeOutcome::Unknown, None)
+                ..new_response(ChangeOutcome::Unknown, None)
             }
         }
     };
-    Settled::Answer(Box::new(answer))
+    CommitStep::Done(Box::new(response))
 }
 
-/// Takes the settings that a change lost its race to.
+/// Refreshes the settings after a conflict and checks that they reached the conflicting revision.
 ///
-/// A daemon of an older release can't read newer settings and holds on to what it has; every
-/// change made from that would lose again, so the operator is told to ask another daemon.
-async fn catch_up(session: &mut Session, newest: Revision) -> Result<(), CallError> {
+/// A daemon of an older release can't read settings of a newer schema and keeps the ones it has.
+/// Every change built from those would conflict again, so the call fails instead of retrying.
+async fn refresh_to(session: &mut Session, newest: Revision) -> Result<(), CallError> {
     refresh(session).await?;
-    let held = session.held.chain_point.revision;
-    let asked = newest;
-    ensure!(held >= newest, NotYetSnafu { asked, held });
+    let current = session.settings.chain_point.revision;
+    let requested = newest;
+    ensure!(
+        current >= newest,
+        RevisionNotInForceSnafu { requested, current }
+    );
     Ok(())
 }
 
 async fn refresh(session: &mut Session) -> Result<(), CallError> {
     let step = "read the newest settings";
-    let held = (session.cx.refresh)().await.context(StoreSnafu { step })?;
-    session.renew(held)
+    let newest = (session.cx.refresh)().await.context(StoreSnafu { step })?;
+    session.reauthenticate(newest)
 }
 
-fn answer(outcome: ChangeOutcome, revision: Option<Revision>) -> ChangeResponse {
+fn new_response(outcome: ChangeOutcome, revision: Option<Revision>) -> ChangeResponse {
     ChangeResponse {
         outcome,
         revision,
@@ -261,17 +279,17 @@
     }
 }
 
-fn not_accepted(reason: String) -> ChangeResponse {
+fn not_accepted_response(reason: String) -> ChangeResponse {
     ChangeResponse {
         reason: Some(reason),
-        ..answer(ChangeOutcome::NotAccepted, None)
+        ..new_response(ChangeOutcome::NotAccepted, None)
     }
 }
 
-fn conflict(conflicts: Vec<AuditEntry>, edits: Vec<Edit>) -> ChangeResponse {
+fn conflict_response(conflicts: Vec<AuditEntry>, edits: Vec<Edit>) -> ChangeResponse {
     ChangeResponse {
         edits,
         conflicts,
-        ..not_accepted("others have changed the same settings since".to_string())
+        ..not_accepted_response("others have changed the same settings since".to_string())
     }
 }
--- a/crates/operator/src/context.rs
+++ b/crates/operator/src/context.rs
@@ -1,4 +1,4 @@
-//! What the operators' interface needs of the daemon that it runs in.
+//! The callbacks through which the operator API reaches its daemon.
 
 use std::rc::Rc;
 
@@ -11,37 +11,38 @@
 
 use crate::api::{DaemonStatus, ExplainRequest, ExplainResponse};
 
-/// The settings that the daemon has in force.
+/// A snapshot of the settings that the daemon has in force.
 #[derive(Clone, Debug)]
 pub struct CurrentSettings {
-    /// The revision, and the hash of the change that made it.
+    /// The revision, and the hash of the change that created it.
     pub chain_point: ChainPoint,
-    /// The tree.
+    /// The settings tree at that revision.
     pub tree: Rc<Tree>,
 }
 
-/// What a call on the store gives.
+/// The future of a call to the store.
 pub type StoreFuture<T> = LocalBoxFuture<'static, Result<T, StoreError>>;
 
-/// The daemon's side of the operators' interface, as functions.
+/// The daemon's functions and data that the operator API uses.
 #[derive(Clone)]
 pub struct OperatorContext {
-    /// Gives the settings in force.
+    /// Returns the settings in force.
     pub current_settings: Rc<dyn Fn() -> CurrentSettings>,
-    /// Brings the newest accepted settings from the store in force and gives them.
+    /// Applies the newest accepted settings from the store and returns them.
     pub refresh: Rc<dyn Fn() -> StoreFuture<CurrentSettings>>,
-    /// Has a change accepted.
+    /// Commits a change to the store.
     pub commit: Rc<dyn Fn(Proposal) -> LocalBoxFuture<'static, CommitOutcome>>,
-    /// Finds the revision that a command has made.
+    /// Returns the revision that a command created, if it was accepted.
     pub find_command: Rc<dyn Fn(CommandId) -> StoreFuture<Option<Revision>>>,
-    /// Reads accepted changes after a revision, a page at a time, old packs included.
+    /// Reads one page of the accepted changes after a revision, including changes that the store has
+    /// packed.
     pub history: Rc<dyn Fn(Revision) -> StoreFuture<HistoryPage>>,
-    /// Gives what is known of every daemon.
+    /// Returns the known status of every daemon.
     pub status: Rc<dyn Fn() -> LocalBoxFuture<'static, Vec<DaemonStatus>>>,
-    /// Explains where callers of a service go; none for a service that isn't there.
+    /// Explains where callers of a service are routed; `None` for an unknown service.
     pub explain: Rc<dyn Fn(ExplainRequest) -> LocalBoxFuture<'static, Option<ExplainResponse>>>,
-    /// The first operator's key from the daemon's own configuration.
+    /// The first operator's key, from the daemon's own configuration.
     pub first_key: Option<BootstrapKey>,
-    /// Gives the wall-clock time, in milliseconds since 1970.
+    /// Returns the wall-clock time, in milliseconds since the Unix epoch.
     pub wall_clock_ms: Rc<dyn Fn() -> u64>,
 }
--- a/crates/operator/src/error.rs
+++ b/crates/operator/src/error.rs
@@ -1,4 +1,4 @@
-//! Why a call of an operator failed, and the status that it is answered with.
+//! The error of an operator call and its HTTP status.
 
 use heatherknot_http::BodyError;
 use heatherknot_settings::{Denied, SettingsError};
@@ -7,105 +7,107 @@
 use http::StatusCode;
 use snafu::Snafu;
 
-/// Why a call failed. A failed call has changed nothing.
+/// The error of an operator call. A call that returns one has not changed any settings.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum CallError {
-    /// There is no such call.
+    /// The method and path match no call.
     #[snafu(display("no such call; expected POST /v1/<call> with one of {calls}"))]
-    NoSuchCall {
-        /// The calls there are.
+    UnknownCall {
+        /// The names of all calls, separated by commas.
         calls: String,
     },
-    /// The request carries no bearer token.
+    /// The request has no bearer token.
     #[snafu(display("no operator's key: expected the header `authorization: Bearer <key>`"))]
-    NoKey,
-    /// The key is unknown or may not do this.
+    MissingKey,
+    /// The key is unknown or lacks the permission.
     #[snafu(display("{source}"), context(false))]
-    Refused {
-        /// Why.
+    AccessDenied {
+        /// The cause.
         source: Denied,
     },
-    /// The body could not be read.
+    /// Reading the request body failed.
     #[snafu(display("read request: {source}"))]
-    Body {
-        /// Why.
+    ReadBody {
+        /// The cause.
         source: BodyError,
     },
-    /// The body isn't the JSON object that the call takes.
+    /// The body is not valid JSON for this call.
     #[snafu(display("read request of `{call}`: {source}"))]
-    Malformed {
-        /// The call.
+    MalformedBody {
+        /// The name of the call.
         call: &'static str,
-        /// What is wrong, with line and column.
+        /// The parse error, with line and column.
         source: serde_json::Error,
     },
-    /// A value of the request can't be.
+    /// A value in the request is invalid.
     #[snafu(display("key `{key}`: found `{found}`, expected {expected}"))]
-    Value {
-        /// The key in the request.
+    InvalidValue {
+        /// The JSON key of the value.
         key: &'static str,
-        /// What was given.
+        /// The value found.
         found: String,
-        /// What is expected.
+        /// The values allowed.
         expected: &'static str,
     },
-    /// The settings refuse it.
+    /// The settings rejected the request.
     #[snafu(display("{source}"), context(false))]
     Settings {
-        /// Why.
+        /// The cause.
         source: SettingsError,
     },
-    /// There is no such thing in the key's branch.
+    /// The requested object does not exist in the key's branch.
     #[snafu(display("no {what} in the branch of the key"))]
     NotFound {
-        /// What was looked for.
+        /// A description of the object.
         what: String,
     },
-    /// The store didn't answer.
+    /// A call to the store failed.
     #[snafu(display("{step}: {source}"))]
     Store {
-        /// What the store was needed for.
+        /// The operation that needed the store.
         step: &'static str,
-        /// What the store's port reported.
+        /// The error from the store.
         source: StoreError,
     },
-    /// The store holds a change that can't be read.
+    /// A change in the store can't be parsed.
     #[snafu(display("read history: {revision}: {source}"))]
     UnreadableChange {
-        /// The revision.
+        /// The revision of the change.
         revision: Revision,
-        /// What is wrong with it.
+        /// The parse error.
         source: serde_json::Error,
     },
-    /// The revisions lie too far apart for one answer.
-    #[snafu(display("read history: more than {limit} changes or bytes lie between"))]
-    TooFar {
-        /// The limit that was reached.
+    /// The range of revisions holds more changes or bytes than one call may read.
+    #[snafu(display("read history: the range holds more than {limit} changes or too many bytes"))]
+    RangeTooLarge {
+        /// The maximum number of changes.
         limit: usize,
     },
-    /// The answering daemon hasn't got that revision yet.
-    #[snafu(display("{asked} is not in force here; the newest here is {held}"))]
-    NotYet {
-        /// The revision asked for.
-        asked: Revision,
+    /// The requested revision is newer than the one in force on this daemon.
+    #[snafu(display("{requested} is not in force here; the newest here is {current}"))]
+    RevisionNotInForce {
+        /// The requested revision.
+        requested: Revision,
         /// The revision in force.
-        held: Revision,
+        current: Revision,
     },
 }
 
 impl CallError {
-    /// Gives the HTTP status of the answer.
+    /// Returns the HTTP status of the response.
     pub fn status(&self) -> StatusCode {
         match self {
-            CallError::NoSuchCall { .. } | CallError::NotFound { .. } => StatusCode::NOT_FOUND,
-            CallError::NoKey => StatusCode::UNAUTHORIZED,
-            CallError::Refused { source } => match source {
+            CallError::UnknownCall { .. } | CallError::NotFound { .. } => StatusCode::NOT_FOUND,
+            CallError::MissingKey => StatusCode::UNAUTHORIZED,
+            CallError::AccessDenied { source } => match source {
                 Denied::UnknownKey => StatusCode::UNAUTHORIZED,
                 _ => StatusCode::FORBIDDEN,
             },
-            CallError::Body { source } => source.status(),
-            CallError::Malformed { .. } | CallError::Value { .. } => StatusCode::BAD_REQUEST,
+            CallError::ReadBody { source } => source.status(),
+            CallError::MalformedBody { .. } | CallError::InvalidValue { .. } => {
+                StatusCode::BAD_REQUEST
+            }
             CallError::Settings { source } => match source {
                 SettingsError::Missing { .. } => StatusCode::NOT_FOUND,
                 SettingsError::Conflict { .. }
@@ -114,9 +116,11 @@
                 SettingsError::Path { .. } => StatusCode::BAD_REQUEST,
                 _ => StatusCode::UNPROCESSABLE_ENTITY,
             },
-            CallError::Store { .. } | CallError::NotYet { .. } => StatusCode::SERVICE_UNAVAILABLE,
+            CallError::Store { .. } | CallError::RevisionNotInForce { .. } => {
+                StatusCode::SERVICE_UNAVAILABLE
+            }
             CallError::UnreadableChange { .. } => StatusCode::INTERNAL_SERVER_ERROR,
-            CallError::TooFar { .. } => StatusCode::UNPROCESSABLE_ENTITY,
+            CallError::RangeTooLarge { .. } => StatusCode::UNPROCESSABLE_ENTITY,
         }
     }
 }
--- a/crates/operator/src/handler.rs
+++ b/crates/operator/src/handler.rs
@@ -1,4 +1,4 @@
-//! From an HTTP request to its answer.
+//! Dispatches HTTP requests to the calls of the operator API.
 
 use bytes::Bytes;
 use futures_util::FutureExt;
@@ -13,15 +13,15 @@
 use crate::call::Call;
 use crate::change;
 use crate::context::OperatorContext;
-use crate::error::{BodySnafu, CallError, MalformedSnafu};
+use crate::error::{CallError, MalformedBodySnafu, ReadBodySnafu};
 use crate::read;
 use crate::report;
 use crate::session::Session;
 
-/// The longest request body, in bytes: a whole tree and its wrapping.
+/// The largest request body, in bytes; has to fit a change that sets the whole settings tree.
 const MAX_BODY: usize = 4 << 20;
 
-/// Gives the function that answers the requests of operators.
+/// Returns the HTTP handler of the operator API.
 pub fn handler(cx: OperatorContext) -> Handler {
     Rc::new(move |req| {
         let cx = cx.clone();
@@ -32,49 +32,49 @@
 async fn respond(cx: &OperatorContext, req: Request) -> Response {
     let peer = req.peer;
     let path = req.head.path().to_string();
-    match answer(cx, req).await {
+    match dispatch(cx, req).await {
         Ok(response) => response,
         Err(error) => {
             let status = error.status();
             log::warn!(step = "operator call", peer:% = peer, path:% = path, status = status.as_u16(), error:% = error; "refused");
             let error = error.to_string();
-            json(status, &ErrorResponse { error })
+            json_response(status, &ErrorResponse { error })
         }
     }
 }
 
-async fn answer(cx: &OperatorContext, req: Request) -> Result<Response, CallError> {
+async fn dispatch(cx: &OperatorContext, req: Request) -> Result<Response, CallError> {
     let call = Call::find(&req.head.method, req.head.path())?;
     let mut session = Session::open(cx, &req.head.headers)?;
-    let body = req.body.collect(MAX_BODY).await.context(BodySnafu)?;
+    let body = req.body.collect(MAX_BODY).await.context(ReadBodySnafu)?;
     match call {
-        Call::Get => ok(read::get(&session, &parse(call, &body)?)),
-        Call::Effective => ok(read::effective(&session, &parse(call, &body)?)),
-        Call::Diff => ok(read::diff(&session, &parse(call, &body)?).await),
-        Call::History => ok(read::history(&session, &parse(call, &body)?).await),
-        Call::Audit => ok(read::audit(&session, &parse(call, &body)?).await),
-        Call::Status => ok(report::status(&session).await),
-        Call::Wait => ok(report::wait(&session, &parse(call, &body)?).await),
-        Call::Explain => ok(report::explain(&session, parse(call, &body)?).await),
-        Call::WhoAmI => ok(Ok(report::whoami(&session))),
+        Call::Get => ok_json(read::get(&session, &parse_body(call, &body)?)),
+        Call::Effective => ok_json(read::effective(&session, &parse_body(call, &body)?)),
+        Call::Diff => ok_json(read::diff(&session, &parse_body(call, &body)?).await),
+        Call::History => ok_json(read::history(&session, &parse_body(call, &body)?).await),
+        Call::Audit => ok_json(read::audit(&session, &parse_body(call, &body)?).await),
+        Call::Status => ok_json(report::status(&session).await),
+        Call::Wait => ok_json(report::wait(&session, &parse_body(call, &body)?).await),
+        Call::Explain => ok_json(report::explain(&session, parse_body(call, &body)?).await),
+        Call::WhoAmI => ok_json(Ok(report::whoami(&session))),
         Call::Change => {
-            let answer = change::change(&mut session, &parse(call, &body)?).await?;
-            Ok(json(change::status(&answer), &answer))
+            let response = change::change(&mut session, &parse_body(call, &body)?).await?;
+            Ok(json_response(change::status(&response), &response))
         }
     }
 }
 
-fn parse<T: DeserializeOwned>(call: Call, body: &Bytes) -> Result<T, CallError> {
+fn parse_body<T: DeserializeOwned>(call: Call, body: &Bytes) -> Result<T, CallError> {
     let call = call.as_str();
-    serde_json::from_slice(body).context(MalformedSnafu { call })
+    serde_json::from_slice(body).context(MalformedBodySnafu { call })
 }
 
-fn ok<T: Serialize>(answer: Result<T, CallError>) -> Result<Response, CallError> {
-    answer.map(|answer| json(StatusCode::OK, &answer))
+fn ok_json<T: Serialize>(result: Result<T, CallError>) -> Result<Response, CallError> {
+    result.map(|body| json_response(StatusCode::OK, &body))
 }
 
-fn json(status: StatusCode, answer: &impl Serialize) -> Response {
-    match serde_json::to_vec(answer) {
+fn json_response(status: StatusCode, body: &impl Serialize) -> Response {
+    match serde_json::to_vec(body) {
         Ok(text) => Response::json(status, text),
         Err(error) => Response::text(StatusCode::INTERNAL_SERVER_ERROR, error.to_string()),
     }
--- a/crates/operator/src/lib.rs
+++ b/crates/operator/src/lib.rs
@@ -1,8 +1,8 @@
-//! The operators' interface of a daemon, as HTTP requests with JSON.
+//! The operator API of a daemon: JSON over HTTP.
 //!
-//! Every call is a `POST` to `/v1/<call>` with a JSON object and the operator's key as a bearer
-//! token. [`handler`] answers them; what it needs of the daemon it gets as an
-//! [`OperatorContext`]. The messages are in [`api`].
+//! Every call is a `POST` to `/v1/<call>` with a JSON object as the body and the operator's key as
+//! the bearer token. [`handler`] returns the HTTP handler, which reaches the daemon through an
+//! [`OperatorContext`]. The request and response types are in [`api`].
 
 pub mod api;
 mod call;
--- a/crates/operator/src/read.rs
+++ b/crates/operator/src/read.rs
@@ -1,4 +1,4 @@
-//! Calls that read settings and their history.
+//! Calls that read the settings and their history.
 
 use heatherknot_settings::audit::{AuditEntry, entry_for};
 use heatherknot_settings::change::rewind;
@@ -11,51 +11,54 @@
     AuditResponse, DiffRequest, DiffResponse, EffectiveResponse, GetResponse, HistoryEntry,
     HistoryRequest, HistoryResponse, PathRequest,
 };
-use crate::error::{CallError, NotFoundSnafu, NotYetSnafu};
-use crate::session::{Session, read_change};
+use crate::error::{CallError, NotFoundSnafu, RevisionNotInForceSnafu};
+use crate::session::{Session, parse_change};
 
-/// The changes that one call looks at where the request names no limit.
+/// The maximum number of changes that one call scans if the request sets no limit.
 const DEFAULT_LIMIT: usize = 200;
-/// The most changes that one call looks at.
+/// The largest limit that a request can set.
 const MAX_LIMIT: usize = 1000;
 
-/// Gives the node at a path.
+/// Returns the node at a path.
 pub fn get(session: &Session, req: &PathRequest) -> Result<GetResponse, CallError> {
-    let tree = &session.held.tree;
+    let tree = &session.settings.tree;
     let path = TreePath::parse(&req.path)?;
     session.operator.authorize_read(tree, &path)?;
     let what = format!("node `{path}`");
     Ok(GetResponse {
-        revision: session.held.chain_point.revision,
+        revision: session.settings.chain_point.revision,
         value: tree.get(&path).context(NotFoundSnafu { what })?,
     })
 }
 
-/// Gives the settings in force at a node, with the origin of each.
+/// Returns the settings in force at a node, with the origin of each.
 pub fn effective(session: &Session, req: &PathRequest) -> Result<EffectiveResponse, CallError> {
-    let tree = &session.held.tree;
+    let tree = &session.settings.tree;
     let path = TreePath::parse(&req.path)?;
     session.operator.authorize_read(tree, &path)?;
     Ok(EffectiveResponse {
-        revision: session.held.chain_point.revision,
+        revision: session.settings.chain_point.revision,
         values: tree.effective(&path)?,
     })
 }
 
-/// Gives the difference between two revisions of one node.
+/// Returns the difference between two revisions of one node.
 pub async fn diff(session: &Session, req: &DiffRequest) -> Result<DiffResponse, CallError> {
-    let tree = &session.held.tree;
+    let tree = &session.settings.tree;
     let path = TreePath::parse(&req.path)?;
     session.operator.authorize_read(tree, &path)?;
-    let held = session.held.chain_point.revision;
-    let to = req.to.unwrap_or(held);
-    let asked = to.max(req.from);
-    ensure!(asked <= held, NotYetSnafu { asked, held });
-    let changes = session.changes(to.min(req.from), held).await?;
+    let current = session.settings.chain_point.revision;
+    let to = req.to.unwrap_or(current);
+    let requested = to.max(req.from);
+    ensure!(
+        requested <= current,
+        RevisionNotInForceSnafu { requested, current }
+    );
+    let changes = session.read_changes(to.min(req.from), current).await?;
     let document = tree.document();
     let at = |revision: Revision| {
-        let later = changes.iter().position(|change| change.revision > revision);
-        rewind(&document, &changes[later.unwrap_or(changes.len())..])
+        let first_later = changes.iter().position(|change| change.revision > revision);
+        rewind(&document, &changes[first_later.unwrap_or(changes.len())..])
     };
     let (before, after) = (at(req.from)?, at(to)?);
     Ok(DiffResponse {
@@ -68,124 +71,125 @@
 fn node_diff(path: &TreePath, before: &Json, after: &Json) -> Vec<Edit> {
     let (old, new) = (edit::get(before, path), edit::get(after, path));
     let (Some(old), Some(new)) = (old, new) else {
-        let whole = Edit {
+        let replacement = Edit {
             path: path.to_string(),
             before: old.cloned(),
             after: new.cloned(),
             dropped: None,
         };
-        return if whole.before == whole.after {
+        return if replacement.before == replacement.after {
             Vec::new()
         } else {
-            vec![whole]
+            vec![replacement]
         };
     };
     edit::diff_at(path, old, new)
 }
 
-/// Gives the changes of the key's branch, without who made them.
+/// Returns the changes of the key's branch, without their authors.
 pub async fn history(
     session: &Session,
     req: &HistoryRequest,
 ) -> Result<HistoryResponse, CallError> {
     session.operator.require(Right::Read)?;
-    let looked = look(session, req).await?;
-    let changes = looked.entries.into_iter().map(|entry| HistoryEntry {
+    let scan = scan_history(session, req).await?;
+    let changes = scan.entries.into_iter().map(|entry| HistoryEntry {
         revision: entry.revision,
         at_ms: entry.at_ms,
         paths: entry.edits.into_iter().map(|edit| edit.path).collect(),
     });
     Ok(HistoryResponse {
         changes: changes.collect(),
-        seen: looked.seen.revision,
-        more: looked.more,
+        seen: scan.last_seen.revision,
+        more: scan.more,
     })
 }
 
-/// Gives the audit trail of the key's branch and whether its chain holds.
+/// Returns the audit trail of the key's branch and the first error in its hash chain.
 pub async fn audit(session: &Session, req: &HistoryRequest) -> Result<AuditResponse, CallError> {
     session.operator.require(Right::Audit)?;
-    let looked = look(session, req).await?;
+    let scan = scan_history(session, req).await?;
     Ok(AuditResponse {
-        entries: looked.entries,
-        seen: looked.seen.revision,
-        seen_hash: looked.seen.hash,
-        more: looked.more,
-        broken: looked.broken,
+        entries: scan.entries,
+        seen: scan.last_seen.revision,
+        seen_hash: scan.last_seen.hash,
+        more: scan.more,
+        broken: scan.chain_error,
     })
 }
 
-/// What a walk along the history came to.
-struct Looked {
+/// The result of scanning part of the history.
+struct ScanResult {
     entries: Vec<AuditEntry>,
-    seen: ChainPoint,
+    last_seen: ChainPoint,
     more: bool,
-    broken: Option<String>,
+    chain_error: Option<String>,
 }
 
-async fn look(session: &Session, req: &HistoryRequest) -> Result<Looked, CallError> {
+async fn scan_history(session: &Session, req: &HistoryRequest) -> Result<ScanResult, CallError> {
     let limit = req.limit.unwrap_or(DEFAULT_LIMIT).clamp(1, MAX_LIMIT);
-    let mut walk = Walk::new(req.after);
+    let mut scan = HistoryScan::new(req.after);
     let mut more = true;
-    while more && walk.count < limit {
-        let (page, further) = session.page(walk.seen.revision).await?;
-        more = further;
+    while more && scan.scanned < limit {
+        let (page, has_more) = session.read_page(scan.last_seen.revision).await?;
+        more = has_more;
         for stored in &page {
-            if walk.count == limit {
+            if scan.scanned == limit {
                 more = true;
                 break;
             }
-            walk.step(session, &read_change(stored)?);
+            scan.visit(session, &parse_change(stored)?);
         }
     }
-    Ok(Looked {
-        entries: walk.entries,
-        seen: walk.seen,
+    Ok(ScanResult {
+        entries: scan.entries,
+        last_seen: scan.last_seen,
         more,
-        broken: walk.broken,
+        chain_error: scan.chain_error,
     })
 }
 
-struct Walk {
+struct HistoryScan {
     entries: Vec<AuditEntry>,
-    seen: ChainPoint,
-    /// Whether the hash of the change before is known.
-    chained: bool,
-    count: usize,
-    broken: Option<String>,
+    last_seen: ChainPoint,
+    /// Whether the hash of the previous change is known.
+    previous_hash_known: bool,
+    scanned: usize,
+    chain_error: Option<String>,
 }
 
-impl Walk {
-    fn new(after: Revision) -> Walk {
-        Walk {
+impl HistoryScan {
+    fn new(after: Revision) -> HistoryScan {
+        HistoryScan {
             entries: Vec::new(),
-            seen: ChainPoint {
+            last_seen: ChainPoint {
                 revision: after,
                 hash: Digest::NONE,
             },
-            chained: after == Revision::NONE,
-            count: 0,
-            broken: None,
+            previous_hash_known: after == Revision::NONE,
+            scanned: 0,
+            chain_error: None,
         }
     }
 
-    fn step(&mut self, session: &Session, change: &Change) {
-        // The first change of a walk that starts in the middle is checked against itself only.
+    fn visit(&mut self, session: &Session, change: &Change) {
+        // A scan that starts after the first revision does not know the hash of the previous
+        // change, so it takes the one that its first change names.
         let before = ChainPoint {
-            revision: self.seen.revision,
-            hash: if self.chained {
-                self.seen.hash
+            revision: self.last_seen.revision,
+            hash: if self.previous_hash_known {
+                self.last_seen.hash
             } else {
                 change.previous
             },
         };
-        if let (Err(error), None) = (change.verify(before), &self.broken) {
-            self.broken = Some(error.to_string());
+        if let (Err(error), None) = (change.verify(before), &self.chain_error) {
+            self.chain_error = Some(error.to_string());
         }
         self.entries
-            .extend(entry_for(session.branch(), &session.held.tree, change));
-        self.seen = change.point();
-        self.chained = true;
-        self.count += 1;
+            .extend(entry_for(session.branch(), &session.settings.tree, change));
+        self.last_seen = change.point();
+        self.previous_hash_known = true;
+        self.scanned += 1;
     }
 }
--- a/crates/operator/src/report.rs
+++ b/crates/operator/src/report.rs
@@ -1,4 +1,4 @@
-//! Calls that report what the daemons do.
+//! Calls that report the state of daemons and routing.
 
 use std::net::IpAddr;
 use std::time::Duration;
@@ -11,20 +11,20 @@
     DaemonStatus, ExplainRequest, ExplainResponse, MAX_WAIT_MS, RevisionCount, StatusResponse,
     WaitRequest, WaitResponse, WhoAmIResponse,
 };
-use crate::error::{CallError, NotFoundSnafu, ValueSnafu};
+use crate::error::{CallError, InvalidValueSnafu, NotFoundSnafu};
 use crate::session::Session;
 
-/// The pause between two looks at the daemons.
-const LOOK_MS: u64 = 100;
+/// The interval at which a wait polls the daemons' status, in milliseconds.
+const POLL_INTERVAL_MS: u64 = 100;
 
-/// Gives which revision is in force where. Names of VMs and failure domains are for keys of
-/// the root; other keys get the counts.
+/// Reports which revision is in force on how many daemons. Only keys of the root see the names of
+/// VMs and failure domains.
 pub async fn status(session: &Session) -> Result<StatusResponse, CallError> {
     session.operator.require(Right::Read)?;
     let daemons = (session.cx.status)().await;
-    let counts = counts(&daemons);
+    let counts = count_by_revision(&daemons);
     Ok(StatusResponse {
-        revision: session.held.chain_point.revision,
+        revision: session.settings.chain_point.revision,
         counts,
         daemons: if session.operator.key.covers("") {
             daemons
@@ -34,8 +34,8 @@
     })
 }
 
-fn counts(daemons: &[DaemonStatus]) -> Vec<RevisionCount> {
-    let present = daemons.iter().filter(|daemon| daemon.counts());
+fn count_by_revision(daemons: &[DaemonStatus]) -> Vec<RevisionCount> {
+    let present = daemons.iter().filter(|daemon| daemon.is_present());
     let mut revisions: Vec<Revision> = present.map(|daemon| daemon.revision).collect();
     revisions.sort_by(|a, b| b.cmp(a));
     let runs = revisions.chunk_by(|a, b| a == b);
@@ -51,20 +51,20 @@
     session.operator.require(Right::Read)?;
     ensure!(
         req.timeout_ms <= MAX_WAIT_MS,
-        ValueSnafu {
+        InvalidValueSnafu {
             key: "timeout_ms",
             found: req.timeout_ms.to_string(),
             expected: "at most 20000"
         }
     );
-    let looks = req.timeout_ms / LOOK_MS;
-    for look in 0..=looks {
-        let counts = counts(&(session.cx.status)().await);
+    let last_poll = req.timeout_ms / POLL_INTERVAL_MS;
+    for poll in 0..=last_poll {
+        let counts = count_by_revision(&(session.cx.status)().await);
         let in_force = counts.iter().all(|count| count.revision >= req.revision);
-        if in_force || look == looks {
+        if in_force || poll == last_poll {
             return Ok(WaitResponse { in_force, counts });
         }
-        monoio::time::sleep(Duration::from_millis(LOOK_MS)).await;
+        monoio::time::sleep(Duration::from_millis(POLL_INTERVAL_MS)).await;
     }
     Ok(WaitResponse {
         in_force: false,
@@ -72,25 +72,27 @@
     })
 }
 
-/// Explains where callers of a service go.
+/// Explains where callers of a service are routed.
 pub async fn explain(session: &Session, req: ExplainRequest) -> Result<ExplainResponse, CallError> {
     let path = TreePath::parse(&req.service)?;
-    session.operator.authorize_read(&session.held.tree, &path)?;
+    session
+        .operator
+        .authorize_read(&session.settings.tree, &path)?;
     let address = req.client.split('/').next().unwrap_or("");
     ensure!(
         address.parse::<IpAddr>().is_ok(),
-        ValueSnafu {
+        InvalidValueSnafu {
             key: "client",
             found: req.client.clone(),
             expected: "an IP address or a block such as 192.0.2.0/24"
         }
     );
     let what = format!("service `{}`", req.service);
-    let explained = (session.cx.explain)(req).await;
-    explained.context(NotFoundSnafu { what })
+    let explanation = (session.cx.explain)(req).await;
+    explanation.context(NotFoundSnafu { what })
 }
 
-/// Says who the operator is.
+/// Describes the operator's key.
 pub fn whoami(session: &Session) -> WhoAmIResponse {
     WhoAmIResponse::from(&session.operator)
 }
--- a/crates/operator/src/session.rs
+++ b/crates/operator/src/session.rs
@@ -1,4 +1,4 @@
-//! One authenticated call.
+//! The state of one authenticated call.
 
 use heatherknot_settings::{Change, Operator};
 use heatherknot_store::commit::history::StoredChange;
@@ -8,79 +8,86 @@
 use snafu::{OptionExt, ResultExt, ensure};
 
 use crate::context::{CurrentSettings, OperatorContext};
-use crate::error::{CallError, NoKeySnafu, StoreSnafu, TooFarSnafu, UnreadableChangeSnafu};
+use crate::error::{
+    CallError, MissingKeySnafu, RangeTooLargeSnafu, StoreSnafu, UnreadableChangeSnafu,
+};
 
-/// The most changes that one call reads.
+/// The maximum number of changes that one call reads.
 const MAX_CHANGES: usize = 4096;
-/// The most bytes of changes that one call reads, so that a daemon's memory stays bounded.
-const MAX_BYTES: usize = 8 << 20;
+/// The maximum size of the changes that one call reads, in bytes; bounds the daemon's memory use.
+const MAX_CHANGE_BYTES: usize = 8 << 20;
 
-/// The operator of one call and the settings that it sees.
+/// An authenticated operator and the settings that the call works on.
 pub struct Session {
-    /// What the daemon gives.
+    /// The daemon's callbacks.
     pub cx: OperatorContext,
-    /// The settings in force when the call came, or when they were last refreshed.
-    pub held: CurrentSettings,
-    /// Who calls.
+    /// The settings in force when the call arrived or when they were last refreshed.
+    pub settings: CurrentSettings,
+    /// The authenticated operator.
     pub operator: Operator,
     secret: String,
 }
 
 impl Session {
-    /// Checks the operator's key against the settings in force.
+    /// Authenticates the bearer token against the settings in force.
     ///
     /// # Errors
     ///
-    /// Gives [`CallError::NoKey`] or [`CallError::Refused`].
+    /// Returns [`CallError::MissingKey`] or [`CallError::AccessDenied`].
     pub fn open(cx: &OperatorContext, headers: &HeaderMap) -> Result<Session, CallError> {
-        let secret = bearer(headers).context(NoKeySnafu)?;
-        let held = (cx.current_settings)();
-        let operator = Operator::authenticate(&held.tree, cx.first_key.as_ref(), secret)?;
+        let secret = bearer_token(headers).context(MissingKeySnafu)?;
+        let settings = (cx.current_settings)();
+        let operator = Operator::authenticate(&settings.tree, cx.first_key.as_ref(), secret)?;
         Ok(Session {
             cx: cx.clone(),
-            held,
+            settings,
             operator,
             secret: secret.to_string(),
         })
     }
 
-    /// Takes newer settings and checks the key again, which they may have taken away.
+    /// Replaces the settings with newer ones and authenticates again, since the newer settings may
+    /// have revoked the key.
     ///
     /// # Errors
     ///
-    /// Gives [`CallError::Refused`].
-    pub fn renew(&mut self, held: CurrentSettings) -> Result<(), CallError> {
-        let first = self.cx.first_key.as_ref();
-        self.operator = Operator::authenticate(&held.tree, first, &self.secret)?;
-        self.held = held;
+    /// Returns [`CallError::AccessDenied`].
+    pub fn reauthenticate(&mut self, settings: CurrentSettings) -> Result<(), CallError> {
+        let first_key = self.cx.first_key.as_ref();
+        self.operator = Operator::authenticate(&settings.tree, first_key, &self.secret)?;
+        self.settings = settings;
         Ok(())
     }
 
-    /// Gives the branch that the operator's key is bound to.
+    /// Returns the branch that the operator's key is bound to.
     pub fn branch(&self) -> &str {
         &self.operator.key.branch
     }
 
-    /// Reads every change after one revision up to another.
+    /// Reads every change after revision `after`, up to and including `to`.
     ///
     /// # Errors
     ///
-    /// Gives [`CallError::Store`], [`CallError::UnreadableChange`] or [`CallError::TooFar`].
-    pub async fn changes(&self, after: Revision, to: Revision) -> Result<Vec<Change>, CallError> {
+    /// Returns [`CallError::Store`], [`CallError::UnreadableChange`] or [`CallError::RangeTooLarge`].
+    pub async fn read_changes(
+        &self,
+        after: Revision,
+        to: Revision,
+    ) -> Result<Vec<Change>, CallError> {
         let mut changes: Vec<Change> = Vec::new();
         let (mut at, mut bytes) = (after, 0);
         while at < to {
-            let page = self.page(at).await?;
-            let wanted = page.0.into_iter().filter(|stored| stored.revision <= to);
-            for stored in wanted {
+            let page = self.read_page(at).await?;
+            let in_range = page.0.into_iter().filter(|stored| stored.revision <= to);
+            for stored in in_range {
                 bytes += stored.change.len();
                 at = stored.revision;
-                changes.push(read_change(&stored)?);
+                changes.push(parse_change(&stored)?);
             }
             let limit = MAX_CHANGES;
             ensure!(
-                changes.len() <= limit && bytes <= MAX_BYTES,
-                TooFarSnafu { limit }
+                changes.len() <= limit && bytes <= MAX_CHANGE_BYTES,
+                RangeTooLargeSnafu { limit }
             );
             if !page.1 {
                 break;
@@ -89,12 +96,12 @@
         Ok(changes)
     }
 
-    /// Reads one page of changes, and whether there are more.
+    /// Reads one page of the changes after a revision, and returns whether more follow.
     ///
     /// # Errors
     ///
-    /// Gives [`CallError::Store`].
-    pub async fn page(&self, after: Revision) -> Result<(Vec<StoredChange>, bool), CallError> {
+    /// Returns [`CallError::Store`].
+    pub async fn read_page(&self, after: Revision) -> Result<(Vec<StoredChange>, bool), CallError> {
         let step = "read history";
         let page = (self.cx.history)(after)
             .await
@@ -104,17 +111,17 @@
     }
 }
 
-/// Reads a change as the store holds it.
+/// Parses a change from its stored form.
 ///
 /// # Errors
 ///
-/// Gives [`CallError::UnreadableChange`].
-pub fn read_change(stored: &StoredChange) -> Result<Change, CallError> {
+/// Returns [`CallError::UnreadableChange`].
+pub fn parse_change(stored: &StoredChange) -> Result<Change, CallError> {
     let revision = stored.revision;
     serde_json::from_slice(&stored.change).context(UnreadableChangeSnafu { revision })
 }
 
-fn bearer(headers: &HeaderMap) -> Option<&str> {
+fn bearer_token(headers: &HeaderMap) -> Option<&str> {
     let value = headers.get(AUTHORIZATION)?.to_str().ok()?;
     let (scheme, token) = value.split_once(' ')?;
     scheme
