--- a/crates/operator/src/change.rs
+++ b/crates/operator/src/change.rs
@@ -41,7 +41,8 @@
 /// # Errors
 ///
 /// Returns a [`CallError`] if the request is invalid or not permitted, if the store can't be read,
-/// or if this daemon can't apply the newest settings. The outcome of the commit itself is reported in the response.
+/// or if this daemon can't apply the newest settings. The outcome of the commit itself is reported
+/// in the response.
 pub async fn change(
     session: &mut Session,
     req: &ChangeRequest,
@@ -157,6 +158,8 @@
     path: &str,
 ) -> Result<TreePath, CallError> {
     let path = TreePath::parse(path)?;
+    // `require_within` treats a key that is not in the tree as one of the root, which would keep
+    // branch keys from adding one. `authorize_change` checks the edits of keys instead.
     let is_operator_key = path.segments().len() > 1 && path.to_string().starts_with("operators/");
     if !is_operator_key {
         operator.require_within(tree, &path)?;
--- a/crates/operator/src/context.rs
+++ b/crates/operator/src/context.rs
@@ -34,8 +34,8 @@
     pub commit: Rc<dyn Fn(Proposal) -> LocalBoxFuture<'static, CommitOutcome>>,
     /// Returns the revision that a command created, if it was accepted.
     pub find_command: Rc<dyn Fn(CommandId) -> StoreFuture<Option<Revision>>>,
-    /// Reads one page of the accepted changes after a revision, including changes that the store has
-    /// packed.
+    /// Reads one page of the accepted changes after a revision, including changes that the store
+    /// has packed.
     pub history: Rc<dyn Fn(Revision) -> StoreFuture<HistoryPage>>,
     /// Returns the known status of every daemon.
     pub status: Rc<dyn Fn() -> LocalBoxFuture<'static, Vec<DaemonStatus>>>,
--- a/crates/operator/src/session.rs
+++ b/crates/operator/src/session.rs
@@ -68,7 +68,8 @@
     ///
     /// # Errors
     ///
-    /// Returns [`CallError::Store`], [`CallError::UnreadableChange`] or [`CallError::RangeTooLarge`].
+    /// Returns [`CallError::Store`], [`CallError::UnreadableChange`] or
+    /// [`CallError::RangeTooLarge`].
     pub async fn read_changes(
         &self,
         after: Revision,
--- a/crates/operator/tests/access.rs
+++ b/crates/operator/tests/access.rs
@@ -1,4 +1,4 @@
-//! What the interface refuses: unknown keys, other branches, malformed requests.
+//! Tests of authentication, authorization and request validation.
 
 mod support;
 
@@ -8,28 +8,31 @@
 use serde_json::{Value as Json, json};
 use support::{BRANCH, Daemon, first_secret, key, platform};
 
-fn refused(daemon: &Daemon, secret: &str, call: &str, req: Json) -> (StatusCode, String) {
+fn call_error(daemon: &Daemon, secret: &str, call: &str, req: Json) -> (StatusCode, String) {
     let (status, answer): (_, Json) = daemon.call(secret, call, &req);
     let error = answer["error"].as_str().unwrap_or("accepted");
     (status, error.to_string())
 }
 
+// Guards against accepting a key that is not in the settings, or naming it in the error.
 #[test]
-fn without_a_known_key_nothing_is_told() {
+fn unknown_keys_are_unauthorized() {
     let platform = platform();
     let daemon = Daemon::with_layout(&platform);
     let (stranger, _) = key("stranger", "", &[]);
 
     for secret in ["", "first", &stranger] {
-        let (status, error) = refused(&daemon, secret, "get", json!({ "path": "" }));
+        let (status, error) = call_error(&daemon, secret, "get", json!({ "path": "" }));
 
         assert_eq!(status, StatusCode::UNAUTHORIZED);
         assert!(!error.contains("stranger"), "{error}");
     }
 }
 
+// Guards against reads and changes outside the key's branch, and against reads whose status reveals
+// whether a node exists there.
 #[test]
-fn a_branch_key_is_refused_elsewhere_whether_or_not_a_node_is_there() {
+fn a_branch_key_has_no_access_outside_its_branch() {
     let platform = platform();
     let daemon = Daemon::with_layout(&platform);
     let secret = daemon.add_key("comms", BRANCH, &["read", "change", "audit", "drain"]);
@@ -44,13 +47,13 @@
 
     for path in paths {
         for call in ["get", "effective"] {
-            let (status, _) = refused(&daemon, &secret, call, json!({ "path": path }));
+            let (status, _) = call_error(&daemon, &secret, call, json!({ "path": path }));
             assert_eq!(status, StatusCode::FORBIDDEN, "{call} {path}");
         }
         let set = json!({ "command": "c", "action": { "set": { "path": path, "value": {} } } });
         let unset = json!({ "command": "c", "action": { "unset": { "path": path } } });
         for req in [set, unset] {
-            let (status, error) = refused(&daemon, &secret, "change", req);
+            let (status, error) = call_error(&daemon, &secret, "change", req);
             let known = [
                 StatusCode::FORBIDDEN,
                 StatusCode::UNPROCESSABLE_ENTITY,
@@ -58,13 +61,14 @@
             ];
             assert!(known.contains(&status), "{path}: {error}");
         }
-        daemon.follow(&platform);
-        assert_eq!(daemon.holder.borrow().revision(), Revision(2));
+        daemon.refresh_settings(&platform);
+        assert_eq!(daemon.replica.borrow().revision(), Revision(2));
     }
 }
 
+// Guards against escaping the branch by `..` segments.
 #[test]
-fn a_path_that_climbs_out_of_its_branch_is_refused() {
+fn paths_with_parent_segments_are_rejected() {
     let platform = platform();
     let daemon = Daemon::with_layout(&platform);
     let secret = daemon.add_key("comms", BRANCH, &["read"]);
@@ -73,15 +77,16 @@
         "utilities/port-louis:../../../platform",
         "accounts/utilities/accounts/port-louis/../x",
     ] {
-        let (status, error) = refused(&daemon, &secret, "get", json!({ "path": path }));
+        let (status, error) = call_error(&daemon, &secret, "get", json!({ "path": path }));
 
         assert_eq!(status, StatusCode::BAD_REQUEST);
         assert!(error.contains("segment `..`"), "{error}");
     }
 }
 
+// Guards against draining a place or another account's backend server with a branch key.
 #[test]
-fn a_branch_key_drains_its_own_backend_servers_only() {
+fn a_branch_key_can_drain_only_its_own_backend_servers() {
     let platform = platform();
     let daemon = Daemon::with_layout(&platform);
     let secret = daemon.add_key("comms", BRANCH, &["drain"]);
@@ -105,32 +110,32 @@
     assert_eq!(place.0, StatusCode::FORBIDDEN);
 }
 
+// Guards against revealing the existence or content of changes in other branches through `undo`.
 #[test]
-fn the_change_of_another_branch_can_not_be_undone_or_heard_of() {
+fn undo_of_a_change_in_another_branch_is_not_found() {
     let platform = platform();
     let daemon = Daemon::with_layout(&platform);
     let secret = daemon.add_key("comms", BRANCH, &["read", "change"]);
     let revision = daemon.must_set("a", "defaults/queue_len", json!(9));
     let undo = |revision| json!({ "command": "u", "action": { "undo": { "revision": revision } } });
 
-    let (status, error) = refused(&daemon, &secret, "change", undo(revision));
-    let none = refused(&daemon, &secret, "change", undo(Revision(99)));
+    let (status, error) = call_error(&daemon, &secret, "change", undo(revision));
+    let none = call_error(&daemon, &secret, "change", undo(Revision(99)));
 
     assert_eq!(status, StatusCode::NOT_FOUND);
     assert!(!error.contains("queue_len"), "{error}");
     assert_eq!(none.0, StatusCode::NOT_FOUND);
 }
 
-// A contractor's key is taken away; the daemon that the contractor talks to was cut off and
-// still knows the key. The change must be refused all the same, because it can only be accepted
-// on top of the newest revision, and there the key is gone.
+// Guards against a change by a revoked key through a daemon that has not received the revocation.
+// Changes are built on the newest revision, where the key no longer exists.
 #[test]
-fn a_key_that_was_taken_away_changes_nothing_through_a_daemon_that_lags() {
+fn a_revoked_key_is_rejected_by_a_daemon_with_old_settings() {
     let platform = platform();
     let daemon = Daemon::with_layout(&platform);
     let secret = daemon.add_key("contractor", BRANCH, &["read", "change"]);
     let lagging = Daemon::new(&platform);
-    lagging.follow(&platform);
+    lagging.refresh_settings(&platform);
     let path = "operators/contractor".to_string();
     daemon.change(&first_secret(), "away", Action::Unset { path });
 
@@ -138,24 +143,25 @@
         "command": "c",
         "action": { "set": { "path": "utilities/port-louis:gallery/queue_len", "value": 1 } },
     });
-    let (status, _) = refused(&lagging, &secret, "change", req);
+    let (status, _) = call_error(&lagging, &secret, "change", req);
 
     assert_eq!(status, StatusCode::UNAUTHORIZED);
-    daemon.follow(&platform);
-    assert_eq!(daemon.holder.borrow().revision(), Revision(3));
+    daemon.refresh_settings(&platform);
+    assert_eq!(daemon.replica.borrow().revision(), Revision(3));
 }
 
+// Guards against errors that don't say which key, value or call of the request is invalid.
 #[test]
-fn malformed_requests_name_the_key() {
+fn errors_of_malformed_requests_name_the_invalid_part() {
     let platform = platform();
     let daemon = Daemon::with_layout(&platform);
     let secret = first_secret();
 
-    let unknown = refused(&daemon, &secret, "get", json!({ "paht": "" }));
+    let unknown = call_error(&daemon, &secret, "get", json!({ "paht": "" }));
     let command = json!({ "command": "a b", "action": { "unset": { "path": "defaults" } } });
-    let command = refused(&daemon, &secret, "change", command);
-    let call = refused(&daemon, &secret, "reboot", json!({}));
-    let wait = refused(
+    let command = call_error(&daemon, &secret, "change", command);
+    let call = call_error(&daemon, &secret, "reboot", json!({}));
+    let wait = call_error(
         &daemon,
         &secret,
         "wait",
@@ -168,18 +174,19 @@
     assert!(wait.1.contains("at most 20000"));
 }
 
+// Guards against privilege escalation by creating a key for a parent branch.
 #[test]
-fn the_holder_of_a_branch_key_hands_out_no_more_than_it_has() {
+fn a_branch_key_cannot_create_a_key_with_a_larger_branch() {
     let platform = platform();
     let daemon = Daemon::with_layout(&platform);
     let secret = daemon.add_key("comms", BRANCH, &["read", "change"]);
     let (_, lesser) = key("helper", BRANCH, &["read"]);
     let (_, greater) = key("boss", "", &["read"]);
 
-    let given = daemon.set(&secret, "g", "operators/helper", lesser);
+    let created = daemon.set(&secret, "g", "operators/helper", lesser);
     let req = json!({ "command": "h", "action": { "set": { "path": "operators/boss", "value": greater } } });
-    let (status, _) = refused(&daemon, &secret, "change", req);
+    let (status, _) = call_error(&daemon, &secret, "change", req);
 
-    assert_eq!(given.outcome, ChangeOutcome::Accepted);
+    assert_eq!(created.outcome, ChangeOutcome::Accepted);
     assert_eq!(status, StatusCode::FORBIDDEN);
 }
--- a/crates/operator/tests/calls.rs
+++ b/crates/operator/tests/calls.rs
@@ -1,4 +1,4 @@
-//! Reading, changing and undoing settings by the calls of the interface.
+//! Tests of the calls that read and change settings and report the daemons' status.
 
 mod support;
 
@@ -11,8 +11,9 @@
 use serde_json::{Value as Json, json};
 use support::{ACCOUNT, BRANCH, Daemon, first_secret, platform};
 
+// Guards against a daemon that keeps serving the old settings after it accepted a change.
 #[test]
-fn a_change_is_accepted_and_in_force_here_at_once() {
+fn an_accepted_change_is_in_force_on_the_daemon_at_once() {
     let platform = platform();
     let daemon = Daemon::with_layout(&platform);
 
@@ -24,11 +25,12 @@
     );
     assert_eq!(answer.edits[0].path, "defaults/queue_len");
     assert_eq!(daemon.get("defaults/queue_len"), 9);
-    assert_eq!(daemon.holder.borrow().revision(), Revision(2));
+    assert_eq!(daemon.replica.borrow().revision(), Revision(2));
 }
 
+// Guards against committing an invalid value, and against an error that doesn't locate it.
 #[test]
-fn a_change_that_breaks_a_rule_names_path_key_found_and_expected() {
+fn an_invalid_change_is_rejected_with_path_key_found_and_expected() {
     let platform = platform();
     let daemon = Daemon::with_layout(&platform);
     let req = json!({
@@ -41,11 +43,12 @@
     let error = answer["error"].as_str().unwrap();
     assert_eq!(status, StatusCode::UNPROCESSABLE_ENTITY);
     assert!(error.contains("at defaults, key `queue_len`: found the text \"many\", expected"));
-    assert_eq!(daemon.holder.borrow().revision(), Revision(1));
+    assert_eq!(daemon.replica.borrow().revision(), Revision(1));
 }
 
+// Guards against a dry run that commits its change.
 #[test]
-fn a_dry_run_shows_the_edits_and_changes_nothing() {
+fn a_dry_run_returns_the_edits_without_committing() {
     let platform = platform();
     let daemon = Daemon::with_layout(&platform);
     let req = ChangeRequest {
@@ -61,12 +64,13 @@
 
     assert_eq!(answer.outcome, ChangeOutcome::Checked);
     assert_eq!(answer.edits[0].path, format!("{ACCOUNT}/services/studio"));
-    daemon.follow(&platform);
-    assert_eq!(daemon.holder.borrow().revision(), Revision(1));
+    daemon.refresh_settings(&platform);
+    assert_eq!(daemon.replica.borrow().revision(), Revision(1));
 }
 
+// Guards against an undo that also reverts changes made after the undone one.
 #[test]
-fn undo_is_a_new_revision_that_keeps_what_came_after() {
+fn undo_keeps_later_changes() {
     let platform = platform();
     let daemon = Daemon::with_layout(&platform);
     let wrong = daemon.must_set("a", "defaults/queue_len", json!(9));
@@ -81,8 +85,9 @@
     );
 }
 
+// Guards against an undo that overwrites a later change of the same value.
 #[test]
-fn undo_of_what_was_changed_again_is_refused() {
+fn undo_of_a_value_that_changed_again_is_a_conflict() {
     let platform = platform();
     let daemon = Daemon::with_layout(&platform);
     let first = daemon.must_set("a", "defaults/queue_len", json!(9));
@@ -100,8 +105,9 @@
     );
 }
 
+// Guards against a diff with intermediate values, reversed sides or edits outside its path.
 #[test]
-fn the_difference_of_two_revisions_is_shown_both_ways() {
+fn diff_works_forward_and_backward() {
     let platform = platform();
     let daemon = Daemon::with_layout(&platform);
     daemon.must_set("a", "defaults/queue_len", json!(9));
@@ -132,8 +138,9 @@
     );
 }
 
+// Guards against inherited values that are attributed to the wrong node.
 #[test]
-fn the_effective_view_shows_origins() {
+fn effective_values_name_their_origin() {
     let platform = platform();
     let daemon = Daemon::with_layout(&platform);
     let req = json!({ "path": "utilities/port-louis:gallery" });
@@ -151,8 +158,9 @@
     assert_eq!(origin("lookup_ttl_ms"), "defaults");
 }
 
+// Guards against showing other branches' changes, a false hash chain error, and wrong paging.
 #[test]
-fn history_and_audit_show_the_branch_and_the_chain_holds() {
+fn history_and_audit_are_limited_to_the_branch() {
     let platform = platform();
     let daemon = Daemon::with_layout(&platform);
     let secret = daemon.add_key("comms", BRANCH, &["read", "audit", "change"]);
@@ -183,8 +191,9 @@
     );
 }
 
+// Guards against an audit that misses a stored change whose author was altered.
 #[test]
-fn an_altered_entry_in_the_store_shows_in_the_audit() {
+fn audit_detects_an_altered_change_in_the_store() {
     let platform = platform();
     let daemon = Daemon::with_layout(&platform);
     daemon.must_set("a", "defaults/queue_len", json!(9));
@@ -203,8 +212,9 @@
     );
 }
 
+// Guards against a drain without effect on the tree, or one that leaves settings behind.
 #[test]
-fn drains_are_edits_of_the_tree_and_end_without_a_trace() {
+fn ending_a_drain_restores_the_tree() {
     let platform = platform();
     let daemon = Daemon::with_layout(&platform);
     let before = daemon.get("");
@@ -261,8 +271,9 @@
     }
 }
 
+// Guards against counting daemons that are gone, and against naming daemons to branch keys.
 #[test]
-fn status_counts_daemons_and_names_them_to_the_root_only() {
+fn status_lists_daemons_only_for_keys_of_the_root() {
     let platform = platform();
     let daemon = Daemon::with_layout(&platform);
     let secret = daemon.add_key("comms", BRANCH, &["read"]);
@@ -284,8 +295,9 @@
     assert_eq!((root.daemons.len(), branch.daemons.len()), (3, 0));
 }
 
+// Guards against a wait that ignores a lagging daemon, or that polls on after it has its result.
 #[test]
-fn a_wait_ends_with_the_last_daemon_or_says_who_lags() {
+fn wait_returns_once_all_daemons_have_the_revision_or_at_the_timeout() {
     let platform = platform();
     let daemon = Daemon::with_layout(&platform);
     *daemon.status.borrow_mut() = vec![
@@ -300,12 +312,13 @@
     let (reached, missed) = (wait(1), wait(2));
 
     assert!(reached.in_force && !missed.in_force);
-    assert_eq!(daemon.looks.get(), 1 + 3);
+    assert_eq!(daemon.status_polls.get(), 1 + 3);
     assert_eq!(missed.counts[1].revision, Revision(1));
 }
 
+// Guards against an explanation for a service that does not exist.
 #[test]
-fn explain_answers_for_services_of_the_branch() {
+fn explain_returns_not_found_for_an_unknown_service() {
     let platform = platform();
     let daemon = Daemon::with_layout(&platform);
     let ask = |service: &str| {
--- a/crates/operator/tests/racing.rs
+++ b/crates/operator/tests/racing.rs
@@ -1,4 +1,4 @@
-//! Racing operators and answers that were lost.
+//! Tests of concurrent changes, store faults and lost responses.
 
 mod support;
 
@@ -14,22 +14,21 @@
 
 const PATH: &str = "defaults/queue_len";
 
-fn changes_in(platform: &PlatformHandle) -> usize {
+fn change_count(platform: &PlatformHandle) -> usize {
     platform.keys("hk/settings/change/").len()
 }
 
 fn two_daemons(platform: &PlatformHandle) -> (Daemon, Daemon) {
     let one = Daemon::with_layout(platform);
     let two = Daemon::new(platform);
-    two.follow(platform);
+    two.refresh_settings(platform);
     (one, two)
 }
 
-// Two officers on a night shift set the same queue length through different daemons, neither
-// of which has heard of the other's change. One is accepted. The other must be told, with the
-// change that came first, instead of silently winning or losing.
+// Guards against a lost update: two operators change the same setting through different daemons
+// that have not received each other's change. The second change has to fail and name the first.
 #[test]
-fn of_two_operators_on_the_same_setting_one_wins_and_the_other_is_shown_why() {
+fn concurrent_changes_of_one_setting_conflict() {
     let platform = platform();
     let (one, two) = two_daemons(&platform);
 
@@ -46,8 +45,9 @@
     assert_eq!(one.get(PATH), 9);
 }
 
+// Guards against rejecting a change because of an unrelated concurrent one.
 #[test]
-fn operators_on_different_settings_both_win() {
+fn concurrent_changes_of_different_settings_are_both_accepted() {
     let platform = platform();
     let (one, two) = two_daemons(&platform);
 
@@ -62,8 +62,9 @@
     );
 }
 
+// Guards against overwriting a change that was made after the request's base revision.
 #[test]
-fn a_change_made_from_an_older_revision_is_held_against_what_came_since() {
+fn a_change_with_an_old_base_conflicts_with_later_changes() {
     let platform = platform();
     let daemon = Daemon::with_layout(&platform);
     daemon.must_set("a", PATH, json!(9));
@@ -90,10 +91,10 @@
     assert_eq!(other.outcome, ChangeOutcome::Accepted);
 }
 
-// The store accepts a change and the connection breaks before its answer. The operator must
-// hear "accepted", because the change is in force.
+// Guards against reporting a failure for an accepted change: the store accepts the change, but the
+// connection breaks before its response arrives.
 #[test]
-fn a_lost_answer_is_found_out() {
+fn a_lost_store_response_is_resolved() {
     let platform = platform();
     let daemon = Daemon::with_layout(&platform);
     platform.faults(|faults| faults.lose_answers = 1);
@@ -106,11 +107,11 @@
     );
 }
 
-// The store accepts a change, its answer is lost, and it stays out of reach. The operator
-// hears "unknown" and runs the same command again minutes later, through another daemon. It
-// must say "accepted", with the first revision, and nothing may be applied twice.
+// Guards against applying a command twice: the store accepts the change, its response is lost and
+// it stays unreachable, so the outcome is unknown. Running the command again, also through another
+// daemon, has to return the first revision.
 #[test]
-fn an_unknown_outcome_is_found_out_by_the_same_command_run_again() {
+fn repeating_the_command_resolves_an_unknown_outcome() {
     let platform = platform();
     let (one, two) = two_daemons(&platform);
     platform.faults(|faults| faults.lose_answers = 100);
@@ -132,13 +133,13 @@
         (third.outcome, third.revision),
         (ChangeOutcome::Accepted, Some(Revision(2)))
     );
-    assert_eq!(changes_in(&platform), 2);
+    assert_eq!(change_count(&platform), 2);
 }
 
-// A write hangs on its way to the store. The operator hears "not accepted" once the command
-// was withdrawn, and when the old write arrives at last it must change nothing.
+// Guards against a delayed write that takes effect after its command was withdrawn and reported as
+// not accepted.
 #[test]
-fn a_write_that_arrives_after_not_accepted_changes_nothing() {
+fn a_delayed_write_has_no_effect_after_not_accepted() {
     let platform = platform();
     let daemon = Daemon::with_layout(&platform);
     platform.faults(|faults| faults.hold_writes = 1);
@@ -147,11 +148,12 @@
     platform.release_held();
 
     assert_eq!(answer.outcome, ChangeOutcome::NotAccepted);
-    assert_eq!(changes_in(&platform), 1);
+    assert_eq!(change_count(&platform), 1);
 }
 
+// Guards against taking a new command for a repetition of another one with the same name.
 #[test]
-fn one_name_for_two_commands_is_no_repetition() {
+fn commands_with_the_same_name_but_another_key_or_action_are_distinct() {
     let platform = platform();
     let daemon = Daemon::with_layout(&platform);
     let secret = daemon.add_key("other", "", &["read", "change"]);
@@ -164,8 +166,9 @@
     assert_eq!(revisions, [3, 4, 5]);
 }
 
+// Guards against reads that depend on the store, and against accepting changes without it.
 #[test]
-fn while_the_store_is_down_changes_are_refused_and_reads_are_served() {
+fn reads_work_and_changes_fail_while_the_store_is_down() {
     let platform = platform();
     let daemon = Daemon::with_layout(&platform);
     platform.faults(|faults| faults.down = Some(Down::Closes));
@@ -177,25 +180,25 @@
     assert_eq!(daemon.get("defaults/lookup_ttl_ms"), 2000);
 }
 
+// Guards against empty revisions.
 #[test]
-fn a_change_that_is_there_already_makes_no_revision() {
+fn setting_the_current_value_creates_no_revision() {
     let platform = platform();
     let (one, two) = two_daemons(&platform);
     one.must_set("a", PATH, json!(9));
-    two.follow(&platform);
+    two.refresh_settings(&platform);
 
     let answer = two.set(&first_secret(), "b", PATH, json!(9));
 
     assert_eq!(answer.outcome, ChangeOutcome::Unchanged);
     assert_eq!(answer.revision, Some(Revision(2)));
-    assert_eq!(changes_in(&platform), 2);
+    assert_eq!(change_count(&platform), 2);
 }
 
-// An operator adds a place through one daemon and at once sets something in it through another,
-// which hasn't heard of the place. The change must not be refused for what is missing in an old
-// tree.
+// Guards against rejecting a change because the daemon's tree is old: a place is added through one
+// daemon and drained through another that has not received it yet.
 #[test]
-fn a_change_is_made_from_the_newest_tree_even_where_the_daemon_lags() {
+fn a_daemon_with_old_settings_builds_changes_on_the_newest_tree() {
     let platform = platform();
     let (one, two) = two_daemons(&platform);
     let place = json!({ "domain": "north-1", "per_second": 10, "in_flight": 10 });
@@ -221,10 +224,10 @@
     );
 }
 
-// An operator applies a branch so large that the change doesn't fit one value of the store. It
-// must be refused with the limit, before anything is written.
+// Guards against writing a change that is too large for one value of the store. The error has to
+// name the limit.
 #[test]
-fn a_change_over_the_limit_of_a_value_is_refused_with_the_limit() {
+fn a_change_over_the_size_limit_is_rejected() {
     let platform = platform();
     let daemon = Daemon::with_layout(&platform);
     let routes: Vec<String> = (0..60)
@@ -246,11 +249,12 @@
             .unwrap()
             .contains("expected at most 900000")
     );
-    assert_eq!(changes_in(&platform), 1);
+    assert_eq!(change_count(&platform), 1);
 }
 
+// Guards against a rate-limited command that is reported as accepted or can't be run again.
 #[test]
-fn a_store_that_allows_no_more_calls_refuses_the_change_and_loses_nothing() {
+fn a_rate_limited_change_can_be_retried() {
     let platform = platform();
     let daemon = Daemon::with_layout(&platform);
     platform.faults(|faults| faults.rate_limited = 1);
@@ -263,14 +267,14 @@
     assert_eq!(again.revision, Some(Revision(2)));
 }
 
-// Newer daemons have written settings of a schema that this daemon can't read. It holds on to the
-// old ones; a change made from those must be refused with the reason, and never overwrite.
+// Guards against overwriting settings of a newer schema: a daemon that can't read them keeps the
+// old ones and has to reject changes, naming the revision that it lacks.
 #[test]
-fn a_daemon_that_cannot_read_the_newest_settings_makes_no_change() {
+fn a_daemon_that_cannot_read_the_newest_settings_rejects_changes() {
     let platform = platform();
     let daemon = Daemon::with_layout(&platform);
-    let held = daemon.holder.borrow().at();
-    let mut newer = newer_schema(held);
+    let base = daemon.replica.borrow().at();
+    let mut newer = newer_schema(base);
     newer.hash = newer.computed_hash();
     let hash = newer.hash;
     platform.put(
@@ -290,17 +294,17 @@
             .contains("r2 is not in force here")
     );
     assert_eq!(
-        daemon.holder.borrow().unreadable().unwrap().revision,
+        daemon.replica.borrow().unreadable().unwrap().revision,
         Revision(2)
     );
-    assert_eq!(changes_in(&platform), 2);
+    assert_eq!(change_count(&platform), 2);
 }
 
-fn newer_schema(held: ChainPoint) -> Change {
+fn newer_schema(base: ChainPoint) -> Change {
     let edit = json!({ "p": "schema", "b": 1, "a": 2 });
     let change = json!({
-        "r": held.revision.next(), "q": held.hash, "c": "c", "w": "w", "k": "k", "t": 1,
-        "e": [edit], "d": held.hash, "h": held.hash,
+        "r": base.revision.next(), "q": base.hash, "c": "c", "w": "w", "k": "k", "t": 1,
+        "e": [edit], "d": base.hash, "h": base.hash,
     });
     serde_json::from_value(change).unwrap()
 }
--- a/crates/operator/tests/support/mod.rs
+++ b/crates/operator/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Fixtures: daemons that share one stand-in for the platform, and calls on them.
+//! Test fixtures: daemons that share one fake platform, and calls to them.
 #![allow(dead_code, reason = "each test file uses its own part of the fixtures")]
 
 use std::cell::{Cell, RefCell};
@@ -31,23 +31,24 @@
 use serde_json::{Value as Json, json};
 
 thread_local! {
-    /// The runtime of one test. The connections that a daemon keeps belong to it.
+    /// The runtime of the test thread. All its tasks share it, because a daemon's pooled
+    /// connections are bound to the runtime that opened them.
     static RUNTIME: RefCell<Runtime<TimeDriver<LegacyDriver>>> = RefCell::new(
         RuntimeBuilder::<LegacyDriver>::new().enable_timer().build().unwrap(),
     );
 }
 
-/// Runs a task to its end on the runtime of this test.
+/// Runs a future to completion on the runtime of this test.
 pub fn block_on<F: Future>(task: F) -> F::Output {
     RUNTIME.with_borrow_mut(|runtime| runtime.block_on(task))
 }
 
-/// The branch of Port Louis.
+/// The account path of the Port Louis account.
 pub const BRANCH: &str = layouts::PORT_LOUIS;
-/// The path of the account.
+/// The tree path of the same account.
 pub const ACCOUNT: &str = "accounts/utilities/accounts/port-louis";
 
-/// Gives a secret and the object that stands for it under `operators`.
+/// Returns the secret of a key and the key's object for `operators/<id>`.
 pub fn key(id: &str, branch: &str, rights: &[&str]) -> (String, Json) {
     let key = NewKey::from_bytes(id, [3; 16], [5; 32]);
     let object = json!({
@@ -60,7 +61,7 @@
     (key.secret, object)
 }
 
-/// Gives the secret of the first operator, who may do everything.
+/// Returns the secret of the first operator, who has all rights.
 pub fn first_secret() -> String {
     key("first", "", &[]).0
 }
@@ -78,42 +79,42 @@
     }
 }
 
-/// Starts a stand-in for the platform.
+/// Starts a fake platform.
 pub fn platform() -> PlatformHandle {
     Platform::start(PlatformConfig::default())
 }
 
-/// A daemon's side of the interface, with a holder of its own.
+/// A daemon's operator API with its own copy of the settings.
 pub struct Daemon {
-    /// What it holds.
-    pub holder: Rc<RefCell<SettingsReplica>>,
-    /// What it says of all daemons.
+    /// The daemon's copy of the settings.
+    pub replica: Rc<RefCell<SettingsReplica>>,
+    /// The status that the daemon reports for all daemons.
     pub status: Rc<RefCell<Vec<DaemonStatus>>>,
-    /// How often it was asked for that.
-    pub looks: Rc<Cell<u32>>,
-    refreshing: Rc<Cell<u32>>,
+    /// The number of times the status was read.
+    pub status_polls: Rc<Cell<u32>>,
+    pending_refreshes: Rc<Cell<u32>>,
     handler: Handler,
 }
 
 impl Daemon {
-    /// Makes a daemon that reaches the platform over loopback.
+    /// Creates a daemon that connects to the platform over loopback.
     pub fn new(platform: &PlatformHandle) -> Daemon {
         let store = connect(StoreConfig::new(platform.address()));
-        let holder = Rc::new(RefCell::new(SettingsReplica::new()));
+        let replica = Rc::new(RefCell::new(SettingsReplica::new()));
         let status = Rc::new(RefCell::new(Vec::new()));
-        let looks = Rc::new(Cell::new(0));
-        let refreshing = Rc::new(Cell::new(0));
-        let cx = context(&store, &holder, &status, &looks, &refreshing);
+        let status_polls = Rc::new(Cell::new(0));
+        let pending_refreshes = Rc::new(Cell::new(0));
+        let cx = context(&store, &replica, &status, &status_polls, &pending_refreshes);
         Daemon {
-            refreshing,
-            holder,
+            pending_refreshes,
+            replica,
             status,
-            looks,
+            status_polls,
             handler: handler(cx),
         }
     }
 
-    /// Makes a daemon and fills the empty tree with the layout of Port Louis.
+    /// Creates a daemon and sets the empty tree to the Port Louis layout.
     pub fn with_layout(platform: &PlatformHandle) -> Daemon {
         let daemon = Daemon::new(platform);
         let layout = layouts::port_louis(layouts::unused_addresses());
@@ -122,7 +123,7 @@
         daemon
     }
 
-    /// Calls the interface and gives the status and the answer.
+    /// Makes a call to the operator API and returns the HTTP status and the response.
     pub fn call<T: DeserializeOwned>(
         &self,
         secret: &str,
@@ -143,15 +144,16 @@
         block_on(async {
             let response = (self.handler)(req).await;
             let body = response.body.collect(1 << 24).await.unwrap();
-            // The task that follows an accepted change ends by itself; a test looks only then.
-            while self.refreshing.get() > 0 {
+            // An accepted change starts a refresh in a separate task. Waits for it, so that the
+            // test sees the refreshed settings.
+            while self.pending_refreshes.get() > 0 {
                 monoio::time::sleep(Duration::from_millis(1)).await;
             }
             (response.status, serde_json::from_slice(&body).unwrap())
         })
     }
 
-    /// Asks for a change.
+    /// Requests a change.
     pub fn change(&self, secret: &str, command: &str, action: Action) -> ChangeResponse {
         let req = ChangeRequest {
             command: command.to_string(),
@@ -162,59 +164,60 @@
         self.call(secret, "change", &req).1
     }
 
-    /// Sets one value.
+    /// Requests that one value be set.
     pub fn set(&self, secret: &str, command: &str, path: &str, value: Json) -> ChangeResponse {
         let path = path.to_string();
         self.change(secret, command, Action::Set { path, value })
     }
 
-    /// Sets one value, which must be accepted.
+    /// Sets one value, asserts that the change is accepted and returns its revision.
     pub fn must_set(&self, command: &str, path: &str, value: Json) -> Revision {
         let answer = self.set(&first_secret(), command, path, value);
         assert_eq!(answer.outcome, ChangeOutcome::Accepted, "{answer:?}");
         answer.revision.unwrap()
     }
 
-    /// Adds a key and gives its secret.
+    /// Adds a key and returns its secret.
     pub fn add_key(&self, id: &str, branch: &str, rights: &[&str]) -> String {
         let (secret, object) = key(id, branch, rights);
         self.must_set(&format!("key-{id}"), &format!("operators/{id}"), object);
         secret
     }
 
-    /// Gives the value at a path.
+    /// Returns the value at a path.
     pub fn get(&self, path: &str) -> Json {
         let (_, answer): (_, Json) = self.call(&first_secret(), "get", &json!({ "path": path }));
         answer["value"].clone()
     }
 
-    /// Brings the newest settings in force.
-    pub fn follow(&self, platform: &PlatformHandle) {
+    /// Applies the newest settings from the store.
+    pub fn refresh_settings(&self, platform: &PlatformHandle) {
         let store = connect(StoreConfig::new(platform.address()));
-        block_on(refresh(store, self.holder.clone())).unwrap();
+        block_on(refresh(store, self.replica.clone())).unwrap();
     }
 }
 
 fn context(
     store: &Store,
-    holder: &Rc<RefCell<SettingsReplica>>,
+    replica: &Rc<RefCell<SettingsReplica>>,
     status: &Rc<RefCell<Vec<DaemonStatus>>>,
-    looks: &Rc<Cell<u32>>,
-    refreshing: &Rc<Cell<u32>>,
+    status_polls: &Rc<Cell<u32>>,
+    pending_refreshes: &Rc<Cell<u32>>,
 ) -> OperatorContext {
     let (s1, s2, s3, s4) = (store.clone(), store.clone(), store.clone(), store.clone());
-    let (h1, h2) = (holder.clone(), holder.clone());
-    let (status, looks) = (status.clone(), looks.clone());
-    let refreshing = refreshing.clone();
+    let (h1, h2) = (replica.clone(), replica.clone());
+    let (status, status_polls) = (status.clone(), status_polls.clone());
+    let pending_refreshes = pending_refreshes.clone();
     OperatorContext {
-        current_settings: Rc::new(move || held(&h1)),
+        current_settings: Rc::new(move || current_settings(&h1)),
         refresh: Rc::new(move || {
-            let (refreshed, refreshing) = (refresh(s1.clone(), h2.clone()), refreshing.clone());
-            refreshing.set(refreshing.get() + 1);
+            let (refreshed, pending_refreshes) =
+                (refresh(s1.clone(), h2.clone()), pending_refreshes.clone());
+            pending_refreshes.set(pending_refreshes.get() + 1);
             async move {
-                let held = refreshed.await;
-                refreshing.set(refreshing.get() - 1);
-                held
+                let result = refreshed.await;
+                pending_refreshes.set(pending_refreshes.get() - 1);
+                result
             }
             .boxed_local()
         }),
@@ -231,7 +234,7 @@
             async move { audit_after(&store, after).await }.boxed_local()
         }),
         status: Rc::new(move || {
-            looks.set(looks.get() + 1);
+            status_polls.set(status_polls.get() + 1);
             let daemons = status.borrow().clone();
             async move { daemons }.boxed_local()
         }),
@@ -256,27 +259,27 @@
     }
 }
 
-fn held(holder: &Rc<RefCell<SettingsReplica>>) -> CurrentSettings {
-    let holder = holder.borrow();
+fn current_settings(replica: &Rc<RefCell<SettingsReplica>>) -> CurrentSettings {
+    let replica = replica.borrow();
     CurrentSettings {
-        chain_point: holder.at(),
-        tree: holder.tree().clone(),
+        chain_point: replica.at(),
+        tree: replica.tree().clone(),
     }
 }
 
-fn refresh(store: Store, holder: Rc<RefCell<SettingsReplica>>) -> StoreFuture<CurrentSettings> {
+fn refresh(store: Store, replica: Rc<RefCell<SettingsReplica>>) -> StoreFuture<CurrentSettings> {
     async move {
         loop {
-            let after = holder.borrow().revision();
+            let after = replica.borrow().revision();
             let page = audit_after(&store, after).await?;
             let changes = page.changes.iter();
             let changes: Vec<Change> = changes
                 .map(|stored| serde_json::from_slice(&stored.change).unwrap())
                 .collect();
-            // What can't be read is reported elsewhere; the settings in force stay.
-            let refused = holder.borrow_mut().accept_changes(&changes).is_err();
-            if refused || !page.more {
-                return Ok(held(&holder));
+            // Unreadable changes are recorded in the replica, which keeps the settings in force.
+            let rejected = replica.borrow_mut().accept_changes(&changes).is_err();
+            if rejected || !page.more {
+                return Ok(current_settings(&replica));
             }
         }
     }
