--- a/crates/operator/src/change.rs
+++ b/crates/operator/src/change.rs
@@ -150,8 +150,8 @@
     Ok(before.edited(&edits)?)
 }
 
-/// Parses a path and checks that it lies in the operator's branch, so that errors reveal nothing
-/// about nodes elsewhere.
+/// Parses a path and checks that it lies in the operator's branch, before an error can reveal
+/// anything about nodes elsewhere.
 fn parse_path_in_branch(
     tree: &Tree,
     operator: &Operator,
@@ -175,7 +175,7 @@
     let change = changes.first().filter(|change| change.revision == revision);
     let change = change.context(not_found.clone())?;
     let tree = &session.settings.tree;
-    // A change with edits outside the key's branch is reported as not_found, so that the key learns
+    // A change with edits outside the key's branch is reported as not found, so that the key learns
     // nothing about it.
     let entry = entry_for(session.branch(), tree, change);
     let complete = entry.filter(|entry| entry.edits == change.edits);
