--- a/crates/cli/src/client.rs
+++ b/crates/cli/src/client.rs
@@ -12,14 +12,14 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-use crate::error::{CliError, RefusedSnafu, UnreachedSnafu, UnreadableSnafu};
+use crate::error::{CliError, InvalidAnswerSnafu, NoAnswerSnafu, RefusedSnafu};
 
 /// The longest answer, in bytes.
-const MAX_ANSWER: usize = 64 << 20;
+const MAX_ANSWER_BYTES: usize = 64 << 20;
 /// The pause after every daemon was tried in vain.
-const ROUND_PAUSE: Duration = Duration::from_millis(200);
+const RETRY_PAUSE: Duration = Duration::from_millis(200);
 /// The least time that one daemon gets for an answer, where so much is left.
-const MIN_TRY: Millis = Millis(2_000);
+const MIN_ATTEMPT_TIME: Millis = Millis(2_000);
 /// The longest silence of a daemon: longer than its longest wait, and than the store takes to
 /// fail a change.
 const SILENCE_LIMIT: Duration = Duration::from_secs(40);
@@ -41,19 +41,19 @@
     NotAccepted(String),
     /// A daemon answered that it can't reach the store. This try has changed nothing; of an
     /// earlier run of the same command it says nothing.
-    NoStore(String),
+    StoreUnavailable(String),
     /// An answer was lost, and no later one settles it.
     Unknown(String),
 }
 
 /// One try of a call.
-enum Try {
+enum AttemptResult {
     /// The daemon's whole answer.
     Answer(StatusCode, Vec<u8>),
     /// The daemon did not get the call.
     NotSent(String),
     /// The daemon may have got the call.
-    Lost(String),
+    MaybeSent(String),
 }
 
 impl Client {
@@ -100,7 +100,7 @@
         call: &str,
         req: &impl Serialize,
     ) -> Result<T, CliError> {
-        self.call_for(call, req, Millis(0)).await
+        self.call_with_server_wait(call, req, Millis(0)).await
     }
 
     /// Does the same for a call that the daemon answers only after the given time.
@@ -108,26 +108,31 @@
     /// # Errors
     ///
     /// Gives what [`call`](Self::call) gives.
-    pub async fn call_for<T: DeserializeOwned>(
+    pub async fn call_with_server_wait<T: DeserializeOwned>(
         &self,
         call: &str,
         req: &impl Serialize,
-        takes: Millis,
+        server_wait: Millis,
     ) -> Result<T, CliError> {
         let mut causes = Vec::new();
         for pool in &self.pools {
             let peer = pool.address();
-            match self.attempt(pool, call, req, self.try_time() + takes).await {
-                Try::Answer(StatusCode::OK, body) => return read(peer, &body),
-                Try::Answer(status, body) => {
+            match self
+                .attempt(pool, call, req, self.attempt_timeout() + server_wait)
+                .await
+            {
+                AttemptResult::Answer(StatusCode::OK, body) => return parse_answer(peer, &body),
+                AttemptResult::Answer(status, body) => {
                     let error = error_text(status, &body);
                     return RefusedSnafu { peer, error }.fail();
                 }
-                Try::NotSent(cause) | Try::Lost(cause) => causes.push(cause),
+                AttemptResult::NotSent(cause) | AttemptResult::MaybeSent(cause) => {
+                    causes.push(cause)
+                }
             }
         }
         let causes = causes.join("; ");
-        UnreachedSnafu { causes }.fail()
+        NoAnswerSnafu { causes }.fail()
     }
 
     /// Asks for a change until its outcome is known or the time is over. Every try carries the
@@ -137,20 +142,25 @@
         let mut failed = Vec::new();
         loop {
             for pool in &self.pools {
-                match self.attempt(pool, "change", req, self.try_time()).await {
-                    Try::NotSent(cause) => failed.push(cause),
-                    Try::Lost(cause) => lost = Some(cause),
-                    Try::Answer(status, body) => match judge(pool.address(), status, &body) {
-                        Judged::Final(answer) => return ChangeResult::Answered(answer),
-                        Judged::Unknown(cause) => lost = Some(cause),
-                        Judged::Refused(result) => return after_loss(result, lost),
-                    },
+                match self
+                    .attempt(pool, "change", req, self.attempt_timeout())
+                    .await
+                {
+                    AttemptResult::NotSent(cause) => failed.push(cause),
+                    AttemptResult::MaybeSent(cause) => lost = Some(cause),
+                    AttemptResult::Answer(status, body) => {
+                        match classify_reply(pool.address(), status, &body) {
+                            ChangeReply::Final(answer) => return ChangeResult::Answered(answer),
+                            ChangeReply::Unknown(cause) => lost = Some(cause),
+                            ChangeReply::Refused(result) => return resolve_refusal(result, lost),
+                        }
+                    }
                 }
             }
-            if self.time_left() <= Millis(ROUND_PAUSE.as_millis() as u64) {
+            if self.time_left() <= Millis(RETRY_PAUSE.as_millis() as u64) {
                 break;
             }
-            monoio::time::sleep(ROUND_PAUSE).await;
+            monoio::time::sleep(RETRY_PAUSE).await;
         }
         match lost {
             Some(cause) => ChangeResult::Unknown(cause),
@@ -163,15 +173,21 @@
 
     /// Gives the time for one try. A connection or a daemon may be silent for good, so no
     /// single try gets all the time there is.
-    fn try_time(&self) -> Millis {
-        let tries = self.pools.len() as u64 + 1;
-        Millis(self.time_left().0 / tries).max(MIN_TRY)
+    fn attempt_timeout(&self) -> Millis {
+        let attempts = self.pools.len() as u64 + 1;
+        Millis(self.time_left().0 / attempts).max(MIN_ATTEMPT_TIME)
     }
 
-    async fn attempt(&self, pool: &Pool, call: &str, req: &impl Serialize, limit: Millis) -> Try {
+    async fn attempt(
+        &self,
+        pool: &Pool,
+        call: &str,
+        req: &impl Serialize,
+        limit: Millis,
+    ) -> AttemptResult {
         let body = match serde_json::to_vec(req) {
             Ok(body) => Body::full(body),
-            Err(error) => return Try::NotSent(error.to_string()),
+            Err(error) => return AttemptResult::NotSent(error.to_string()),
         };
         let uri = Uri::try_from(format!("{PREFIX}{call}")).unwrap_or_default();
         let mut head = RequestHead::new(Method::POST, uri);
@@ -184,71 +200,71 @@
             new_connection: true,
         };
         match pool.send(head, body, options).await {
-            Ok(response) => whole(pool.address(), response).await,
+            Ok(response) => read_response(pool.address(), response).await,
             Err(error) => match error.send_progress() {
-                SendProgress::NotSent => Try::NotSent(error.to_string()),
-                SendProgress::MaybeSent => Try::Lost(error.to_string()),
+                SendProgress::NotSent => AttemptResult::NotSent(error.to_string()),
+                SendProgress::MaybeSent => AttemptResult::MaybeSent(error.to_string()),
             },
         }
     }
 }
 
 /// Reads the whole answer. An answer that breaks off says nothing about a change.
-async fn whole(peer: SocketAddr, response: Response) -> Try {
+async fn read_response(peer: SocketAddr, response: Response) -> AttemptResult {
     let outcome = response.headers.get(OUTCOME_HEADER);
-    let not_run = outcome.is_some_and(|value| value == Outcome::NotRun.as_str());
-    if not_run {
-        return Try::NotSent(format!("{peer}: the daemon is full"));
+    let is_not_run = outcome.is_some_and(|value| value == Outcome::NotRun.as_str());
+    if is_not_run {
+        return AttemptResult::NotSent(format!("{peer}: the daemon is full"));
     }
-    match response.body.collect(MAX_ANSWER).await {
-        Ok(body) => Try::Answer(response.status, body.to_vec()),
-        Err(error) => Try::Lost(format!("{peer}: {error}")),
+    match response.body.collect(MAX_ANSWER_BYTES).await {
+        Ok(body) => AttemptResult::Answer(response.status, body.to_vec()),
+        Err(error) => AttemptResult::MaybeSent(format!("{peer}: {error}")),
     }
 }
 
 /// What one answer to a change says.
-enum Judged {
+enum ChangeReply {
     Final(ChangeAnswer),
     Unknown(String),
     Refused(ChangeResult),
 }
 
-fn judge(peer: SocketAddr, status: StatusCode, body: &[u8]) -> Judged {
+fn classify_reply(peer: SocketAddr, status: StatusCode, body: &[u8]) -> ChangeReply {
     if let Ok(answer) = serde_json::from_slice::<ChangeAnswer>(body) {
         return match answer.outcome {
             ChangeOutcome::Accepted | ChangeOutcome::Checked | ChangeOutcome::Unchanged => {
-                Judged::Final(answer)
+                ChangeReply::Final(answer)
             }
-            ChangeOutcome::NotAccepted => Judged::Refused(ChangeResult::Answered(answer)),
+            ChangeOutcome::NotAccepted => ChangeReply::Refused(ChangeResult::Answered(answer)),
             ChangeOutcome::Unknown => {
                 let reason = answer.reason.unwrap_or_default();
-                Judged::Unknown(format!("{peer}: {reason}"))
+                ChangeReply::Unknown(format!("{peer}: {reason}"))
             }
         };
     }
     if serde_json::from_slice::<ErrorAnswer>(body).is_ok() {
         let error = format!("{peer}: {}", error_text(status, body));
-        return Judged::Refused(match status {
-            StatusCode::SERVICE_UNAVAILABLE => ChangeResult::NoStore(error),
+        return ChangeReply::Refused(match status {
+            StatusCode::SERVICE_UNAVAILABLE => ChangeResult::StoreUnavailable(error),
             _ => ChangeResult::NotAccepted(error),
         });
     }
-    Judged::Unknown(format!("{peer}: status {status} without an answer"))
+    ChangeReply::Unknown(format!("{peer}: status {status} without an answer"))
 }
 
 /// A refusal settles a change only where no earlier try of it was lost: the lost one may still
 /// be under way in another daemon, and take effect after this refusal.
-fn after_loss(refused: ChangeResult, lost: Option<String>) -> ChangeResult {
+fn resolve_refusal(refused: ChangeResult, lost: Option<String>) -> ChangeResult {
     match lost {
         None => refused,
         Some(cause) => ChangeResult::Unknown(cause),
     }
 }
 
-fn read<T: DeserializeOwned>(peer: SocketAddr, body: &[u8]) -> Result<T, CliError> {
+fn parse_answer<T: DeserializeOwned>(peer: SocketAddr, body: &[u8]) -> Result<T, CliError> {
     serde_json::from_slice(body).map_err(|error| {
         let problem = error.to_string();
-        UnreadableSnafu { peer, problem }.build()
+        InvalidAnswerSnafu { peer, problem }.build()
     })
 }
 
--- a/crates/cli/src/command.rs
+++ b/crates/cli/src/command.rs
@@ -60,24 +60,24 @@
     /// Its arguments, as the help shows them.
     pub args: &'static str,
     /// The fewest arguments.
-    pub min: usize,
+    pub min_args: usize,
     /// The most arguments.
-    pub max: usize,
+    pub max_args: usize,
     /// Its options besides the common ones.
     pub options: &'static [Opt],
     /// What it does.
     pub doc: &'static str,
 }
 
-const CHANGE: &[Opt] = &[Opt::Base, Opt::CommandId, Opt::DryRun, Opt::Wait];
-const APPLY: &[Opt] = &[Opt::Path, Opt::Base, Opt::CommandId, Opt::DryRun, Opt::Wait];
-const LIST: &[Opt] = &[Opt::After, Opt::Limit];
-const NEW_KEY: &[Opt] = &[Opt::Branch, Opt::Rights, Opt::Holder, Opt::SecretFile];
+const CHANGE_OPTIONS: &[Opt] = &[Opt::Base, Opt::CommandId, Opt::DryRun, Opt::Wait];
+const APPLY_OPTIONS: &[Opt] = &[Opt::Path, Opt::Base, Opt::CommandId, Opt::DryRun, Opt::Wait];
+const LIST_OPTIONS: &[Opt] = &[Opt::After, Opt::Limit];
+const NEW_KEY_OPTIONS: &[Opt] = &[Opt::Branch, Opt::Rights, Opt::Holder, Opt::SecretFile];
 
-const REPLAY: &[Opt] = &[Opt::Policy, Opt::Compare, Opt::Charts];
+const REPLAY_OPTIONS: &[Opt] = &[Opt::Policy, Opt::Compare, Opt::Charts];
 
-const TRACE: &[Opt] = &[Opt::Around];
-const RELEASE: &[Opt] = &[Opt::DryRun, Opt::Holder];
+const TRACE_OPTIONS: &[Opt] = &[Opt::Around];
+const RELEASE_OPTIONS: &[Opt] = &[Opt::DryRun, Opt::Holder];
 
 /// The most logs that one story is told from, and its identifier.
 const MAX_LOGS: usize = 1_025;
@@ -90,7 +90,7 @@
     command: Command,
     name: &'static str,
     args: &'static str,
-    counts: (usize, usize),
+    arg_range: (usize, usize),
     options: &'static [Opt],
     doc: &'static str,
 ) -> CommandSpec {
@@ -98,8 +98,8 @@
         command,
         name,
         args,
-        min: counts.0,
-        max: counts.1,
+        min_args: arg_range.0,
+        max_args: arg_range.1,
         options,
         doc,
     }
@@ -128,7 +128,7 @@
         "set",
         "PATH VALUE",
         (2, 2),
-        CHANGE,
+        CHANGE_OPTIONS,
         "Set a value; VALUE is JSON, or a text.",
     ),
     spec(
@@ -136,7 +136,7 @@
         "unset",
         "PATH",
         (1, 1),
-        CHANGE,
+        CHANGE_OPTIONS,
         "Remove a node, so that its values are inherited.",
     ),
     spec(
@@ -144,7 +144,7 @@
         "apply",
         "FILE",
         (1, 1),
-        APPLY,
+        APPLY_OPTIONS,
         "Put the JSON of a file at a node in place of what is there.",
     ),
     spec(
@@ -152,7 +152,7 @@
         "undo",
         "REVISION",
         (1, 1),
-        CHANGE,
+        CHANGE_OPTIONS,
         "Take one change back, as a new revision.",
     ),
     spec(
@@ -160,7 +160,7 @@
         "drain",
         "vm|server|place|region NAME",
         (2, 2),
-        CHANGE,
+        CHANGE_OPTIONS,
         "Move traffic away from a VM (DOMAIN/VM), a backend server (ADDRESS), a place or a region.",
     ),
     spec(
@@ -168,7 +168,7 @@
         "undrain",
         "vm|server|place|region NAME",
         (2, 2),
-        CHANGE,
+        CHANGE_OPTIONS,
         "End a drain.",
     ),
     spec(
@@ -184,7 +184,7 @@
         "history",
         "",
         (0, 0),
-        LIST,
+        LIST_OPTIONS,
         "List the changes of the key's branch.",
     ),
     spec(
@@ -192,7 +192,7 @@
         "audit",
         "",
         (0, 0),
-        LIST,
+        LIST_OPTIONS,
         "Show who changed what in the key's branch, and check the chain of hashes.",
     ),
     spec(
@@ -232,7 +232,7 @@
         "new-key",
         "ID",
         (1, 1),
-        NEW_KEY,
+        NEW_KEY_OPTIONS,
         "Draw a key: the secret goes to a new file, the object for `operators/ID` to the output.",
     ),
     spec(
@@ -240,7 +240,7 @@
         "replay",
         "TRACE...",
         (1, MAX_TRACES),
-        REPLAY,
+        REPLAY_OPTIONS,
         "Replay traces and compare what comes out with the outcomes that they state.",
     ),
     spec(
@@ -248,7 +248,7 @@
         "trace",
         "ID LOG...",
         (2, MAX_LOGS),
-        TRACE,
+        TRACE_OPTIONS,
         "Tell the story of a request from the logs of VMs.",
     ),
     spec(
@@ -280,7 +280,7 @@
         "release",
         "FINGERPRINT|route=NAME|all ADDRESS...",
         (2, MAX_DAEMONS),
-        RELEASE,
+        RELEASE_OPTIONS,
         "Let rejected requests run again; the first daemon that answers tells the others. The key is the deployment's secret.",
     ),
 ];
--- a/crates/cli/src/env.rs
+++ b/crates/cli/src/env.rs
@@ -13,7 +13,7 @@
 
 impl Env {
     /// Reads the environment of the process.
-    pub fn of_process() -> Env {
+    pub fn from_process() -> Env {
         let get = |name: &str| std::env::var(name).ok().filter(|text| !text.is_empty());
         Env {
             servers: get("HEATHERKNOT_SERVERS"),
--- a/crates/cli/src/error.rs
+++ b/crates/cli/src/error.rs
@@ -18,10 +18,10 @@
         message: String,
     },
     /// A file can't be read or written.
-    #[snafu(display("{step} `{path}`: {source}"))]
+    #[snafu(display("{operation} `{path}`: {source}"))]
     File {
         /// What was being done.
-        step: &'static str,
+        operation: &'static str,
         /// The file.
         path: String,
         /// What the system reported.
@@ -49,7 +49,7 @@
     },
     /// No daemon answered.
     #[snafu(display("no daemon answered: {causes}"))]
-    Unreached {
+    NoAnswer {
         /// What each of them failed with.
         causes: String,
     },
@@ -63,7 +63,7 @@
     },
     /// A daemon's answer can't be read.
     #[snafu(display("{peer}: an answer that can't be read: {problem}"))]
-    Unreadable {
+    InvalidAnswer {
         /// The daemon.
         peer: SocketAddr,
         /// What is wrong with it.
--- a/crates/cli/src/text.rs
+++ b/crates/cli/src/format.rs
@@ -3,21 +3,21 @@
 use heatherknot_settings::Edit;
 use serde_json::Value as Json;
 
-const SECONDS_A_DAY: u64 = 86_400;
+const SECONDS_PER_DAY: u64 = 86_400;
 /// The longest value that a line shows whole, in characters.
-const MAX_VALUE: usize = 80;
+const MAX_VALUE_CHARS: usize = 80;
 
 /// Writes a wall-clock time in milliseconds since 1970 as date and time in UTC.
-pub fn time(ms: u64) -> String {
+pub fn utc_time(ms: u64) -> String {
     let seconds = ms / 1000;
-    let (days, rest) = (seconds / SECONDS_A_DAY, seconds % SECONDS_A_DAY);
-    let (year, month, day) = date(days);
+    let (days, rest) = (seconds / SECONDS_PER_DAY, seconds % SECONDS_PER_DAY);
+    let (year, month, day) = civil_date(days);
     let (hour, minute, second) = (rest / 3600, rest / 60 % 60, rest % 60);
     format!("{year:04}-{month:02}-{day:02} {hour:02}:{minute:02}:{second:02}Z")
 }
 
 /// Gives year, month and day of a number of days since 1970.
-fn date(days: u64) -> (u64, u64, u64) {
+fn civil_date(days: u64) -> (u64, u64, u64) {
     // Counted from 1 March of the year 0, so that a leap day ends its year: 719468 days before
     // 1970, in cycles of 400 years with 146097 days.
     let days = days + 719_468;
@@ -36,7 +36,7 @@
 }
 
 /// Writes a span in milliseconds.
-pub fn span(ms: u64) -> String {
+pub fn duration(ms: u64) -> String {
     match ms {
         0..1_000 => format!("{ms} ms"),
         1_000..120_000 => format!("{}.{} s", ms / 1000, ms % 1000 / 100),
@@ -47,30 +47,34 @@
 
 /// Writes edits, one a line.
 pub fn edits(edits: &[Edit]) -> String {
-    edits.iter().map(edit).collect()
+    edits.iter().map(format_edit).collect()
 }
 
-fn edit(edit: &Edit) -> String {
+fn format_edit(edit: &Edit) -> String {
     let path = &edit.path;
     if edit.dropped.is_some() {
         return format!("  ~ {path}: values no longer kept\n");
     }
     match (&edit.before, &edit.after) {
         (Some(before), Some(after)) => {
-            format!("  ~ {path}: {} -> {}\n", value(before), value(after))
+            format!(
+                "  ~ {path}: {} -> {}\n",
+                truncated_json(before),
+                truncated_json(after)
+            )
         }
-        (None, Some(after)) => format!("  + {path}: {}\n", value(after)),
-        (Some(before), None) => format!("  - {path}: {}\n", value(before)),
+        (None, Some(after)) => format!("  + {path}: {}\n", truncated_json(after)),
+        (Some(before), None) => format!("  - {path}: {}\n", truncated_json(before)),
         (None, None) => format!("  ~ {path}\n"),
     }
 }
 
-fn value(json: &Json) -> String {
+fn truncated_json(json: &Json) -> String {
     let text = json.to_string();
-    if text.chars().count() <= MAX_VALUE {
+    if text.chars().count() <= MAX_VALUE_CHARS {
         return text;
     }
-    let start: String = text.chars().take(MAX_VALUE).collect();
+    let start: String = text.chars().take(MAX_VALUE_CHARS).collect();
     format!("{start}...")
 }
 
--- a/crates/cli/src/help.rs
+++ b/crates/cli/src/help.rs
@@ -8,7 +8,7 @@
 const EXIT_CODES: &str = "Exit codes: 0 done, 1 failed, 2 wrong command line, 3 change not \
 accepted, 4 not known whether the change was accepted (run it again with the same --command-id).\n";
 
-const PATHS: &str = "A PATH is written with slashes from the root (platform/places/north-1) or as \
+const PATH_SYNTAX: &str = "A PATH is written with slashes from the root (platform/places/north-1) or as \
 ACCOUNT:REST (utilities/port-louis:gallery/queue_len).\n";
 
 /// Gives the name and the version.
@@ -25,13 +25,13 @@
         let _ = writeln!(text, "  {usage:<38} {}", spec.doc);
     }
     text.push_str("\nOptions of every command:\n");
-    options(&mut text, &COMMON);
-    let _ = write!(text, "\n{PATHS}{EXIT_CODES}");
+    push_options(&mut text, &COMMON);
+    let _ = write!(text, "\n{PATH_SYNTAX}{EXIT_CODES}");
     text
 }
 
 /// Gives the help of one command.
-pub fn of(command: Command) -> String {
+pub fn command_help(command: Command) -> String {
     let spec = command.spec();
     let usage = format!("{} {}", spec.name, spec.args);
     let mut text = format!(
@@ -40,13 +40,13 @@
         spec.doc
     );
     text.push_str("\nOptions:\n");
-    options(&mut text, spec.options);
-    options(&mut text, &COMMON);
-    let _ = write!(text, "\n{PATHS}{EXIT_CODES}");
+    push_options(&mut text, spec.options);
+    push_options(&mut text, &COMMON);
+    let _ = write!(text, "\n{PATH_SYNTAX}{EXIT_CODES}");
     text
 }
 
-fn options(text: &mut String, options: &[Opt]) {
+fn push_options(text: &mut String, options: &[Opt]) {
     for opt in options {
         let spec = opt.spec();
         let usage = format!("--{} {}", spec.name, spec.value.unwrap_or_default());
--- a/crates/cli/src/key_source.rs
+++ b/crates/cli/src/key_source.rs
@@ -21,7 +21,7 @@
     let path = from_option.or(env.key_file.as_deref());
     let missing = "no operator's key: expected --key-file, HEATHERKNOT_KEY_FILE or HEATHERKNOT_KEY";
     let path = path.ok_or_else(|| CliError::usage(missing))?;
-    let step = "read the operator's key from";
-    let key = std::fs::read_to_string(path).context(FileSnafu { step, path })?;
+    let operation = "read the operator's key from";
+    let key = std::fs::read_to_string(path).context(FileSnafu { operation, path })?;
     Ok(key.trim().to_string())
 }
--- a/crates/cli/src/lib.rs
+++ b/crates/cli/src/lib.rs
@@ -9,13 +9,13 @@
 pub mod env;
 pub mod error;
 pub mod exit;
+mod format;
 mod help;
 mod key_source;
 pub mod ops;
 pub mod options;
 mod parse;
 pub mod report;
-mod text;
 
 use std::ffi::OsString;
 
@@ -46,13 +46,13 @@
         },
         Ok(Parsed::Run(invocation)) => {
             let json = invocation.options.has(options::Opt::Json);
-            finish(ops::run(&invocation, env), json)
+            to_output(ops::run(&invocation, env), json)
         }
-        Err(error) => finish(Err(error), false),
+        Err(error) => to_output(Err(error), false),
     }
 }
 
-fn finish(outcome: Result<Report, CliError>, json: bool) -> CommandOutput {
+fn to_output(outcome: Result<Report, CliError>, json: bool) -> CommandOutput {
     match outcome {
         Ok(report) => CommandOutput {
             stdout: if json {
@@ -60,12 +60,12 @@
             } else {
                 report.human
             },
-            stderr: report.note,
+            stderr: report.notes,
             exit: report.exit,
         },
         Err(error) => CommandOutput {
             stdout: if json {
-                error_json(&error)
+                error_to_json(&error)
             } else {
                 String::new()
             },
@@ -75,6 +75,6 @@
     }
 }
 
-fn error_json(error: &CliError) -> String {
+fn error_to_json(error: &CliError) -> String {
     format!("{:#}\n", serde_json::json!({ "error": error.to_string() }))
 }
--- a/crates/cli/src/ops/accounts.rs
+++ b/crates/cli/src/ops/accounts.rs
@@ -13,15 +13,15 @@
 use snafu::ResultExt;
 
 use super::metrics_address;
-use crate::error::{CliError, StartSnafu, UnreachedSnafu};
+use crate::error::{CliError, NoAnswerSnafu, StartSnafu};
 use crate::exit::Exit;
+use crate::format;
 use crate::parse::Invocation;
 use crate::report::Report;
-use crate::text;
 
 /// What one daemon knows of an account.
 #[derive(Debug, Serialize)]
-struct Row {
+struct AccountRow {
     daemon: SocketAddr,
     #[serde(flatten)]
     report: AccountStatus,
@@ -36,44 +36,45 @@
     let timeout = invocation.options.timeout()?;
     let builder = RuntimeBuilder::<LegacyDriver>::new();
     let mut runtime = builder.enable_timer().build().context(StartSnafu)?;
-    let (rows, failed) = runtime.block_on(ask_all(&addresses, timeout));
-    if rows.is_empty() && !failed.is_empty() {
-        let causes = failed.join("; ");
-        return UnreachedSnafu { causes }.fail();
+    let (rows, failures) = runtime.block_on(query_all(&addresses, timeout));
+    if rows.is_empty() && !failures.is_empty() {
+        let causes = failures.join("; ");
+        return NoAnswerSnafu { causes }.fail();
     }
-    let best = best_rows(rows);
+    let best = most_complete_rows(rows);
     let report = Report::new(Exit::Ok, table(&best), &best);
-    Ok(failed
+    Ok(failures
         .iter()
         .fold(report, |report, cause| report.with_note(cause)))
 }
 
-async fn ask_all(addresses: &[SocketAddr], timeout: Millis) -> (Vec<Row>, Vec<String>) {
-    let (mut rows, mut failed) = (Vec::new(), Vec::new());
+async fn query_all(addresses: &[SocketAddr], timeout: Millis) -> (Vec<AccountRow>, Vec<String>) {
+    let (mut rows, mut failures) = (Vec::new(), Vec::new());
     for address in addresses {
-        match ask(*address, timeout).await {
-            Ok(reports) => rows.extend(reports.into_iter().map(|report| Row {
+        match query(*address, timeout).await {
+            Ok(reports) => rows.extend(reports.into_iter().map(|report| AccountRow {
                 daemon: *address,
                 report,
             })),
-            Err(error) => failed.push(error.to_string()),
+            Err(error) => failures.push(error.to_string()),
         }
     }
-    (rows, failed)
+    (rows, failures)
 }
 
-async fn ask(address: SocketAddr, timeout: Millis) -> Result<Vec<AccountStatus>, CliError> {
+async fn query(address: SocketAddr, timeout: Millis) -> Result<Vec<AccountStatus>, CliError> {
     let head = RequestHead::new(Method::GET, Uri::from_static(ACCOUNTS_PATH));
-    metrics_address::ask(address, head, Body::empty(), timeout).await
+    metrics_address::query(address, head, Body::empty(), timeout).await
 }
 
 /// Gives one row for each account: of the daemon that knows most of it.
-fn best_rows(rows: Vec<Row>) -> Vec<Row> {
-    let mut best: BTreeMap<AccountName, Row> = BTreeMap::new();
+fn most_complete_rows(rows: Vec<AccountRow>) -> Vec<AccountRow> {
+    let mut best: BTreeMap<AccountName, AccountRow> = BTreeMap::new();
     for row in rows {
-        let known = |row: &Row| (row.report.asked.is_some(), row.report.part.is_some());
+        let completeness =
+            |row: &AccountRow| (row.report.asked.is_some(), row.report.part.is_some());
         match best.get(&row.report.account) {
-            Some(other) if known(other) >= known(&row) => {}
+            Some(other) if completeness(other) >= completeness(&row) => {}
             _ => {
                 best.insert(row.report.account.clone(), row);
             }
@@ -82,7 +83,7 @@
     best.into_values().collect()
 }
 
-fn table(rows: &[Row]) -> String {
+fn table(rows: &[AccountRow]) -> String {
     let number = |value: Option<f64>| value.map_or("-".to_owned(), |value| format!("{value:.1}"));
     let lines = rows.iter().map(|row| {
         let report = &row.report;
@@ -97,7 +98,7 @@
             part.unwrap_or("own share".to_owned()),
             report
                 .age_ms
-                .map_or("-".to_owned(), |age| text::span(age.0)),
+                .map_or("-".to_owned(), |age| format::duration(age.0)),
             if homes.is_empty() {
                 "any".to_owned()
             } else {
@@ -110,5 +111,5 @@
     let columns = [
         "ACCOUNT", "LIMIT/S", "BURST", "ASKED/S", "LEFT", "ADMITTED", "AGE", "REGIONS", "DAEMON",
     ];
-    text::table(&columns, &lines)
+    format::table(&columns, &lines)
 }
--- a/crates/cli/src/ops/change.rs
+++ b/crates/cli/src/ops/change.rs
@@ -7,16 +7,16 @@
 use snafu::ResultExt;
 use std::io::Read as _;
 
-use super::read::entry;
-use super::wait::until_in_force;
+use super::read::format_entry;
+use super::wait::wait_until_in_force;
 use crate::client::{ChangeResult, Client};
 use crate::command::Command;
 use crate::error::{CliError, FileSnafu, JsonSnafu, RandomSnafu};
 use crate::exit::Exit;
+use crate::format;
 use crate::options::{Opt, revision};
 use crate::parse::Invocation;
 use crate::report::Report;
-use crate::text;
 
 /// The random bytes of a command identifier that the program draws.
 const COMMAND_ID_BYTES: usize = 8;
@@ -30,22 +30,22 @@
         action: action(invocation)?,
     };
     let report = match client.change(&req).await {
-        ChangeResult::Answered(answer) => answered(&req, &answer),
+        ChangeResult::Answered(answer) => answer_report(&req, &answer),
         // An operator who names the command may run it again after its answer was lost. A daemon
         // that can't look for the command then can't tell whether the earlier run was accepted,
         // and "not accepted" would have the operator make the change twice.
-        ChangeResult::NoStore(cause) if invocation.options.has(Opt::CommandId) => {
-            unknown(&req, &cause)
+        ChangeResult::StoreUnavailable(cause) if invocation.options.has(Opt::CommandId) => {
+            unknown_report(&req, &cause)
         }
-        ChangeResult::NotAccepted(reason) | ChangeResult::NoStore(reason) => {
-            not_accepted(&req, &reason, &[])
+        ChangeResult::NotAccepted(reason) | ChangeResult::StoreUnavailable(reason) => {
+            not_accepted_report(&req, &reason, &[])
         }
-        ChangeResult::Unknown(cause) => unknown(&req, &cause),
+        ChangeResult::Unknown(cause) => unknown_report(&req, &cause),
     };
     if report.exit != Exit::Ok || req.dry_run || !invocation.options.has(Opt::Wait) {
         return Ok(report);
     }
-    wait(client, report).await
+    wait_for_change(client, report).await
 }
 
 fn command_id(invocation: &Invocation) -> Result<String, CliError> {
@@ -62,7 +62,7 @@
     Ok(match invocation.command {
         Command::Set => Action::Set {
             path: args[0].clone(),
-            value: value(&args[1]),
+            value: parse_value(&args[1]),
         },
         Command::Apply => Action::Set {
             path: invocation
@@ -70,7 +70,7 @@
                 .value(Opt::Path)
                 .unwrap_or_default()
                 .to_string(),
-            value: file(&args[0])?,
+            value: read_json_file(&args[0])?,
         },
         Command::Unset => Action::Unset {
             path: args[0].clone(),
@@ -79,29 +79,29 @@
             revision: revision("REVISION", &args[0])?,
         },
         _ => Action::Drain {
-            target: target(&args[0], &args[1])?,
+            target: drain_target(&args[0], &args[1])?,
             draining: invocation.command == Command::Drain,
         },
     })
 }
 
 /// Reads a value of the command line: JSON where it is JSON, else a text.
-fn value(text: &str) -> Json {
+fn parse_value(text: &str) -> Json {
     serde_json::from_str(text).unwrap_or_else(|_| json!(text))
 }
 
-fn file(path: &str) -> Result<Json, CliError> {
-    let step = "read";
+fn read_json_file(path: &str) -> Result<Json, CliError> {
+    let operation = "read";
     let mut text = String::new();
     let read = match path {
         "-" => std::io::stdin().read_to_string(&mut text).map(|_| ()),
         _ => std::fs::read_to_string(path).map(|content| text = content),
     };
-    read.context(FileSnafu { step, path })?;
+    read.context(FileSnafu { operation, path })?;
     serde_json::from_str(&text).context(JsonSnafu { path })
 }
 
-fn target(kind: &str, name: &str) -> Result<DrainTarget, CliError> {
+fn drain_target(kind: &str, name: &str) -> Result<DrainTarget, CliError> {
     let name = name.to_string();
     match kind {
         "place" => Ok(DrainTarget::Place { name }),
@@ -128,8 +128,8 @@
     }
 }
 
-fn answered(req: &ChangeRequest, answer: &ChangeAnswer) -> Report {
-    let edits = text::edits(&answer.edits);
+fn answer_report(req: &ChangeRequest, answer: &ChangeAnswer) -> Report {
+    let edits = format::edits(&answer.edits);
     match (answer.outcome, answer.revision) {
         (ChangeOutcome::Accepted, Some(revision)) => {
             Report::new(Exit::Ok, format!("accepted as {revision}\n{edits}"), answer)
@@ -143,12 +143,12 @@
         }
         _ => {
             let reason = answer.reason.clone().unwrap_or_default();
-            not_accepted(req, &reason, &answer.conflicts)
+            not_accepted_report(req, &reason, &answer.conflicts)
         }
     }
 }
 
-fn not_accepted(req: &ChangeRequest, reason: &str, conflicts: &[AuditEntry]) -> Report {
+fn not_accepted_report(req: &ChangeRequest, reason: &str, conflicts: &[AuditEntry]) -> Report {
     let answer = ChangeAnswer {
         outcome: ChangeOutcome::NotAccepted,
         revision: None,
@@ -156,12 +156,12 @@
         reason: Some(reason.to_string()),
         conflicts: conflicts.to_vec(),
     };
-    let shown: String = conflicts.iter().map(entry).collect();
+    let shown: String = conflicts.iter().map(format_entry).collect();
     let human = format!("not accepted: {reason}\n{shown}");
-    Report::new(Exit::NotAccepted, human, &with_command(req, &answer))
+    Report::new(Exit::NotAccepted, human, &with_command_id(req, &answer))
 }
 
-fn unknown(req: &ChangeRequest, cause: &str) -> Report {
+fn unknown_report(req: &ChangeRequest, cause: &str) -> Report {
     let answer = ChangeAnswer {
         outcome: ChangeOutcome::Unknown,
         revision: None,
@@ -174,22 +174,22 @@
         "the change may have been accepted; run the same command with --command-id {} to find out",
         req.command
     );
-    Report::new(Exit::Unknown, human, &with_command(req, &answer)).with_note(&again)
+    Report::new(Exit::Unknown, human, &with_command_id(req, &answer)).with_note(&again)
 }
 
 /// Adds the command's identifier, with which a program can run the command again.
-fn with_command(req: &ChangeRequest, answer: &ChangeAnswer) -> Json {
+fn with_command_id(req: &ChangeRequest, answer: &ChangeAnswer) -> Json {
     let mut json = json!(answer);
     json["command"] = json!(req.command);
     json
 }
 
 /// Waits for an accepted change. Where the wait fails the change is accepted all the same.
-async fn wait(client: &Client, accepted: Report) -> Result<Report, CliError> {
+async fn wait_for_change(client: &Client, accepted: Report) -> Result<Report, CliError> {
     let Some(revision) = accepted.json["revision"].as_u64().map(Revision) else {
         return Ok(accepted);
     };
-    let note = match until_in_force(client, revision).await {
+    let note = match wait_until_in_force(client, revision).await {
         Ok(answer) if answer.in_force => {
             let human = format!("{}in force everywhere\n", accepted.human);
             return Ok(Report { human, ..accepted });
--- a/crates/cli/src/ops/key.rs
+++ b/crates/cli/src/ops/key.rs
@@ -15,10 +15,10 @@
 use crate::report::Report;
 
 /// Only the owner of the secret's file may read it.
-const SECRET_MODE: u32 = 0o600;
+const SECRET_FILE_MODE: u32 = 0o600;
 
 /// Draws a key, writes its secret to a new file and shows the object for the tree.
-pub fn new(invocation: &Invocation) -> Result<Report, CliError> {
+pub fn new_key(invocation: &Invocation) -> Result<Report, CliError> {
     let id = &invocation.args[0];
     let options = &invocation.options;
     let missing = |name: &str| CliError::usage(format!("new-key: expected --{name}"));
@@ -39,13 +39,13 @@
         "salt": key.salt,
         "hash": key.hash,
     });
-    check(id, &object)?;
+    validate(id, &object)?;
     write_secret(file, &key.secret)?;
     let human = format!("{object:#}\n");
     Ok(Report::new(Exit::Ok, human, &object))
 }
 
-fn check(id: &str, object: &Json) -> Result<(), CliError> {
+fn validate(id: &str, object: &Json) -> Result<(), CliError> {
     let fields = object.as_object().cloned().unwrap_or_default();
     let key = OperatorKey::read(id, &fields);
     key.map(|_| ())
@@ -53,9 +53,9 @@
 }
 
 fn write_secret(path: &str, secret: &str) -> Result<(), CliError> {
-    let step = "write the secret to";
+    let operation = "write the secret to";
     let mut options = OpenOptions::new();
-    options.write(true).create_new(true).mode(SECRET_MODE);
-    let mut file = options.open(path).context(FileSnafu { step, path })?;
-    writeln!(file, "{secret}").context(FileSnafu { step, path })
+    options.write(true).create_new(true).mode(SECRET_FILE_MODE);
+    let mut file = options.open(path).context(FileSnafu { operation, path })?;
+    writeln!(file, "{secret}").context(FileSnafu { operation, path })
 }
--- a/crates/cli/src/ops/metrics_address.rs
+++ b/crates/cli/src/ops/metrics_address.rs
@@ -7,27 +7,27 @@
 use http::StatusCode;
 use serde::de::DeserializeOwned;
 
-use crate::error::{CliError, RefusedSnafu, UnreadableSnafu};
+use crate::error::{CliError, InvalidAnswerSnafu, RefusedSnafu};
 
 /// The longest answer, in bytes: 200 for each of 40,000 rows.
-const MAX_ANSWER: usize = 8 << 20;
+const MAX_ANSWER_BYTES: usize = 8 << 20;
 /// The longest cause of a refusal that is shown, in bytes.
-const MAX_CAUSE: usize = 1 << 10;
+const MAX_ERROR_BYTES: usize = 1 << 10;
 
 /// Reads addresses from the command line.
 pub(super) fn parse_all(args: &[String]) -> Result<Vec<SocketAddr>, CliError> {
     let parse = |text: &String| {
-        let wrong = |_| {
+        let invalid = |_| {
             let message = format!("ADDRESS: found `{text}`, expected one such as 10.1.0.18:7215");
             CliError::usage(message)
         };
-        text.parse().map_err(wrong)
+        text.parse().map_err(invalid)
     };
     args.iter().map(parse).collect()
 }
 
 /// Sends a request that may be sent twice, and reads the JSON of its answer.
-pub(super) async fn ask<T: DeserializeOwned>(
+pub(super) async fn query<T: DeserializeOwned>(
     address: SocketAddr,
     head: RequestHead,
     body: Body,
@@ -41,22 +41,25 @@
     };
     let pool = Pool::new(address, PoolConfig::default(), clock);
     let response = pool.send(head, body, options).await;
-    let response = response.map_err(|error| CliError::Unreached {
+    let response = response.map_err(|error| CliError::NoAnswer {
         causes: format!("{address}: {error}"),
     })?;
-    read(address, response).await
+    parse_response(address, response).await
 }
 
-async fn read<T: DeserializeOwned>(peer: SocketAddr, response: Response) -> Result<T, CliError> {
+async fn parse_response<T: DeserializeOwned>(
+    peer: SocketAddr,
+    response: Response,
+) -> Result<T, CliError> {
     let Response { status, body, .. } = response;
     if status != StatusCode::OK {
-        let cause = body.collect(MAX_CAUSE).await.unwrap_or_default();
+        let cause = body.collect(MAX_ERROR_BYTES).await.unwrap_or_default();
         let cause = String::from_utf8_lossy(&cause);
         let error = format!("{status}: {}", cause.trim());
         return RefusedSnafu { peer, error }.fail();
     }
-    let unreadable = |problem: String| UnreadableSnafu { peer, problem }.build();
-    let body = body.collect(MAX_ANSWER).await;
-    let body = body.map_err(|error| unreadable(error.to_string()))?;
-    serde_json::from_slice(&body).map_err(|error| unreadable(error.to_string()))
+    let invalid_answer = |problem: String| InvalidAnswerSnafu { peer, problem }.build();
+    let body = body.collect(MAX_ANSWER_BYTES).await;
+    let body = body.map_err(|error| invalid_answer(error.to_string()))?;
+    serde_json::from_slice(&body).map_err(|error| invalid_answer(error.to_string()))
 }
--- a/crates/cli/src/ops/mod.rs
+++ b/crates/cli/src/ops/mod.rs
@@ -32,7 +32,7 @@
 /// Gives the [`CliError`] of what failed.
 pub fn run(invocation: &Invocation, env: &Env) -> Result<Report, CliError> {
     match invocation.command {
-        Command::NewKey => return key::new(invocation),
+        Command::NewKey => return key::new_key(invocation),
         Command::Replay => return replay::replay(invocation),
         Command::Trace => return trace::trace(invocation),
         Command::Losses => return losses::losses(invocation),
@@ -47,10 +47,10 @@
     let client = Client::new(&servers, &secret, Clock::system(), timeout)?;
     let builder = RuntimeBuilder::<LegacyDriver>::new();
     let mut runtime = builder.enable_timer().build().context(StartSnafu)?;
-    runtime.block_on(call(&client, invocation))
+    runtime.block_on(call_daemons(&client, invocation))
 }
 
-async fn call(client: &Client, invocation: &Invocation) -> Result<Report, CliError> {
+async fn call_daemons(client: &Client, invocation: &Invocation) -> Result<Report, CliError> {
     match invocation.command {
         Command::Get => read::get(client, invocation).await,
         Command::Effective => read::effective(client, invocation).await,
--- a/crates/cli/src/ops/read.rs
+++ b/crates/cli/src/ops/read.rs
@@ -9,10 +9,10 @@
 use crate::client::Client;
 use crate::error::CliError;
 use crate::exit::Exit;
+use crate::format;
 use crate::options::{Opt, Options, revision};
 use crate::parse::Invocation;
 use crate::report::Report;
-use crate::text;
 
 fn path_request(invocation: &Invocation) -> PathRequest {
     PathRequest {
@@ -42,7 +42,7 @@
         ]
     });
     let rows: Vec<Vec<String>> = rows.collect();
-    let human = text::table(&["KEY", "VALUE", "UNIT", "LIMIT", "FROM"], &rows);
+    let human = format::table(&["KEY", "VALUE", "UNIT", "LIMIT", "FROM"], &rows);
     Ok(Report::new(Exit::Ok, human, &answer))
 }
 
@@ -59,7 +59,7 @@
             .to_string(),
     };
     let answer: DiffAnswer = client.call("diff", &req).await?;
-    let human = text::edits(&answer.edits);
+    let human = format::edits(&answer.edits);
     Ok(Report::new(Exit::Ok, human, &answer))
 }
 
@@ -76,7 +76,7 @@
     let req = history_request(&invocation.options)?;
     let answer: HistoryAnswer = client.call("history", &req).await?;
     let lines = answer.changes.iter().map(|entry| {
-        let time = text::time(entry.at_ms);
+        let time = format::utc_time(entry.at_ms);
         format!("{}  {time}  {}\n", entry.revision, entry.paths.join(" "))
     });
     let report = Report::new(Exit::Ok, lines.collect(), &answer);
@@ -90,7 +90,7 @@
 pub async fn audit(client: &Client, invocation: &Invocation) -> Result<Report, CliError> {
     let req = history_request(&invocation.options)?;
     let answer: AuditAnswer = client.call("audit", &req).await?;
-    let human: String = answer.entries.iter().map(entry).collect();
+    let human: String = answer.entries.iter().map(format_entry).collect();
     let exit = if answer.broken.is_some() {
         Exit::Failed
     } else {
@@ -107,14 +107,14 @@
 }
 
 /// Writes one entry of the audit trail.
-pub fn entry(entry: &AuditEntry) -> String {
+pub fn format_entry(entry: &AuditEntry) -> String {
     let head = format!(
         "{}  {}  {} (key {}, command {})\n",
         entry.revision,
-        text::time(entry.at_ms),
+        format::utc_time(entry.at_ms),
         entry.who,
         entry.key,
         entry.command
     );
-    head + &text::edits(&entry.edits)
+    head + &format::edits(&entry.edits)
 }
--- a/crates/cli/src/ops/rejected.rs
+++ b/crates/cli/src/ops/rejected.rs
@@ -18,20 +18,20 @@
 
 use super::metrics_address;
 use crate::env::Env;
-use crate::error::{CliError, StartSnafu, UnreachedSnafu};
+use crate::error::{CliError, NoAnswerSnafu, StartSnafu};
 use crate::exit::Exit;
+use crate::format;
 use crate::key_source;
 use crate::options::Opt;
 use crate::parse::Invocation;
 use crate::report::Report;
-use crate::text;
 
 /// Who releases requests where no name is given.
-const UNNAMED: &str = "unnamed";
+const DEFAULT_OPERATOR: &str = "unnamed";
 
 /// One request, and the daemons that know of it.
 #[derive(Debug, Serialize)]
-struct Row {
+struct SuspectRow {
     #[serde(flatten)]
     status: SuspectStatus,
     daemons: Vec<SocketAddr>,
@@ -41,42 +41,44 @@
 pub(super) fn rejected(invocation: &Invocation) -> Result<Report, CliError> {
     let addresses = metrics_address::parse_all(&invocation.args)?;
     let timeout = invocation.options.timeout()?;
-    let (rows, failed) = block_on(list_all(&addresses, timeout))?;
-    if rows.is_empty() && failed.len() == addresses.len() {
-        let causes = failed.join("; ");
-        return UnreachedSnafu { causes }.fail();
+    let (rows, failures) = block_on(list_all(&addresses, timeout))?;
+    if rows.is_empty() && failures.len() == addresses.len() {
+        let causes = failures.join("; ");
+        return NoAnswerSnafu { causes }.fail();
     }
     let report = Report::new(Exit::Ok, table(&rows), &rows);
-    Ok(failed
+    Ok(failures
         .iter()
         .fold(report, |report, cause| report.with_note(cause)))
 }
 
 /// Releases requests at the first daemon that answers, which tells the others.
 pub(super) fn release(invocation: &Invocation, env: &Env) -> Result<Report, CliError> {
-    let Some((which, addresses)) = invocation.args.split_first() else {
+    let Some((target, addresses)) = invocation.args.split_first() else {
         return Err(CliError::usage(
             "expected `release FINGERPRINT|route=NAME|all ADDRESS...`",
         ));
     };
     let release = ReleaseRequest {
-        which: parse_which(which)?,
+        which: parse_target(target)?,
         dry_run: invocation.options.has(Opt::DryRun),
         operator: invocation
             .options
             .value(Opt::Holder)
-            .unwrap_or(UNNAMED)
+            .unwrap_or(DEFAULT_OPERATOR)
             .to_owned(),
     };
     let addresses = metrics_address::parse_all(addresses)?;
     let secret = key_source::read(&invocation.options, env)?;
     let token = Secret::new(secret.as_bytes()).token(RELEASE_PURPOSE);
     let timeout = invocation.options.timeout()?;
-    let released = block_on(release_at_first(&addresses, &release, &token, timeout))??;
+    let released = block_on(release_at_first_responder(
+        &addresses, &release, &token, timeout,
+    ))??;
     let (daemon, statuses) = released;
-    let rows: Vec<Row> = statuses
+    let rows: Vec<SuspectRow> = statuses
         .into_iter()
-        .map(|status| Row {
+        .map(|status| SuspectRow {
             status,
             daemons: vec![daemon],
         })
@@ -89,7 +91,7 @@
     Ok(Report::new(Exit::Ok, human, &rows))
 }
 
-fn parse_which(text: &str) -> Result<ReleaseTarget, CliError> {
+fn parse_target(text: &str) -> Result<ReleaseTarget, CliError> {
     if text == "all" {
         return Ok(ReleaseTarget::All);
     }
@@ -97,8 +99,8 @@
         return Ok(ReleaseTarget::Route(route.into()));
     }
     let fingerprint: Result<Fingerprint, _> = text.parse();
-    let wrong = |error| CliError::usage(format!("{error}, or route=NAME, or all"));
-    fingerprint.map(ReleaseTarget::Fingerprint).map_err(wrong)
+    let invalid = |error| CliError::usage(format!("{error}, or route=NAME, or all"));
+    fingerprint.map(ReleaseTarget::Fingerprint).map_err(invalid)
 }
 
 fn block_on<T>(task: impl Future<Output = T>) -> Result<T, CliError> {
@@ -107,33 +109,33 @@
     Ok(runtime.block_on(task))
 }
 
-async fn list_all(addresses: &[SocketAddr], timeout: Millis) -> (Vec<Row>, Vec<String>) {
-    let mut rows: BTreeMap<(bool, Fingerprint), Row> = BTreeMap::new();
-    let mut failed = Vec::new();
+async fn list_all(addresses: &[SocketAddr], timeout: Millis) -> (Vec<SuspectRow>, Vec<String>) {
+    let mut rows: BTreeMap<(bool, Fingerprint), SuspectRow> = BTreeMap::new();
+    let mut failures = Vec::new();
     for address in addresses {
         let head = RequestHead::new(Method::GET, Uri::from_static(REJECTED_PATH));
-        let listed = metrics_address::ask(*address, head, Body::empty(), timeout).await;
+        let listed = metrics_address::query(*address, head, Body::empty(), timeout).await;
         let statuses: Vec<SuspectStatus> = match listed {
             Ok(statuses) => statuses,
             Err(error) => {
-                failed.push(error.to_string());
+                failures.push(error.to_string());
                 continue;
             }
         };
         for status in statuses {
             let row = rows
                 .entry((!status.is_rejected, status.fingerprint))
-                .or_insert(Row {
+                .or_insert(SuspectRow {
                     status,
                     daemons: Vec::new(),
                 });
             row.daemons.push(*address);
         }
     }
-    (rows.into_values().collect(), failed)
+    (rows.into_values().collect(), failures)
 }
 
-async fn release_at_first(
+async fn release_at_first_responder(
     addresses: &[SocketAddr],
     release: &ReleaseRequest,
     token: &str,
@@ -146,17 +148,17 @@
         head.headers
             .insert(AUTHORIZATION, value.expect("a token is hexadecimal digits"));
         let body = serde_json::to_vec(release).expect("a release always serialises");
-        match metrics_address::ask(*address, head, Body::full(body), timeout).await {
+        match metrics_address::query(*address, head, Body::full(body), timeout).await {
             Ok(statuses) => return Ok((*address, statuses)),
-            Err(CliError::Unreached { causes: cause }) => causes.push(cause),
+            Err(CliError::NoAnswer { causes: cause }) => causes.push(cause),
             Err(error) => return Err(error),
         }
     }
     let causes = causes.join("; ");
-    UnreachedSnafu { causes }.fail()
+    NoAnswerSnafu { causes }.fail()
 }
 
-fn table(rows: &[Row]) -> String {
+fn table(rows: &[SuspectRow]) -> String {
     let lines = rows.iter().map(|row| {
         let status = &row.status;
         let account = status.account.as_ref();
@@ -171,7 +173,7 @@
             status.route.to_string(),
             account.map_or("-".to_owned(), |name| name.to_string()),
             status.ends.to_string(),
-            text::span(status.changed_ms_ago.0),
+            format::duration(status.changed_ms_ago.0),
             until.map_or("-".to_owned(), |until| until.to_string()),
             status
                 .written_by
@@ -192,5 +194,5 @@
         "WRITTEN BY",
         "KNOWN BY",
     ];
-    text::table(&columns, &lines)
+    format::table(&columns, &lines)
 }
--- a/crates/cli/src/ops/replay.rs
+++ b/crates/cli/src/ops/replay.rs
@@ -13,31 +13,35 @@
 /// Replays the traces that the command line names. Fails where a stated outcome doesn't hold.
 pub fn replay(invocation: &Invocation) -> Result<Report, CliError> {
     let options = &invocation.options;
-    let found = run(&Options {
+    let replayed = run(&Options {
         files: invocation.args.iter().map(Into::into).collect(),
         policy: options.value(Opt::Policy).map(str::to_string),
         compare: options.has(Opt::Compare),
         chart_dir: options.value(Opt::Charts).map(Into::into),
     })?;
-    let exit = if found.holds() {
+    let exit = if replayed.holds() {
         Exit::Ok
     } else {
         Exit::Failed
     };
-    Ok(Report::new(exit, found.to_string(), &for_programs(&found)))
+    Ok(Report::new(
+        exit,
+        replayed.to_string(),
+        &run_to_json(&replayed),
+    ))
 }
 
-fn for_programs(found: &RunReport) -> Json {
-    let reports: Vec<Json> = found.reports.iter().map(trace).collect();
-    json!({ "holds": found.holds(), "policy": found.judged, "reports": reports })
+fn run_to_json(replayed: &RunReport) -> Json {
+    let reports: Vec<Json> = replayed.reports.iter().map(trace_to_json).collect();
+    json!({ "holds": replayed.holds(), "policy": replayed.judged, "reports": reports })
 }
 
-fn trace(report: &TraceReport) -> Json {
+fn trace_to_json(report: &TraceReport) -> Json {
     let figures = report.figures.iter();
     let figures: Vec<Json> = figures
         .map(|(metric, value)| json!({ "metric": metric, "value": value }))
         .collect();
-    let outcomes: Vec<Json> = report.outcomes.iter().map(outcome).collect();
+    let outcomes: Vec<Json> = report.outcomes.iter().map(outcome_to_json).collect();
     json!({
         "trace": report.trace,
         "policy": report.policy,
@@ -47,7 +51,7 @@
     })
 }
 
-fn outcome(checked: &Checked) -> Json {
+fn outcome_to_json(checked: &Checked) -> Json {
     json!({
         "stated": checked.stated,
         "measured": checked.measured,
--- a/crates/cli/src/ops/report.rs
+++ b/crates/cli/src/ops/report.rs
@@ -8,16 +8,16 @@
 use crate::client::Client;
 use crate::error::CliError;
 use crate::exit::Exit;
+use crate::format;
 use crate::parse::Invocation;
 use crate::report::Report;
-use crate::text;
 
 /// Shows which revision is in force where.
 pub async fn status(client: &Client) -> Result<Report, CliError> {
     let answer: StatusAnswer = client.call("status", &json!({})).await?;
-    let mut human = counts(&answer.counts);
+    let mut human = format_counts(&answer.counts);
     if !answer.daemons.is_empty() {
-        let rows: Vec<Vec<String>> = answer.daemons.iter().map(row).collect();
+        let rows: Vec<Vec<String>> = answer.daemons.iter().map(daemon_row).collect();
         let head = [
             "VM",
             "DOMAIN",
@@ -27,27 +27,27 @@
             "HEARD",
             "CAN'T READ",
         ];
-        human.push_str(&text::table(&head, &rows));
+        human.push_str(&format::table(&head, &rows));
     }
     Ok(Report::new(Exit::Ok, human, &answer))
 }
 
 /// Writes how many daemons have which revision.
-pub fn counts(counts: &[RevisionCount]) -> String {
+pub fn format_counts(counts: &[RevisionCount]) -> String {
     let lines = counts.iter();
     lines
         .map(|count| format!("{} in force on {} daemons\n", count.revision, count.daemons))
         .collect()
 }
 
-fn row(daemon: &DaemonStatus) -> Vec<String> {
+fn daemon_row(daemon: &DaemonStatus) -> Vec<String> {
     vec![
         daemon.vm.to_string(),
         daemon.domain.to_string(),
         daemon.state.clone(),
         daemon.revision.to_string(),
-        format!("for {}", text::span(daemon.in_force_ms)),
-        format!("{} ago", text::span(daemon.age_ms)),
+        format!("for {}", format::duration(daemon.in_force_ms)),
+        format!("{} ago", format::duration(daemon.age_ms)),
         daemon.unreadable.clone().unwrap_or_default(),
     ]
 }
@@ -65,12 +65,12 @@
         .map(|place| place.to_string())
         .collect();
     let rows = answer.steps.iter().map(|step| {
-        let age = step.age_ms.map_or(String::new(), text::span);
+        let age = step.age_ms.map_or(String::new(), format::duration);
         let limit = step.limit.clone().unwrap_or_default();
         vec![step.subject.clone(), step.fact.clone(), limit, age]
     });
     let rows: Vec<Vec<String>> = rows.collect();
-    let table = text::table(&["ABOUT", "FACT", "LIMIT", "REPORT AGE"], &rows);
+    let table = format::table(&["ABOUT", "FACT", "LIMIT", "REPORT AGE"], &rows);
     let human = format!("{}: {}\n{table}", answer.revision, places.join(", "));
     Ok(Report::new(Exit::Ok, human, &answer))
 }
--- a/crates/cli/src/ops/trace.rs
+++ b/crates/cli/src/ops/trace.rs
@@ -7,7 +7,7 @@
 
 use crate::error::CliError;
 use crate::exit::Exit;
-use crate::ops::logs::{ENDED, Line, Logs, SENT};
+use crate::ops::logs::{LogLine, Logs, REQUEST_ENDED, REQUEST_SENT};
 use crate::options::Opt;
 use crate::parse::Invocation;
 use crate::report::Report;
@@ -20,30 +20,36 @@
         ));
     };
     let logs = Logs::read(files)?;
-    let of_request = |line: &&Line| line.fields.get("id").and_then(Json::as_str) == Some(id);
-    let story: Vec<&Line> = logs.lines.iter().filter(of_request).collect();
-    let missing = missing(&logs, &story);
-    let exit = if story.is_empty() {
+    let is_of_request = |line: &&LogLine| line.fields.get("id").and_then(Json::as_str) == Some(id);
+    let request_lines: Vec<&LogLine> = logs.lines.iter().filter(is_of_request).collect();
+    let missing = find_missing(&logs, &request_lines);
+    let exit = if request_lines.is_empty() {
         Exit::Failed
     } else {
         Exit::Ok
     };
     let around = match invocation.options.has(Opt::Around) {
-        true => beliefs_before(&logs, &story),
+        true => state_before_end(&logs, &request_lines),
         false => Vec::new(),
     };
-    let text = tell(id, &story, &around, &missing);
-    let lines: Vec<Json> = story.iter().map(|line| for_programs(line)).collect();
-    let around: Vec<Json> = around.iter().map(|line| for_programs(line)).collect();
+    let text = render(id, &request_lines, &around, &missing);
+    let lines: Vec<Json> = request_lines
+        .iter()
+        .map(|line| line_to_json(line))
+        .collect();
+    let around: Vec<Json> = around.iter().map(|line| line_to_json(line)).collect();
     let found = json!({ "request": id, "lines": lines, "around": around, "missing": missing });
     Ok(Report::new(exit, text, &found))
 }
 
 /// Says which lines of the story can't be there.
-fn missing(logs: &Logs, story: &[&Line]) -> Vec<String> {
+fn find_missing(logs: &Logs, request_lines: &[&LogLine]) -> Vec<String> {
     let mut missing = Vec::new();
-    let ended = story.iter().find(|line| line.text == ENDED);
-    let sends = story.iter().filter(|line| line.text == SENT).count() as u64;
+    let ended = request_lines.iter().find(|line| line.text == REQUEST_ENDED);
+    let sends = request_lines
+        .iter()
+        .filter(|line| line.text == REQUEST_SENT)
+        .count() as u64;
     match ended {
         None => missing.push(
             "no line of the request's end: it went well and was not sampled, the daemon \
@@ -51,46 +57,51 @@
                 .to_owned(),
         ),
         Some(line) => {
-            let told = line.fields.get("sends").and_then(Json::as_u64).unwrap_or(0);
-            if told > sends {
-                missing.push(format!("{} of {told} sends have no line", told - sends));
+            let reported = line.fields.get("sends").and_then(Json::as_u64).unwrap_or(0);
+            if reported > sends {
+                missing.push(format!(
+                    "{} of {reported} sends have no line",
+                    reported - sends
+                ));
             }
         }
     }
-    let dropped = logs.dropped.iter().filter(|(_, count)| **count > 0);
+    let dropped = logs.dropped_lines.iter().filter(|(_, count)| **count > 0);
     missing
         .extend(dropped.map(|(vm, count)| format!("{vm} dropped {count} lines over its volume")));
-    let unreadable = logs.unreadable.iter();
+    let unreadable = logs.invalid_lines.iter();
     missing.extend(unreadable.map(|(file, count)| format!("{file}: {count} lines are not JSON")));
-    missing.extend(logs.mixed.iter().map(|file| {
+    missing.extend(logs.ambiguous_files.iter().map(|file| {
         format!("{file}: lines of several VMs that don't name theirs; which VM a line is of can't be told")
     }));
     missing
 }
 
 /// Gives the last word before the request's end of each thing that its VM believed.
-fn beliefs_before<'a>(logs: &'a Logs, story: &[&Line]) -> Vec<&'a Line> {
-    let Some(last) = story.last() else {
+fn state_before_end<'a>(logs: &'a Logs, request_lines: &[&LogLine]) -> Vec<&'a LogLine> {
+    let Some(last) = request_lines.last() else {
         return Vec::new();
     };
-    let of_vm = logs
+    let vm_lines = logs
         .lines
         .iter()
         .filter(|line| line.vm == last.vm && line.run == last.run && line.time <= last.time);
-    let mut latest: BTreeMap<(String, String), &Line> = BTreeMap::new();
-    for line in of_vm.filter(|line| !line.fields.contains_key("id")) {
-        let about = ["upstream", "domain", "region", "store", "vm"];
-        let thing = about.iter().find_map(|key| line.fields.get(*key)?.as_str());
-        latest.insert((line.text.clone(), thing.unwrap_or("").to_owned()), line);
+    let mut latest: BTreeMap<(String, String), &LogLine> = BTreeMap::new();
+    for line in vm_lines.filter(|line| !line.fields.contains_key("id")) {
+        let subject_fields = ["upstream", "domain", "region", "store", "vm"];
+        let subject = subject_fields
+            .iter()
+            .find_map(|key| line.fields.get(*key)?.as_str());
+        latest.insert((line.text.clone(), subject.unwrap_or("").to_owned()), line);
     }
-    let mut found: Vec<&Line> = latest.into_values().collect();
+    let mut found: Vec<&LogLine> = latest.into_values().collect();
     found.sort_by(|a, b| a.time.cmp(&b.time));
     found
 }
 
-fn tell(id: &str, story: &[&Line], around: &[&Line], missing: &[String]) -> String {
-    let mut text = format!("request {id}: {} lines\n", story.len());
-    for line in story {
+fn render(id: &str, request_lines: &[&LogLine], around: &[&LogLine], missing: &[String]) -> String {
+    let mut text = format!("request {id}: {} lines\n", request_lines.len());
+    for line in request_lines {
         push_line(&mut text, line);
     }
     if !around.is_empty() {
@@ -103,7 +114,7 @@
     text
 }
 
-fn push_line(text: &mut String, line: &Line) {
+fn push_line(text: &mut String, line: &LogLine) {
     let _ = write!(text, "{}  {}  {}", line.time, line.vm, line.text);
     for (key, value) in line
         .fields
@@ -111,13 +122,13 @@
         .filter(|(key, value)| *key != "id" && **value != "")
     {
         match value.as_str() {
-            Some(word) => drop(write!(text, "  {key}={word}")),
+            Some(string) => drop(write!(text, "  {key}={string}")),
             None => drop(write!(text, "  {key}={value}")),
         }
     }
     text.push('\n');
 }
 
-fn for_programs(line: &Line) -> Json {
+fn line_to_json(line: &LogLine) -> Json {
     json!({ "vm": line.vm, "run": line.run, "time": line.time, "text": line.text, "fields": line.fields })
 }
--- a/crates/cli/src/options.rs
+++ b/crates/cli/src/options.rs
@@ -211,7 +211,7 @@
 
 /// One option as it was given.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Given {
+pub struct ParsedOption {
     /// The option.
     pub opt: Opt,
     /// Its value; empty for a flag.
@@ -222,13 +222,13 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Options {
     /// In the order of the command line.
-    pub given: Vec<Given>,
+    pub parsed: Vec<ParsedOption>,
 }
 
 impl Options {
     /// Tells whether the option was given.
     pub fn has(&self, opt: Opt) -> bool {
-        self.given.iter().any(|given| given.opt == opt)
+        self.parsed.iter().any(|option| option.opt == opt)
     }
 
     /// Gives the value of an option; the last one counts.
@@ -238,8 +238,8 @@
 
     /// Gives every value of an option.
     pub fn values(&self, opt: Opt) -> impl Iterator<Item = &str> {
-        let given = self.given.iter().filter(move |given| given.opt == opt);
-        given.map(|given| given.value.as_str())
+        let matching = self.parsed.iter().filter(move |option| option.opt == opt);
+        matching.map(|option| option.value.as_str())
     }
 
     /// Gives a number.
@@ -283,10 +283,10 @@
     /// # Errors
     ///
     /// Gives [`CliError::Usage`] where there are none, or one isn't an IP number and a port.
-    pub fn servers(&self, from_env: Option<&str>) -> Result<Vec<SocketAddr>, CliError> {
+    pub fn servers(&self, env_servers: Option<&str>) -> Result<Vec<SocketAddr>, CliError> {
         let mut texts: Vec<&str> = self.values(Opt::Server).collect();
         if texts.is_empty() {
-            texts = from_env.map_or(Vec::new(), |list| list.split(',').collect());
+            texts = env_servers.map_or(Vec::new(), |list| list.split(',').collect());
         }
         if texts.is_empty() {
             let message = "no daemon named: expected --server or HEATHERKNOT_SERVERS";
--- a/crates/cli/src/parse.rs
+++ b/crates/cli/src/parse.rs
@@ -7,7 +7,7 @@
 use crate::command::{Command, CommandSpec};
 use crate::error::CliError;
 use crate::help;
-use crate::options::{COMMON, Given, Opt, Options};
+use crate::options::{COMMON, Opt, Options, ParsedOption};
 
 /// One command with its arguments and options.
 #[derive(Clone, Debug)]
@@ -35,58 +35,58 @@
 ///
 /// Gives [`CliError::Usage`].
 pub fn parse(args: Vec<OsString>) -> Result<Parsed, CliError> {
-    let mut words: Vec<String> = Vec::new();
+    let mut positional: Vec<String> = Vec::new();
     let mut options = Options::default();
     let mut wants_help = false;
     let mut parser = lexopt::Parser::from_args(args);
-    while let Some(arg) = parser.next().map_err(usage)? {
+    while let Some(arg) = parser.next().map_err(usage_error)? {
         match arg {
             Arg::Long("help") | Arg::Short('h') => wants_help = true,
             Arg::Long("version") | Arg::Short('V') => return Ok(Parsed::Help(help::version())),
             Arg::Long(name) => {
                 let unknown = || CliError::usage(format!("unknown option `--{name}`"));
                 let opt = Opt::find(name).ok_or_else(unknown)?;
-                let value = value_of(&mut parser, opt)?;
-                options.given.push(Given { opt, value });
+                let value = option_value(&mut parser, opt)?;
+                options.parsed.push(ParsedOption { opt, value });
             }
             Arg::Short(name) => {
                 return Err(CliError::usage(format!("unknown option `-{name}`")));
             }
-            Arg::Value(word) => words.push(text(word)?),
+            Arg::Value(word) => positional.push(to_utf8(word)?),
         }
     }
-    invocation(words, options, wants_help)
+    build_invocation(positional, options, wants_help)
 }
 
-fn value_of(parser: &mut lexopt::Parser, opt: Opt) -> Result<String, CliError> {
+fn option_value(parser: &mut lexopt::Parser, opt: Opt) -> Result<String, CliError> {
     if opt.spec().value.is_none() {
         return Ok(String::new());
     }
-    text(parser.value().map_err(usage)?)
+    to_utf8(parser.value().map_err(usage_error)?)
 }
 
-fn invocation(
-    mut words: Vec<String>,
+fn build_invocation(
+    mut positional: Vec<String>,
     options: Options,
     wants_help: bool,
 ) -> Result<Parsed, CliError> {
-    if words.is_empty() && !wants_help {
+    if positional.is_empty() && !wants_help {
         return Err(CliError::usage("no command given"));
     }
-    let asked = words.first().is_some_and(|word| word == "help");
-    if asked {
-        words.remove(0);
+    let is_help_command = positional.first().is_some_and(|word| word == "help");
+    if is_help_command {
+        positional.remove(0);
     }
-    let Some(name) = words.first() else {
+    let Some(name) = positional.first() else {
         return Ok(Parsed::Help(help::overview()));
     };
     let unknown = || CliError::usage(format!("unknown command `{name}`"));
     let command = Command::find(name).ok_or_else(unknown)?;
-    if asked || wants_help {
-        return Ok(Parsed::Help(help::of(command)));
+    if is_help_command || wants_help {
+        return Ok(Parsed::Help(help::command_help(command)));
     }
-    let args = words.split_off(1);
-    check(command.spec(), &args, &options)?;
+    let args = positional.split_off(1);
+    check_usage(command.spec(), &args, &options)?;
     Ok(Parsed::Run(Invocation {
         command,
         args,
@@ -94,8 +94,8 @@
     }))
 }
 
-fn check(spec: &CommandSpec, args: &[String], options: &Options) -> Result<(), CliError> {
-    if !(spec.min..=spec.max).contains(&args.len()) {
+fn check_usage(spec: &CommandSpec, args: &[String], options: &Options) -> Result<(), CliError> {
+    if !(spec.min_args..=spec.max_args).contains(&args.len()) {
         let usage = format!("{} {}", spec.name, spec.args);
         let message = format!(
             "found {} arguments, expected `{}`",
@@ -104,9 +104,9 @@
         );
         return Err(CliError::usage(message));
     }
-    for given in &options.given {
-        if !COMMON.contains(&given.opt) && !spec.options.contains(&given.opt) {
-            let option = given.opt.spec().name;
+    for option in &options.parsed {
+        if !COMMON.contains(&option.opt) && !spec.options.contains(&option.opt) {
+            let option = option.opt.spec().name;
             let message = format!("`{}` takes no option `--{option}`", spec.name);
             return Err(CliError::usage(message));
         }
@@ -114,11 +114,11 @@
     Ok(())
 }
 
-fn text(word: OsString) -> Result<String, CliError> {
+fn to_utf8(word: OsString) -> Result<String, CliError> {
     let error = |word| CliError::usage(format!("an argument that isn't UTF-8: {word:?}"));
     word.into_string().map_err(error)
 }
 
-fn usage(error: lexopt::Error) -> CliError {
+fn usage_error(error: lexopt::Error) -> CliError {
     CliError::usage(error.to_string())
 }
--- a/crates/cli/src/report.rs
+++ b/crates/cli/src/report.rs
@@ -15,7 +15,7 @@
     /// For programs.
     pub json: Json,
     /// For standard error, with line ends.
-    pub note: String,
+    pub notes: String,
 }
 
 impl Report {
@@ -25,15 +25,15 @@
             exit,
             human,
             json: serde_json::to_value(answer).unwrap_or(Json::Null),
-            note: String::new(),
+            notes: String::new(),
         }
     }
 
     /// Adds a line for standard error.
     #[must_use]
     pub fn with_note(mut self, note: &str) -> Report {
-        self.note.push_str(note);
-        self.note.push('\n');
+        self.notes.push_str(note);
+        self.notes.push('\n');
         self
     }
 
--- a/crates/cli/tests/accounts.rs
+++ b/crates/cli/tests/accounts.rs
@@ -10,7 +10,7 @@
 use heatherknot_test_support::runtime::block_on;
 use http::StatusCode;
 use serde_json::{Value as Json, json};
-use support::{cli, json_of};
+use support::{run_cli, stdout_json};
 
 /// Starts what answers like a daemon's metrics address, until the test's process ends.
 fn daemon(page: Json) -> SocketAddr {
@@ -46,8 +46,8 @@
     let leaf = daemon(json!([account("north", None, Some(1.0))])).to_string();
     let head = daemon(json!([account("north", Some(61.0), Some(0.4))])).to_string();
 
-    let shown = cli(&[], &["accounts", &leaf, &head]);
-    let json = cli(&[], &["accounts", "--json", &leaf, &head]);
+    let shown = run_cli(&[], &["accounts", &leaf, &head]);
+    let json = run_cli(&[], &["accounts", "--json", &leaf, &head]);
 
     assert_eq!(shown.exit, Exit::Ok);
     let line = shown
@@ -58,14 +58,14 @@
     let cells: Vec<&str> = line.split_whitespace().collect();
     assert_eq!(cells[..6], ["north", "25.0", "25.0", "61.0", "-3.5", "40%"]);
     assert_eq!(cells.last(), Some(&head.as_str()));
-    assert_eq!(json_of(&json)[0]["asked"], 61.0);
+    assert_eq!(stdout_json(&json)[0]["asked"], 61.0);
 }
 
 #[test]
 fn a_daemon_that_hears_nothing_goes_by_its_own_share() {
     let alone = daemon(json!([account("north", None, None)])).to_string();
 
-    let shown = cli(&[], &["accounts", &alone]);
+    let shown = run_cli(&[], &["accounts", &alone]);
 
     assert!(shown.stdout.contains("own share"));
 }
@@ -78,9 +78,9 @@
         .unwrap();
     let head = daemon(json!([account("north", Some(1.0), Some(1.0))]));
 
-    let some = cli(&[], &["accounts", &free.to_string(), &head.to_string()]);
-    let none = cli(&[], &["accounts", &free.to_string()]);
-    let wrong = cli(&[], &["accounts", "localhost"]);
+    let some = run_cli(&[], &["accounts", &free.to_string(), &head.to_string()]);
+    let none = run_cli(&[], &["accounts", &free.to_string()]);
+    let wrong = run_cli(&[], &["accounts", "localhost"]);
 
     assert_eq!(some.exit, Exit::Ok);
     assert!(some.stderr.contains(&free.to_string()));
--- a/crates/cli/tests/commands.rs
+++ b/crates/cli/tests/commands.rs
@@ -6,7 +6,7 @@
 
 use heatherknot_cli::exit::Exit;
 use serde_json::json;
-use support::{Deployment, cli, daemon_with_layout, file, json_of, secret};
+use support::{Deployment, daemon_with_layout, run_cli, secret, stdout_json, temp_file};
 
 const GALLERY: &str = "utilities/port-louis:gallery";
 
@@ -16,11 +16,11 @@
     let daemon = [daemon_with_layout(&deployment, "set").address];
     let path = format!("{GALLERY}/queue_len");
 
-    let set = cli(&daemon, &["set", &path, "7"]);
-    let get = cli(&daemon, &["get", &path]);
-    let effective = cli(&daemon, &["effective", GALLERY]);
-    let unset = cli(&daemon, &["unset", &path]);
-    let gone = cli(&daemon, &["get", &path]);
+    let set = run_cli(&daemon, &["set", &path, "7"]);
+    let get = run_cli(&daemon, &["get", &path]);
+    let effective = run_cli(&daemon, &["effective", GALLERY]);
+    let unset = run_cli(&daemon, &["unset", &path]);
+    let gone = run_cli(&daemon, &["get", &path]);
 
     let long = "accounts/utilities/accounts/port-louis/services/gallery";
     assert_eq!(
@@ -45,8 +45,8 @@
     let daemon = [daemon_with_layout(&deployment, "dry").address];
     let path = format!("{GALLERY}/class");
 
-    let dry = cli(&daemon, &["set", "--dry-run", &path, "bulk"]);
-    let wrong = cli(&daemon, &["set", "--dry-run", &path, "urgent"]);
+    let dry = run_cli(&daemon, &["set", "--dry-run", &path, "bulk"]);
+    let wrong = run_cli(&daemon, &["set", "--dry-run", &path, "urgent"]);
 
     assert!(dry.stdout.starts_with("would be accepted\n") && dry.stdout.contains("\"bulk\""));
     assert_eq!(wrong.exit, Exit::NotAccepted);
@@ -62,16 +62,16 @@
 fn changes_are_listed_compared_and_undone() {
     let deployment = Deployment::default();
     let daemon = [daemon_with_layout(&deployment, "undo").address];
-    cli(
+    run_cli(
         &daemon,
         &["set", "defaults/queue_len", "7", "--command-id", "seven"],
     );
 
-    let history = cli(&daemon, &["history", "--after", "r1"]);
-    let audit = cli(&daemon, &["audit", "--after", "1"]);
-    let diff = cli(&daemon, &["diff", "r1", "r2", "--path", "defaults"]);
-    let undo = cli(&daemon, &["undo", "2"]);
-    let after = cli(&daemon, &["get", "defaults"]);
+    let history = run_cli(&daemon, &["history", "--after", "r1"]);
+    let audit = run_cli(&daemon, &["audit", "--after", "1"]);
+    let diff = run_cli(&daemon, &["diff", "r1", "r2", "--path", "defaults"]);
+    let undo = run_cli(&daemon, &["undo", "2"]);
+    let after = run_cli(&daemon, &["get", "defaults"]);
 
     assert_eq!(
         history.stdout,
@@ -88,9 +88,9 @@
 fn a_change_that_is_there_already_is_done() {
     let deployment = Deployment::default();
     let daemon = [daemon_with_layout(&deployment, "same").address];
-    cli(&daemon, &["drain", "place", "north-1"]);
+    run_cli(&daemon, &["drain", "place", "north-1"]);
 
-    let again = cli(&daemon, &["drain", "place", "north-1"]);
+    let again = run_cli(&daemon, &["drain", "place", "north-1"]);
 
     assert_eq!(again.exit, Exit::Ok);
     assert_eq!(again.stdout, "nothing to change: r2 already is as asked\n");
@@ -107,8 +107,8 @@
         ("place", "north-1"),
         ("region", "north"),
     ] {
-        let drain = cli(&daemon, &["drain", kind, name]);
-        let undrain = cli(&daemon, &["undrain", kind, name]);
+        let drain = run_cli(&daemon, &["drain", kind, name]);
+        let undrain = run_cli(&daemon, &["undrain", kind, name]);
 
         assert!(drain.stdout.contains("draining"), "{drain:?}");
         assert_eq!(undrain.exit, Exit::Ok, "{undrain:?}");
@@ -121,11 +121,11 @@
     let deployment = Deployment::default();
     let daemon = [daemon_with_layout(&deployment, "status").address];
 
-    let status = cli(&daemon, &["status"]);
-    let reached = cli(&daemon, &["wait", "r1"]);
-    let missed = cli(&daemon, &["wait", "r2", "--timeout", "1"]);
-    let explain = cli(&daemon, &["explain", GALLERY, "10.0.0.1"]);
-    let whoami = cli(&daemon, &["whoami"]);
+    let status = run_cli(&daemon, &["status"]);
+    let reached = run_cli(&daemon, &["wait", "r1"]);
+    let missed = run_cli(&daemon, &["wait", "r2", "--timeout", "1"]);
+    let explain = run_cli(&daemon, &["explain", GALLERY, "10.0.0.1"]);
+    let whoami = run_cli(&daemon, &["whoami"]);
 
     assert!(
         status.stdout.starts_with("r1 in force on 1 daemons\nVM"),
@@ -155,7 +155,7 @@
     let deployment = Deployment::default();
     let daemon = [daemon_with_layout(&deployment, "wait").address];
 
-    let set = cli(&daemon, &["set", "--wait", "defaults/queue_len", "7"]);
+    let set = run_cli(&daemon, &["set", "--wait", "defaults/queue_len", "7"]);
 
     assert_eq!(set.exit, Exit::Ok);
     assert!(
@@ -170,8 +170,8 @@
     let deployment = Deployment::default();
     let daemon = [daemon_with_layout(&deployment, "json").address];
 
-    let set = cli(&daemon, &["--json", "set", "defaults/queue_len", "7"]);
-    let refused = cli(
+    let set = run_cli(&daemon, &["--json", "set", "defaults/queue_len", "7"]);
+    let refused = run_cli(
         &daemon,
         &[
             "--json",
@@ -182,14 +182,14 @@
             "many",
         ],
     );
-    let missing = cli(&daemon, &["--json", "get", "platform/places/none"]);
+    let missing = run_cli(&daemon, &["--json", "get", "platform/places/none"]);
 
-    assert_eq!(json_of(&set)["outcome"], "accepted");
-    assert_eq!(json_of(&set)["revision"], 2);
-    assert_eq!(json_of(&refused)["outcome"], "not-accepted");
-    assert_eq!(json_of(&refused)["command"], "x");
+    assert_eq!(stdout_json(&set)["outcome"], "accepted");
+    assert_eq!(stdout_json(&set)["revision"], 2);
+    assert_eq!(stdout_json(&refused)["outcome"], "not-accepted");
+    assert_eq!(stdout_json(&refused)["command"], "x");
     assert!(
-        json_of(&missing)["error"]
+        stdout_json(&missing)["error"]
             .as_str()
             .unwrap()
             .contains("no node")
@@ -200,7 +200,7 @@
 fn a_new_key_is_drawn_added_and_used_without_its_secret_on_any_command_line() {
     let deployment = Deployment::default();
     let daemon = daemon_with_layout(&deployment, "key");
-    let secret_file = file("comms.key");
+    let secret_file = temp_file("comms.key");
     let secret_path = secret_file.to_str().unwrap();
     let new = [
         "new-key",
@@ -215,9 +215,9 @@
         secret_path,
     ];
 
-    let drawn = cli(&[], &new);
-    let again = cli(&[], &new);
-    let added = cli(
+    let drawn = run_cli(&[], &new);
+    let again = run_cli(&[], &new);
+    let added = run_cli(
         &[daemon.address],
         &["set", "operators/comms", &drawn.stdout],
     );
@@ -256,13 +256,16 @@
 
 #[test]
 fn a_file_that_is_no_json_is_named_with_the_place_of_the_fault() {
-    let path = file("broken.json");
+    let path = temp_file("broken.json");
     std::fs::write(&path, "{ \"schema\": 1,\n  oops }").unwrap();
 
-    let finished = cli(&[support::nobody()], &["apply", path.to_str().unwrap()]);
+    let output = run_cli(
+        &[support::unused_address()],
+        &["apply", path.to_str().unwrap()],
+    );
 
-    assert_eq!(finished.exit, Exit::Failed);
-    assert!(finished.stderr.contains("broken.json") && finished.stderr.contains("line 2"));
+    assert_eq!(output.exit, Exit::Failed);
+    assert!(output.stderr.contains("broken.json") && output.stderr.contains("line 2"));
 }
 
 #[test]
@@ -278,9 +281,9 @@
         &["get", "operators/x"],
         &["--json", "whoami"],
     ] {
-        let finished = cli(&daemon, args);
+        let output = run_cli(&daemon, args);
 
-        assert!(!finished.stdout.contains(&random) && !finished.stderr.contains(&random));
+        assert!(!output.stdout.contains(&random) && !output.stderr.contains(&random));
     }
     assert_eq!(json!(random.len()), 64);
 }
--- a/crates/cli/tests/lost_answers.rs
+++ b/crates/cli/tests/lost_answers.rs
@@ -3,7 +3,10 @@
 mod support;
 
 use heatherknot_cli::exit::Exit;
-use support::{Deployment, answer_loser, cli, daemon_with_layout, json_of, nobody, taker};
+use support::{
+    Deployment, answer_dropping_proxy, daemon_with_layout, dropping_daemon, run_cli, stdout_json,
+    unused_address,
+};
 
 const SET: [&str; 6] = [
     "set",
@@ -22,10 +25,10 @@
 
 #[test]
 fn with_no_daemon_reached_a_change_is_not_accepted() {
-    let finished = cli(&[nobody()], &set("1"));
+    let output = run_cli(&[unused_address()], &set("1"));
 
-    assert_eq!(finished.exit, Exit::NotAccepted);
-    assert!(finished.stdout.contains("no daemon answered"));
+    assert_eq!(output.exit, Exit::NotAccepted);
+    assert!(output.stdout.contains("no daemon answered"));
 }
 
 // An operator's daemon dies after it got the request. Nobody can say whether the change was
@@ -33,13 +36,13 @@
 // to find out.
 #[test]
 fn with_its_answer_lost_a_change_is_unknown() {
-    let finished = cli(&[taker()], &set("1"));
+    let output = run_cli(&[dropping_daemon()], &set("1"));
 
-    assert_eq!(finished.exit, Exit::Unknown);
+    assert_eq!(output.exit, Exit::Unknown);
     assert!(
-        finished.stderr.contains("--command-id seven"),
+        output.stderr.contains("--command-id seven"),
         "{}",
-        finished.stderr
+        output.stderr
     );
 }
 
@@ -49,12 +52,12 @@
 fn a_change_made_by_a_daemon_whose_answer_was_lost_is_found_through_another() {
     let deployment = Deployment::default();
     let daemon = daemon_with_layout(&deployment, "lost").address;
-    let finished = cli(&[answer_loser(daemon), daemon], &set("10"));
+    let output = run_cli(&[answer_dropping_proxy(daemon), daemon], &set("10"));
 
-    let again = cli(&[daemon], &set("10"));
+    let again = run_cli(&[daemon], &set("10"));
 
-    assert_eq!(finished.exit, Exit::Ok, "{finished:?}");
-    assert!(finished.stdout.starts_with("accepted as r2\n"));
+    assert_eq!(output.exit, Exit::Ok, "{output:?}");
+    assert!(output.stdout.starts_with("accepted as r2\n"));
     assert!(again.stdout.starts_with("accepted as r2\n"));
     assert_eq!(deployment.changes(), 2);
 }
@@ -74,31 +77,31 @@
         "10",
     ];
 
-    let finished = cli(&[taker(), daemon], &args);
+    let output = run_cli(&[dropping_daemon(), daemon], &args);
 
-    assert_eq!(finished.exit, Exit::Unknown);
-    assert_eq!(json_of(&finished)["outcome"], "unknown");
+    assert_eq!(output.exit, Exit::Unknown);
+    assert_eq!(stdout_json(&output)["outcome"], "unknown");
 }
 
 #[test]
 fn a_conflict_shows_the_change_that_came_first() {
     let deployment = Deployment::default();
     let one = daemon_with_layout(&deployment, "conflict").address;
-    let two = deployment.daemon().address;
-    cli(&[one], &["set", "defaults/queue_len", "8"]);
+    let two = deployment.start_daemon().address;
+    run_cli(&[one], &["set", "defaults/queue_len", "8"]);
 
-    let finished = cli(&[one], &["set", "defaults/queue_len", "7", "--base", "1"]);
-    let behind = cli(&[two], &["get", "defaults/queue_len"]);
+    let output = run_cli(&[one], &["set", "defaults/queue_len", "7", "--base", "1"]);
+    let behind = run_cli(&[two], &["get", "defaults/queue_len"]);
 
-    assert_eq!(finished.exit, Exit::NotAccepted);
+    assert_eq!(output.exit, Exit::NotAccepted);
     assert!(
-        finished
+        output
             .stdout
             .contains("r2  2026-12-02 19:02:03Z  Night shift"),
         "{}",
-        finished.stdout
+        output.stdout
     );
-    assert!(finished.stdout.contains("+ defaults/queue_len: 8"));
+    assert!(output.stdout.contains("+ defaults/queue_len: 8"));
     assert_eq!(behind.exit, Exit::Failed);
 }
 
@@ -107,7 +110,10 @@
     let deployment = Deployment::default();
     let daemon = daemon_with_layout(&deployment, "next").address;
 
-    let finished = cli(&[nobody(), taker(), daemon], &["get", "defaults"]);
+    let output = run_cli(
+        &[unused_address(), dropping_daemon(), daemon],
+        &["get", "defaults"],
+    );
 
-    assert_eq!(finished.exit, Exit::Ok, "{finished:?}");
+    assert_eq!(output.exit, Exit::Ok, "{output:?}");
 }
--- a/crates/cli/tests/rejected.rs
+++ b/crates/cli/tests/rejected.rs
@@ -11,42 +11,42 @@
 use heatherknot_test_support::runtime::block_on;
 use http::StatusCode;
 use serde_json::{Value as Json, json};
-use support::{cli, json_of};
+use support::{run_cli, stdout_json};
 
 const FINGERPRINT: &str = "00112233445566778899aabbccddeeff";
 
 /// What a daemon was asked for: the path, the operator's word and the body.
-type Asked = Arc<Mutex<Vec<(String, String, String)>>>;
+type ReceivedRequests = Arc<Mutex<Vec<(String, String, String)>>>;
 
 /// Starts what answers like a daemon's metrics address, until the test's process ends.
-fn daemon(page: Json) -> (SocketAddr, Asked) {
+fn daemon(page: Json) -> (SocketAddr, ReceivedRequests) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     listener.set_nonblocking(true).unwrap();
-    let asked = Asked::default();
-    let heard = Arc::clone(&asked);
+    let received = ReceivedRequests::default();
+    let recorder = Arc::clone(&received);
     std::thread::spawn(move || {
         block_on(async move {
             let listener = monoio::net::TcpListener::from_std(listener).unwrap();
             let handler = Rc::new(move |req: Request| {
-                let (page, heard) = (page.to_string(), Arc::clone(&heard));
+                let (page, recorder) = (page.to_string(), Arc::clone(&recorder));
                 let path = req.head.path().to_owned();
-                let word = req.head.headers.get("authorization");
-                let word = word.map_or("", |v| v.to_str().unwrap()).to_owned();
+                let authorization = req.head.headers.get("authorization");
+                let authorization = authorization.map_or("", |v| v.to_str().unwrap()).to_owned();
                 Box::pin(async move {
                     let body = req.body.collect(1 << 16).await.unwrap();
                     let body = String::from_utf8(body.to_vec()).unwrap();
-                    heard.lock().unwrap().push((path, word, body));
+                    recorder.lock().unwrap().push((path, authorization, body));
                     Response::json(StatusCode::OK, page)
                 }) as _
             });
             serve(listener, handler, Limits::default(), Flag::new()).await;
         });
     });
-    (address, asked)
+    (address, received)
 }
 
-fn case(is_rejected: bool) -> Json {
+fn suspect(is_rejected: bool) -> Json {
     json!({
         "fingerprint": FINGERPRINT, "is_rejected": is_rejected, "route": "r-1",
         "account": "north", "ends": 3, "changed_ms_ago": 4_000, "written_s": 1_000,
@@ -56,11 +56,14 @@
 
 #[test]
 fn what_several_daemons_know_is_one_row() {
-    let daemons = [daemon(json!([case(true)])), daemon(json!([case(true)]))];
+    let daemons = [
+        daemon(json!([suspect(true)])),
+        daemon(json!([suspect(true)])),
+    ];
     let [one, other] = daemons.map(|(address, _)| address.to_string());
 
-    let shown = cli(&[], &["rejected", &one, &other]);
-    let json = cli(&[], &["rejected", "--json", &one, &other]);
+    let shown = run_cli(&[], &["rejected", &one, &other]);
+    let json = run_cli(&[], &["rejected", "--json", &one, &other]);
 
     assert_eq!(shown.exit, Exit::Ok);
     let line = shown
@@ -70,34 +73,37 @@
     let cells: Vec<&str> = line.unwrap().split_whitespace().collect();
     assert_eq!(cells[1..5], ["rejected", "r-1", "north", "3"]);
     assert_eq!(cells.last(), Some(&"2"));
-    assert_eq!(json_of(&json)[0]["daemons"].as_array().unwrap().len(), 2);
+    assert_eq!(
+        stdout_json(&json)[0]["daemons"].as_array().unwrap().len(),
+        2
+    );
 }
 
 #[test]
 fn a_release_names_the_operator_and_never_shows_the_secret() {
-    let (address, asked) = daemon(json!([case(true)]));
+    let (address, received) = daemon(json!([suspect(true)]));
     let address = address.to_string();
 
-    let released = cli(&[], &["release", "route=r-1", &address, "--holder", "olga"]);
-    let tried = cli(&[], &["release", FINGERPRINT, &address, "--dry-run"]);
+    let released = run_cli(&[], &["release", "route=r-1", &address, "--holder", "olga"]);
+    let tried = run_cli(&[], &["release", FINGERPRINT, &address, "--dry-run"]);
 
     assert_eq!(released.exit, Exit::Ok);
     assert!(released.stdout.starts_with("1 released"));
     assert!(tried.stdout.starts_with("1 would be released"));
-    let asked = asked.lock().unwrap();
-    let (path, word, body) = &asked[0];
+    let received = received.lock().unwrap();
+    let (path, authorization, body) = &received[0];
     let body: Json = serde_json::from_str(body).unwrap();
     assert_eq!(path, "/rejected/release");
-    assert!(word.starts_with("Bearer ") && !word.contains("secret"));
+    assert!(authorization.starts_with("Bearer ") && !authorization.contains("secret"));
     assert_eq!(body["which"]["route"], "r-1");
     assert_eq!(body["operator"], "olga");
-    assert!(asked[1].2.contains("\"dry_run\":true"));
+    assert!(received[1].2.contains("\"dry_run\":true"));
 }
 
 #[test]
 fn what_is_no_fingerprint_is_said_with_what_was_expected() {
-    let finished = cli(&[], &["release", "abc", "127.0.0.1:9"]);
+    let output = run_cli(&[], &["release", "abc", "127.0.0.1:9"]);
 
-    assert_eq!(finished.exit, Exit::Usage);
-    assert!(finished.stderr.contains("'abc' is not a valid fingerprint"));
+    assert_eq!(output.exit, Exit::Usage);
+    assert!(output.stderr.contains("'abc' is not a valid fingerprint"));
 }
--- a/crates/cli/tests/replay.rs
+++ b/crates/cli/tests/replay.rs
@@ -3,7 +3,7 @@
 mod support;
 
 use heatherknot_cli::exit::Exit;
-use support::{cli, file, json_of};
+use support::{run_cli, stdout_json, temp_file};
 
 /// More requests than any trace has, so that no change of the decisions changes a verdict here.
 const MANY: u64 = 1_000_000_000;
@@ -22,7 +22,7 @@
     lines.push(format!(
         r#"{{"kind":"outcome","name":"few refused","metric":"refused","is":"{is}","value":{MANY},"from_ms":0}}"#
     ));
-    let path = file(name);
+    let path = temp_file(name);
     std::fs::write(&path, lines.join("\n")).unwrap();
     path.to_str().unwrap().to_string()
 }
@@ -31,13 +31,13 @@
 fn a_trace_whose_outcomes_hold_exits_with_0() {
     let path = trace("holds.jsonl", "at-most");
 
-    let finished = cli(&[], &["replay", &path]);
+    let output = run_cli(&[], &["replay", &path]);
 
-    assert_eq!(finished.exit, Exit::Ok, "{finished:?}");
+    assert_eq!(output.exit, Exit::Ok, "{output:?}");
     assert!(
-        finished.stdout.contains("ok   few refused"),
+        output.stdout.contains("ok   few refused"),
         "{}",
-        finished.stdout
+        output.stdout
     );
 }
 
@@ -45,10 +45,10 @@
 fn a_trace_whose_outcome_fails_exits_with_1_and_says_so_to_programs() {
     let path = trace("fails.jsonl", "at-least");
 
-    let finished = cli(&[], &["--json", "replay", &path]);
+    let output = run_cli(&[], &["--json", "replay", &path]);
 
-    let json = json_of(&finished);
-    assert_eq!(finished.exit, Exit::Failed);
+    let json = stdout_json(&output);
+    assert_eq!(output.exit, Exit::Failed);
     assert_eq!(json["holds"], false);
     assert_eq!(
         json["reports"][0]["outcomes"][0]["stated"]["name"],
@@ -58,15 +58,15 @@
 
 #[test]
 fn a_file_that_is_no_trace_is_named() {
-    let path = file("no-trace.jsonl");
+    let path = temp_file("no-trace.jsonl");
     std::fs::write(&path, "{}\n").unwrap();
 
-    let finished = cli(&[], &["replay", path.to_str().unwrap()]);
+    let output = run_cli(&[], &["replay", path.to_str().unwrap()]);
 
-    assert_eq!(finished.exit, Exit::Failed);
+    assert_eq!(output.exit, Exit::Failed);
     assert!(
-        finished.stderr.contains("no-trace.jsonl"),
+        output.stderr.contains("no-trace.jsonl"),
         "{}",
-        finished.stderr
+        output.stderr
     );
 }
--- a/crates/cli/tests/support/mod.rs
+++ b/crates/cli/tests/support/mod.rs
@@ -27,7 +27,7 @@
 
 /// What the daemons have agreed on.
 #[derive(Default)]
-struct Memory {
+struct SharedStore {
     changes: Vec<Change>,
     commands: Vec<(CommandId, Revision)>,
 }
@@ -41,20 +41,20 @@
 /// Daemons over one store in memory.
 #[derive(Clone, Default)]
 pub struct Deployment {
-    memory: Arc<Mutex<Memory>>,
+    store: Arc<Mutex<SharedStore>>,
 }
 
 impl Deployment {
     /// Starts a daemon on a thread of its own.
-    pub fn daemon(&self) -> Daemon {
+    pub fn start_daemon(&self) -> Daemon {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
         listener.set_nonblocking(true).unwrap();
-        let memory = self.memory.clone();
+        let store = self.store.clone();
         std::thread::spawn(move || {
             block_on(async move {
                 let listener = monoio::net::TcpListener::from_std(listener).unwrap();
-                let handler = handler(context(&memory));
+                let handler = handler(operator_context(&store));
                 serve(listener, handler, Limits::default(), Flag::new()).await;
             });
         });
@@ -63,42 +63,41 @@
 
     /// Gives the number of changes accepted.
     pub fn changes(&self) -> usize {
-        self.memory.lock().unwrap().changes.len()
+        self.store.lock().unwrap().changes.len()
     }
 }
 
-fn context(memory: &Arc<Mutex<Memory>>) -> OperatorContext {
+fn operator_context(store: &Arc<Mutex<SharedStore>>) -> OperatorContext {
     let holder = Rc::new(RefCell::new(SettingsReplica::new()));
-    let (h1, h2) = (holder.clone(), holder);
-    let (m1, m2, m3, m4) = (
-        memory.clone(),
-        memory.clone(),
-        memory.clone(),
-        memory.clone(),
-    );
-    let m5 = memory.clone();
+    let (holder_for_held, holder_for_refresh) = (holder.clone(), holder);
+    let (store_for_refresh, store_for_commit, store_for_find, store_for_history) =
+        (store.clone(), store.clone(), store.clone(), store.clone());
+    let store_for_status = store.clone();
     OperatorContext {
-        held: Rc::new(move || held(&h1)),
+        held: Rc::new(move || held(&holder_for_held)),
         refresh: Rc::new(move || {
-            let changes = m1.lock().unwrap().changes.clone();
-            h2.borrow_mut().accept_changes(&changes).unwrap();
-            let held = held(&h2);
+            let changes = store_for_refresh.lock().unwrap().changes.clone();
+            holder_for_refresh
+                .borrow_mut()
+                .accept_changes(&changes)
+                .unwrap();
+            let held = held(&holder_for_refresh);
             async move { Ok(held) }.boxed_local()
         }),
         commit: Rc::new(move |proposal| {
-            let outcome = commit(&mut m2.lock().unwrap(), &proposal);
+            let outcome = commit(&mut store_for_commit.lock().unwrap(), &proposal);
             async move { outcome }.boxed_local()
         }),
         find_command: Rc::new(move |command| {
-            let found = find(&m3.lock().unwrap(), &command);
+            let found = find(&store_for_find.lock().unwrap(), &command);
             async move { Ok(found) }.boxed_local()
         }),
         history: Rc::new(move |after| {
-            let history = history(&m4.lock().unwrap(), after);
+            let history = history(&store_for_history.lock().unwrap(), after);
             async move { Ok(history) }.boxed_local()
         }),
         status: Rc::new(move || {
-            let daemons = vec![status(m5.lock().unwrap().changes.len() as u64)];
+            let daemons = vec![status(store_for_status.lock().unwrap().changes.len() as u64)];
             async move { daemons }.boxed_local()
         }),
         explain: Rc::new(|_| async move { Some(explanation()) }.boxed_local()),
@@ -115,15 +114,15 @@
     }
 }
 
-fn find(memory: &Memory, command: &CommandId) -> Option<Revision> {
-    let mut commands = memory.commands.iter();
+fn find(store: &SharedStore, command: &CommandId) -> Option<Revision> {
+    let mut commands = store.commands.iter();
     commands
         .find(|(known, _)| known == command)
         .map(|(_, revision)| *revision)
 }
 
-fn commit(memory: &mut Memory, proposal: &Proposal) -> CommitOutcome {
-    let at = memory
+fn commit(store: &mut SharedStore, proposal: &Proposal) -> CommitOutcome {
+    let at = store
         .changes
         .last()
         .map_or(ChainPoint::default(), Change::point);
@@ -135,13 +134,13 @@
     }
     let change: Change = serde_json::from_slice(&proposal.change).unwrap();
     let revision = change.revision;
-    memory.changes.push(change);
-    memory.commands.push((proposal.command.clone(), revision));
+    store.changes.push(change);
+    store.commands.push((proposal.command.clone(), revision));
     CommitOutcome::Accepted(revision)
 }
 
-fn history(memory: &Memory, after: Revision) -> HistoryPage {
-    let later = memory
+fn history(store: &SharedStore, after: Revision) -> HistoryPage {
+    let later = store
         .changes
         .iter()
         .filter(|change| change.revision > after);
@@ -205,7 +204,7 @@
 }
 
 /// Runs the program against daemons with the first operator's key from the environment.
-pub fn cli(servers: &[SocketAddr], args: &[&str]) -> CommandOutput {
+pub fn run_cli(servers: &[SocketAddr], args: &[&str]) -> CommandOutput {
     let servers: Vec<String> = servers.iter().map(SocketAddr::to_string).collect();
     let env = Env {
         servers: Some(servers.join(",")),
@@ -216,12 +215,12 @@
 }
 
 /// Gives the JSON that a run printed.
-pub fn json_of(finished: &CommandOutput) -> Json {
-    serde_json::from_str(&finished.stdout).unwrap()
+pub fn stdout_json(output: &CommandOutput) -> Json {
+    serde_json::from_str(&output.stdout).unwrap()
 }
 
 /// Gives a path for a file of one test, in the directory that the build keeps for tests.
-pub fn file(name: &str) -> PathBuf {
+pub fn temp_file(name: &str) -> PathBuf {
     let dir = PathBuf::from(env!("CARGO_TARGET_TMPDIR"));
     let path = dir.join(format!("{}-{name}", std::process::id()));
     let _ = std::fs::remove_file(&path);
@@ -230,7 +229,7 @@
 
 /// Writes the layout of Port Louis to a file and gives its path.
 pub fn layout_file(name: &str) -> String {
-    let path = file(name);
+    let path = temp_file(name);
     let layout = layouts::port_louis(layouts::unused_addresses());
     std::fs::write(&path, layout.to_string()).unwrap();
     path.to_str().unwrap().to_string()
@@ -238,14 +237,14 @@
 
 /// Starts a daemon that takes the layout of Port Louis as its first revision.
 pub fn daemon_with_layout(deployment: &Deployment, name: &str) -> Daemon {
-    let daemon = deployment.daemon();
-    let filled = cli(&[daemon.address], &["apply", &layout_file(name)]);
-    assert_eq!(filled.exit.code(), 0, "{filled:?}");
+    let daemon = deployment.start_daemon();
+    let applied = run_cli(&[daemon.address], &["apply", &layout_file(name)]);
+    assert_eq!(applied.exit.code(), 0, "{applied:?}");
     daemon
 }
 
 /// Listens on loopback, takes each connection's first bytes and closes it unanswered.
-pub fn taker() -> SocketAddr {
+pub fn dropping_daemon() -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     std::thread::spawn(move || {
@@ -258,7 +257,7 @@
 }
 
 /// Passes each request to the daemon, waits for its answer and gives none of it to the caller.
-pub fn answer_loser(daemon: SocketAddr) -> SocketAddr {
+pub fn answer_dropping_proxy(daemon: SocketAddr) -> SocketAddr {
     use std::io::Write as _;
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
@@ -277,6 +276,6 @@
 
 /// Gives an address on which nothing listens. The port is below those that the system hands
 /// out by itself: one taken from there and let go may be another test's a moment later.
-pub fn nobody() -> SocketAddr {
+pub fn unused_address() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 1))
 }
--- a/crates/cli/tests/trace.rs
+++ b/crates/cli/tests/trace.rs
@@ -3,7 +3,7 @@
 mod support;
 
 use heatherknot_cli::exit::Exit;
-use support::{cli, file, json_of};
+use support::{run_cli, stdout_json, temp_file};
 
 const FIRST_VM: &str = r#"
 {"timestamp":"t1","kv":{"vm":"north-1"},"text":"listening"}
@@ -22,7 +22,7 @@
 
 /// Writes a log and gives its path.
 fn log_file(name: &str, text: &str) -> String {
-    let path = file(name);
+    let path = temp_file(name);
     std::fs::write(&path, text).expect("the directory can be written");
     path.to_str().expect("the path is text").to_owned()
 }
@@ -33,22 +33,22 @@
         log_file("trace-first", FIRST_VM),
         log_file("trace-second", SECOND_VM),
     );
-    let told = cli(&[], &["trace", "r-1", &second, &first]);
-    assert_eq!(told.exit, Exit::Ok, "{}", told.stderr);
-    let sent = told.stdout.find("request sent").expect("the send");
-    let ended = told.stdout.find("request ended").expect("the end");
-    assert!(sent < ended && told.stdout.contains("north-1"));
-    assert!(told.stdout.contains("1 of 2 sends have no line"));
-    assert!(told.stdout.contains("north-2 dropped 4 lines"));
-    assert!(told.stdout.contains("1 lines are not JSON"));
-    assert!(!told.stdout.contains("r-2"));
+    let output = run_cli(&[], &["trace", "r-1", &second, &first]);
+    assert_eq!(output.exit, Exit::Ok, "{}", output.stderr);
+    let sent = output.stdout.find("request sent").expect("the send");
+    let ended = output.stdout.find("request ended").expect("the end");
+    assert!(sent < ended && output.stdout.contains("north-1"));
+    assert!(output.stdout.contains("1 of 2 sends have no line"));
+    assert!(output.stdout.contains("north-2 dropped 4 lines"));
+    assert!(output.stdout.contains("1 lines are not JSON"));
+    assert!(!output.stdout.contains("r-2"));
 }
 
 #[test]
 fn what_the_vm_believed_is_what_it_said_before_the_end() {
     let first = log_file("trace-around", FIRST_VM);
-    let told = cli(&[], &["trace", "--json", "--around", "r-1", &first]);
-    let around = json_of(&told)["around"].to_string();
+    let output = run_cli(&[], &["trace", "--json", "--around", "r-1", &first]);
+    let around = stdout_json(&output)["around"].to_string();
     assert!(
         around.contains("\"version\":7") && !around.contains("\"version\":8"),
         "{around}"
@@ -58,10 +58,10 @@
 #[test]
 fn a_request_that_no_log_knows_and_a_file_that_is_not_there_are_told() {
     let first = log_file("trace-none", FIRST_VM);
-    let unknown = cli(&[], &["trace", "r-9", &first]);
+    let unknown = run_cli(&[], &["trace", "r-9", &first]);
     assert_eq!(unknown.exit, Exit::Failed);
     assert!(unknown.stdout.contains("not sampled"));
-    let absent = cli(&[], &["trace", "r-9", "/no/such/log"]);
+    let absent = run_cli(&[], &["trace", "r-9", "/no/such/log"]);
     assert_eq!(absent.exit, Exit::Failed);
     assert!(absent.stderr.contains("/no/such/log"));
 }
@@ -82,29 +82,29 @@
 #[test]
 fn lines_of_joined_logs_are_told_as_their_own_vms() {
     let joined = log_file("trace-joined", JOINED);
-    let told = cli(&[], &["trace", "r-1", &joined]);
+    let output = run_cli(&[], &["trace", "r-1", &joined]);
     assert!(
-        told.stdout.contains("north-1") && !told.stdout.contains("south-1"),
+        output.stdout.contains("north-1") && !output.stdout.contains("south-1"),
         "{}",
-        told.stdout
+        output.stdout
     );
-    assert!(!told.stdout.contains("can't be told"));
+    assert!(!output.stdout.contains("can't be told"));
 }
 
 #[test]
 fn joined_logs_that_name_no_vm_are_said_to_be_untellable() {
     let text = JOINED.replace(r#""vm":"north-1","run":"1","#, "");
     let joined = log_file("trace-unnamed", &text);
-    let told = cli(&[], &["trace", "r-1", &joined]);
-    assert!(told.stdout.contains("can't be told"), "{}", told.stdout);
+    let output = run_cli(&[], &["trace", "r-1", &joined]);
+    assert!(output.stdout.contains("can't be told"), "{}", output.stdout);
 }
 
 #[test]
 fn losses_are_split_by_reason_route_vm_and_moment() {
     let joined = log_file("losses-joined", JOINED);
-    let told = cli(&[], &["losses", "--json", &joined]);
-    assert_eq!(told.exit, Exit::Ok, "{}", told.stderr);
-    let found = json_of(&told);
+    let output = run_cli(&[], &["losses", "--json", &joined]);
+    assert_eq!(output.exit, Exit::Ok, "{}", output.stderr);
+    let found = stdout_json(&output);
     assert_eq!(found["lost"], 3);
     let reasons = &found["by_reason"];
     assert_eq!(
@@ -119,7 +119,7 @@
     assert_eq!(found["by_route"]["maps"], 2);
     assert_eq!(found["by_vm"]["south-1"], 2);
     assert_eq!(found["by_second"]["2026-01-02 10:00:03"], 2);
-    let text = cli(&[], &["losses", &joined]).stdout;
+    let text = run_cli(&[], &["losses", &joined]).stdout;
     assert!(
         text.contains("3 requests were refused, failed or late"),
         "{text}"
--- a/crates/cli/tests/usage.rs
+++ b/crates/cli/tests/usage.rs
@@ -4,7 +4,7 @@
 
 use heatherknot_cli::exit::Exit;
 use heatherknot_cli::{CommandOutput, run};
-use support::{cli, nobody};
+use support::{run_cli, unused_address};
 
 fn bare(args: &[&str]) -> CommandOutput {
     run(args.iter().map(Into::into).collect(), &Default::default())
@@ -45,13 +45,13 @@
         (&["new-key", "a", "--holder", "A"], "expected --secret-file"),
     ];
     for (args, expected) in cases {
-        let finished = cli(&[nobody()], args);
+        let output = run_cli(&[unused_address()], args);
 
-        assert_eq!(finished.exit, Exit::Usage, "{args:?}");
+        assert_eq!(output.exit, Exit::Usage, "{args:?}");
         assert!(
-            finished.stderr.contains(expected),
+            output.stderr.contains(expected),
             "{args:?}: {}",
-            finished.stderr
+            output.stderr
         );
     }
 }
