--- a/crates/cli/src/client.rs
+++ b/crates/cli/src/client.rs
@@ -1,4 +1,4 @@
-//! Calls on the daemons, with the truth about those whose answer was lost.
+//! Calls to daemons. A change whose answer was lost is reported as unknown, not as failed.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -14,17 +14,17 @@
 
 use crate::error::{CliError, InvalidAnswerSnafu, NoAnswerSnafu, RefusedSnafu};
 
-/// The longest answer, in bytes.
+/// The maximum size of an answer, in bytes.
 const MAX_ANSWER_BYTES: usize = 64 << 20;
-/// The pause after every daemon was tried in vain.
+/// The pause before the daemons are tried again after all of them failed.
 const RETRY_PAUSE: Duration = Duration::from_millis(200);
-/// The least time that one daemon gets for an answer, where so much is left.
+/// The minimum timeout of one attempt, limited by the time left.
 const MIN_ATTEMPT_TIME: Millis = Millis(2_000);
-/// The longest silence of a daemon: longer than its longest wait, and than the store takes to
-/// fail a change.
+/// How long a connection may be silent. It exceeds the longest wait of a daemon and the time after
+/// which the store fails a change.
 const SILENCE_LIMIT: Duration = Duration::from_secs(40);
 
-/// The daemons that a command may ask, all alike.
+/// A client of one or more daemons, each of which can serve every call.
 pub struct Client {
     pools: Vec<Pool>,
     token: HeaderValue,
@@ -32,36 +32,36 @@
     deadline: Millis,
 }
 
-/// What became of a change as far as the client knows.
+/// The result of a change as far as the client knows.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ChangeResult {
-    /// A daemon answered, and nothing was lost before.
+    /// A daemon's answer settles the change. A refusal does so only if no earlier answer was lost.
     Answered(ChangeAnswer),
     /// It was refused, or reached no daemon.
     NotAccepted(String),
-    /// A daemon answered that it can't reach the store. This try has changed nothing; of an
-    /// earlier run of the same command it says nothing.
+    /// A daemon answered that it can't reach the store. This attempt changed nothing, but an
+    /// earlier run of the same command may have.
     StoreUnavailable(String),
-    /// An answer was lost, and no later one settles it.
+    /// An answer was lost, and no later answer settled the outcome.
     Unknown(String),
 }
 
-/// One try of a call.
+/// The result of sending a call to one daemon.
 enum AttemptResult {
-    /// The daemon's whole answer.
+    /// The daemon's complete answer.
     Answer(StatusCode, Vec<u8>),
-    /// The daemon did not get the call.
+    /// The daemon did not run the call.
     NotSent(String),
-    /// The daemon may have got the call.
+    /// The daemon may have run the call.
     MaybeSent(String),
 }
 
 impl Client {
-    /// Makes a client that tries until the timeout is over.
+    /// Creates a client whose calls share one timeout.
     ///
     /// # Errors
     ///
-    /// Gives [`CliError::Usage`] where the key can't stand in a header.
+    /// Returns [`CliError::Usage`] if the key is not a valid header value.
     pub fn new(
         servers: &[SocketAddr],
         secret: &str,
@@ -84,16 +84,16 @@
         })
     }
 
-    /// Gives the time left.
+    /// Returns the time left until the deadline.
     pub fn time_left(&self) -> Millis {
         self.deadline.since(self.clock.now())
     }
 
-    /// Asks the daemons in turn until one answers. For calls that change nothing.
+    /// Sends a call that changes nothing to the daemons in turn until one answers.
     ///
     /// # Errors
     ///
-    /// Gives [`CliError::Refused`], [`CliError::Unreadable`], or [`CliError::Unreached`] where
+    /// Returns [`CliError::Refused`], [`CliError::InvalidAnswer`], or [`CliError::NoAnswer`] if
     /// each daemon failed once.
     pub async fn call<T: DeserializeOwned>(
         &self,
@@ -103,11 +103,11 @@
         self.call_with_server_wait(call, req, Millis(0)).await
     }
 
-    /// Does the same for a call that the daemon answers only after the given time.
+    /// Like [`call`](Self::call), for a call whose answer the daemon may delay by `server_wait`.
     ///
     /// # Errors
     ///
-    /// Gives what [`call`](Self::call) gives.
+    /// Returns the errors of [`call`](Self::call).
     pub async fn call_with_server_wait<T: DeserializeOwned>(
         &self,
         call: &str,
@@ -135,7 +135,7 @@
         NoAnswerSnafu { causes }.fail()
     }
 
-    /// Asks for a change until its outcome is known or the time is over. Every try carries the
+    /// Sends a change until its outcome is known or the timeout expires. Every attempt carries the
     /// same command identifier, so that the daemons make the change at most once.
     pub async fn change(&self, req: &ChangeRequest) -> ChangeResult {
         let mut lost: Option<String> = None;
@@ -171,8 +171,8 @@
         }
     }
 
-    /// Gives the time for one try. A connection or a daemon may be silent for good, so no
-    /// single try gets all the time there is.
+    /// Returns the timeout of one attempt: a part of the time left, because a connection or a
+    /// daemon may never answer.
     fn attempt_timeout(&self) -> Millis {
         let attempts = self.pools.len() as u64 + 1;
         Millis(self.time_left().0 / attempts).max(MIN_ATTEMPT_TIME)
@@ -209,7 +209,7 @@
     }
 }
 
-/// Reads the whole answer. An answer that breaks off says nothing about a change.
+/// Reads the complete answer. A truncated answer leaves the outcome of a change unknown.
 async fn read_response(peer: SocketAddr, response: Response) -> AttemptResult {
     let outcome = response.headers.get(OUTCOME_HEADER);
     let is_not_run = outcome.is_some_and(|value| value == Outcome::NotRun.as_str());
@@ -222,7 +222,7 @@
     }
 }
 
-/// What one answer to a change says.
+/// The meaning of one daemon's answer to a change.
 enum ChangeReply {
     Final(ChangeAnswer),
     Unknown(String),
@@ -252,8 +252,9 @@
     ChangeReply::Unknown(format!("{peer}: status {status} without an answer"))
 }
 
-/// A refusal settles a change only where no earlier try of it was lost: the lost one may still
-/// be under way in another daemon, and take effect after this refusal.
+/// Returns the result of a refused change. If the answer of an earlier attempt was lost, the result
+/// is unknown: another daemon may still be processing that attempt and accept the change after
+/// this refusal.
 fn resolve_refusal(refused: ChangeResult, lost: Option<String>) -> ChangeResult {
     match lost {
         None => refused,
--- a/crates/cli/src/command.rs
+++ b/crates/cli/src/command.rs
@@ -1,21 +1,21 @@
-//! The commands.
+//! The table of commands.
 
 use crate::options::Opt;
 
-/// A command.
+/// A command of the client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Command {
     /// Shows the node at a path.
     Get,
-    /// Shows the settings in force at a node and where each comes from.
+    /// Shows the settings in force at a node and the origin of each.
     Effective,
-    /// Sets a value.
+    /// Sets the value at a path.
     Set,
     /// Removes a node.
     Unset,
-    /// Puts the content of a file at a node.
+    /// Replaces a node with the content of a JSON file.
     Apply,
-    /// Takes a change back.
+    /// Reverts a change as a new revision.
     Undo,
     /// Starts a drain.
     Drain,
@@ -23,49 +23,49 @@
     Undrain,
     /// Shows the difference between two revisions.
     Diff,
-    /// Lists changes.
+    /// Lists the changes of the key's branch.
     History,
-    /// Shows the audit trail.
+    /// Shows the audit trail and checks its hash chain.
     Audit,
-    /// Shows which revision is in force where.
+    /// Shows which revision is in force on each daemon.
     Status,
-    /// Waits until a revision is in force.
+    /// Waits until a revision is in force on every daemon.
     Wait,
-    /// Explains where a caller goes.
+    /// Explains how the requests of a caller are routed.
     Explain,
-    /// Shows who the operator is.
+    /// Shows the holder and the rights of the operator's key.
     WhoAmI,
-    /// Draws a new key.
+    /// Generates a new operator's key.
     NewKey,
-    /// Replays traces.
+    /// Replays traces and checks their stated outcomes.
     Replay,
-    /// Tells the story of a request from logs.
+    /// Shows the log lines of one request across VMs.
     Trace,
-    /// Splits the requests that were not answered in time, from logs.
+    /// Counts requests that were refused, failed or late, by reason, route, VM and second.
     Losses,
-    /// Shows what daemons know of client accounts.
+    /// Shows the limits and usage of client accounts as daemons report them.
     Accounts,
-    /// Lists requests under which servers ended.
+    /// Lists requests during which backend servers ended.
     Rejected,
-    /// Releases rejected requests.
+    /// Allows rejected requests to run again.
     Release,
 }
 
-/// How a command is written.
+/// The name, arguments and options of a command.
 pub struct CommandSpec {
-    /// The command.
+    /// The command that this entry describes.
     pub command: Command,
-    /// Its name.
+    /// The name on the command line.
     pub name: &'static str,
-    /// Its arguments, as the help shows them.
+    /// The arguments as shown in the help.
     pub args: &'static str,
-    /// The fewest arguments.
+    /// The minimum number of arguments.
     pub min_args: usize,
-    /// The most arguments.
+    /// The maximum number of arguments.
     pub max_args: usize,
-    /// Its options besides the common ones.
+    /// The options in addition to [`COMMON`](crate::options::COMMON).
     pub options: &'static [Opt],
-    /// What it does.
+    /// The description shown in the help.
     pub doc: &'static str,
 }
 
@@ -79,11 +79,11 @@
 const TRACE_OPTIONS: &[Opt] = &[Opt::Around];
 const RELEASE_OPTIONS: &[Opt] = &[Opt::DryRun, Opt::Holder];
 
-/// The most logs that one story is told from, and its identifier.
+/// The maximum number of arguments of `trace` (an identifier and 1024 logs) and of `losses`.
 const MAX_LOGS: usize = 1_025;
-/// The most daemons that one run asks.
+/// The maximum number of daemon addresses; `release` counts its first argument, too.
 const MAX_DAEMONS: usize = 1_024;
-/// The most traces that one run replays.
+/// The maximum number of traces of one replay.
 const MAX_TRACES: usize = 256;
 
 const fn spec(
@@ -105,7 +105,7 @@
     }
 }
 
-/// Every command, in the order of the help.
+/// Every command, in the order of [`Command`], which is also that of the help.
 pub static COMMANDS: [CommandSpec; 22] = [
     spec(
         Command::Get,
@@ -286,12 +286,12 @@
 ];
 
 impl Command {
-    /// Gives how the command is written.
+    /// Returns the command's entry in [`COMMANDS`].
     pub fn spec(self) -> &'static CommandSpec {
         &COMMANDS[self as usize]
     }
 
-    /// Finds a command by its name.
+    /// Returns the command with the given name.
     pub fn find(name: &str) -> Option<Command> {
         let mut specs = COMMANDS.iter();
         specs
--- a/crates/cli/src/env.rs
+++ b/crates/cli/src/env.rs
@@ -1,6 +1,6 @@
-//! What the program takes from its environment.
+//! Environment variables of the program.
 
-/// The environment of one run.
+/// The environment variables of one run; unset or empty ones are `None`.
 #[derive(Clone, Debug, Default)]
 pub struct Env {
     /// `HEATHERKNOT_SERVERS`: addresses of daemons, separated by commas.
@@ -12,7 +12,7 @@
 }
 
 impl Env {
-    /// Reads the environment of the process.
+    /// Reads the variables of the process.
     pub fn from_process() -> Env {
         let get = |name: &str| std::env::var(name).ok().filter(|text| !text.is_empty());
         Env {
--- a/crates/cli/src/error.rs
+++ b/crates/cli/src/error.rs
@@ -1,4 +1,4 @@
-//! Why a command failed.
+//! Errors of commands.
 
 use std::io;
 use std::net::SocketAddr;
@@ -7,83 +7,83 @@
 
 use crate::exit::Exit;
 
-/// Why a command failed.
+/// The error of a failed command.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum CliError {
-    /// The command line is wrong.
+    /// The command line is invalid.
     #[snafu(display("{message}; `heatherknot help` lists the commands"))]
     Usage {
-        /// What is wrong.
+        /// What is invalid and what was expected.
         message: String,
     },
-    /// A file can't be read or written.
+    /// Reading or writing a file failed.
     #[snafu(display("{operation} `{path}`: {source}"))]
     File {
-        /// What was being done.
+        /// The operation that failed, as a verb phrase.
         operation: &'static str,
         /// The file.
         path: String,
-        /// What the system reported.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// A file isn't JSON.
+    /// A file is not valid JSON.
     #[snafu(display("read `{path}`: not JSON: {source}"))]
     Json {
         /// The file.
         path: String,
-        /// What is wrong, with line and column.
+        /// The syntax error, with line and column.
         source: serde_json::Error,
     },
-    /// The system has no randomness to give.
-    #[snafu(display("draw random bytes: {cause}"))]
+    /// The operating system's random generator failed.
+    #[snafu(display("read random bytes: {cause}"))]
     Random {
-        /// What the system reported.
+        /// The error of the operating system.
         cause: getrandom::Error,
     },
-    /// The runtime can't be started.
-    #[snafu(display("start: {source}"))]
+    /// The asynchronous runtime failed to start.
+    #[snafu(display("start the async runtime: {source}"))]
     Start {
-        /// What the system reported.
+        /// The error of the operating system.
         source: io::Error,
     },
     /// No daemon answered.
     #[snafu(display("no daemon answered: {causes}"))]
     NoAnswer {
-        /// What each of them failed with.
+        /// The error of each daemon, separated by semicolons.
         causes: String,
     },
-    /// A daemon refused the call.
+    /// A daemon answered with an error.
     #[snafu(display("{peer}: {error}"))]
     Refused {
         /// The daemon.
         peer: SocketAddr,
-        /// Why.
+        /// The daemon's error message.
         error: String,
     },
-    /// A daemon's answer can't be read.
-    #[snafu(display("{peer}: an answer that can't be read: {problem}"))]
+    /// A daemon's answer could not be read or parsed.
+    #[snafu(display("{peer}: invalid answer: {problem}"))]
     InvalidAnswer {
         /// The daemon.
         peer: SocketAddr,
-        /// What is wrong with it.
+        /// The read or parse error.
         problem: String,
     },
-    /// A trace can't be replayed.
+    /// A replay failed.
     #[snafu(display("replay: {source}"), context(false))]
     Replay {
-        /// What the replay reported.
+        /// The error of the replay.
         source: heatherknot_replay::Error,
     },
 }
 
 impl CliError {
-    /// Makes a usage error.
+    /// Creates a usage error.
     pub fn usage(message: impl Into<String>) -> CliError {
         UsageSnafu { message }.build()
     }
 
-    /// Gives the exit code.
+    /// Returns the exit code.
     pub fn exit(&self) -> Exit {
         match self {
             CliError::Usage { .. } => Exit::Usage,
--- a/crates/cli/src/exit.rs
+++ b/crates/cli/src/exit.rs
@@ -1,24 +1,24 @@
-//! Exit codes.
+//! Exit codes of the program.
 
 use std::process::ExitCode;
 
-/// How the program ends.
+/// The result of a run, as an exit code.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Exit {
-    /// Done.
+    /// The command succeeded.
     Ok,
-    /// It failed, or what was waited for didn't come.
+    /// The command failed, or a wait timed out.
     Failed,
-    /// The command line is wrong.
+    /// The command line is invalid.
     Usage,
     /// A change was not accepted.
     NotAccepted,
-    /// It isn't known whether a change was accepted.
+    /// Whether a change was accepted is unknown.
     Unknown,
 }
 
 impl Exit {
-    /// Gives the number.
+    /// Returns the exit code.
     pub fn code(self) -> u8 {
         match self {
             Exit::Ok => 0,
--- a/crates/cli/src/format.rs
+++ b/crates/cli/src/format.rs
@@ -1,13 +1,13 @@
-//! Texts for people: times, tables, edits.
+//! Formats times, tables and edits for people.
 
 use heatherknot_settings::Edit;
 use serde_json::Value as Json;
 
 const SECONDS_PER_DAY: u64 = 86_400;
-/// The longest value that a line shows whole, in characters.
+/// Longer JSON values are truncated to this many characters.
 const MAX_VALUE_CHARS: usize = 80;
 
-/// Writes a wall-clock time in milliseconds since 1970 as date and time in UTC.
+/// Formats a Unix time in milliseconds as date and time in UTC.
 pub fn utc_time(ms: u64) -> String {
     let seconds = ms / 1000;
     let (days, rest) = (seconds / SECONDS_PER_DAY, seconds % SECONDS_PER_DAY);
@@ -16,10 +16,10 @@
     format!("{year:04}-{month:02}-{day:02} {hour:02}:{minute:02}:{second:02}Z")
 }
 
-/// Gives year, month and day of a number of days since 1970.
+/// Converts a number of days since 1970-01-01 to year, month and day.
 fn civil_date(days: u64) -> (u64, u64, u64) {
-    // Counted from 1 March of the year 0, so that a leap day ends its year: 719468 days before
-    // 1970, in cycles of 400 years with 146097 days.
+    // Counts from 1 March of year 0, which is 719468 days before 1970, so that a leap day is the
+    // last day of its year. A cycle of 400 years has 146097 days.
     let days = days + 719_468;
     let (cycle, day) = (days / 146_097, days % 146_097);
     let year = (day - day / 1460 + day / 36_524 - day / 146_096) / 365;
@@ -35,7 +35,7 @@
     (year, month, day_of_month)
 }
 
-/// Writes a span in milliseconds.
+/// Formats a duration given in milliseconds.
 pub fn duration(ms: u64) -> String {
     match ms {
         0..1_000 => format!("{ms} ms"),
@@ -45,7 +45,7 @@
     }
 }
 
-/// Writes edits, one a line.
+/// Formats edits, one per line.
 pub fn edits(edits: &[Edit]) -> String {
     edits.iter().map(format_edit).collect()
 }
@@ -78,7 +78,7 @@
     format!("{start}...")
 }
 
-/// Writes rows as a table with columns as wide as their longest cell.
+/// Formats rows as a table whose columns are as wide as their longest cell.
 pub fn table(head: &[&str], rows: &[Vec<String>]) -> String {
     let mut lines: Vec<Vec<String>> = vec![head.iter().map(|cell| cell.to_string()).collect()];
     lines.extend(rows.iter().cloned());
--- a/crates/cli/src/help.rs
+++ b/crates/cli/src/help.rs
@@ -1,4 +1,4 @@
-//! Help texts, from the tables of commands and options.
+//! Help texts, generated from the tables of commands and options.
 
 use std::fmt::Write as _;
 
@@ -11,15 +11,15 @@
 const PATH_SYNTAX: &str = "A PATH is written with slashes from the root (platform/places/north-1) or as \
 ACCOUNT:REST (utilities/port-louis:gallery/queue_len).\n";
 
-/// Gives the name and the version.
+/// Returns the program's name and version.
 pub fn version() -> String {
     format!("heatherknot {}\n", env!("CARGO_PKG_VERSION"))
 }
 
-/// Gives the list of commands.
+/// Returns the list of commands and common options.
 pub fn overview() -> String {
     let mut text = "Usage: heatherknot COMMAND [ARGUMENTS] [OPTIONS]\n\nCommands:\n".to_string();
-    // Writing to a text can't fail, here and below.
+    // Writing to a `String` can't fail, here and below.
     for spec in &COMMANDS {
         let usage = format!("{} {}", spec.name, spec.args);
         let _ = writeln!(text, "  {usage:<38} {}", spec.doc);
@@ -30,7 +30,7 @@
     text
 }
 
-/// Gives the help of one command.
+/// Returns the help of one command.
 pub fn command_help(command: Command) -> String {
     let spec = command.spec();
     let usage = format!("{} {}", spec.name, spec.args);
--- a/crates/cli/src/key_source.rs
+++ b/crates/cli/src/key_source.rs
@@ -1,5 +1,5 @@
-//! Where the operator's key comes from. Never from the command line, which other users of the
-//! machine can read in its list of processes.
+//! Reads the operator's key from a file or the environment. The command line never carries it,
+//! because other users of the machine can read it in the process list.
 
 use snafu::ResultExt;
 
@@ -7,12 +7,12 @@
 use crate::error::{CliError, FileSnafu};
 use crate::options::{Opt, Options};
 
-/// Reads the operator's key.
+/// Reads the key: from `--key-file`, `HEATHERKNOT_KEY` or `HEATHERKNOT_KEY_FILE`, in this order.
 ///
 /// # Errors
 ///
-/// Gives [`CliError::Usage`] where none is named and [`CliError::File`] where the file can't
-/// be read.
+/// Returns [`CliError::Usage`] if there is no key and [`CliError::File`] if the file can't be
+/// read.
 pub fn read(options: &Options, env: &Env) -> Result<String, CliError> {
     let from_option = options.value(Opt::KeyFile);
     if let (None, Some(key)) = (from_option, &env.key) {
--- a/crates/cli/src/lib.rs
+++ b/crates/cli/src/lib.rs
@@ -1,8 +1,7 @@
 //! The operators' command-line client.
 //!
-//! [`run`] takes the arguments and the environment and gives what to print and the exit code;
-//! the program itself only prints and exits. Commands are in [`ops`], the call on a daemon in
-//! [`client`].
+//! [`run`] takes the arguments and the environment and returns the output and the exit code;
+//! `main` only prints and exits. The commands are in [`ops`], the calls to daemons in [`client`].
 
 pub mod client;
 pub mod command;
@@ -25,7 +24,7 @@
 use crate::parse::Parsed;
 use crate::report::Report;
 
-/// What one run of the program prints, and how it ends.
+/// The output and exit code of one run of the program.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CommandOutput {
     /// The text for standard output.
@@ -36,7 +35,7 @@
     pub exit: Exit,
 }
 
-/// Runs one command.
+/// Parses the arguments and runs the command they name.
 pub fn run(args: Vec<OsString>, env: &Env) -> CommandOutput {
     match parse::parse(args) {
         Ok(Parsed::Help(text)) => CommandOutput {
--- a/crates/cli/src/ops/accounts.rs
+++ b/crates/cli/src/ops/accounts.rs
@@ -1,4 +1,4 @@
-//! Shows what daemons know of client accounts.
+//! The `accounts` command: limits and usage of client accounts, as daemons report them.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -19,7 +19,7 @@
 use crate::parse::Invocation;
 use crate::report::Report;
 
-/// What one daemon knows of an account.
+/// The status of an account as one daemon reports it.
 #[derive(Debug, Serialize)]
 struct AccountRow {
     daemon: SocketAddr,
@@ -27,10 +27,10 @@
     report: AccountStatus,
 }
 
-/// Shows what the daemons at the given metrics addresses know of client accounts.
+/// Shows the status of client accounts from the daemons at the given metrics addresses.
 ///
-/// The head of a failure domain knows what all VMs are asked for; another VM knows only what it
-/// admits. So a row that tells what is asked goes before one that does not.
+/// The head of a failure domain knows the demand on all VMs; another VM knows only the part that it
+/// admits. So a row with the demand (`asked`) is preferred to one without.
 pub fn accounts(invocation: &Invocation) -> Result<Report, CliError> {
     let addresses = metrics_address::parse_all(&invocation.args)?;
     let timeout = invocation.options.timeout()?;
@@ -67,7 +67,7 @@
     metrics_address::query(address, head, Body::empty(), timeout).await
 }
 
-/// Gives one row for each account: of the daemon that knows most of it.
+/// Returns one row for each account: that of the daemon with the most complete status.
 fn most_complete_rows(rows: Vec<AccountRow>) -> Vec<AccountRow> {
     let mut best: BTreeMap<AccountName, AccountRow> = BTreeMap::new();
     for row in rows {
--- a/crates/cli/src/ops/change.rs
+++ b/crates/cli/src/ops/change.rs
@@ -1,4 +1,4 @@
-//! Commands that change settings.
+//! Commands that change settings: `set`, `unset`, `apply`, `undo`, `drain` and `undrain`.
 
 use heatherknot_operator::api::{Action, ChangeAnswer, ChangeOutcome, ChangeRequest, DrainTarget};
 use heatherknot_settings::audit::AuditEntry;
@@ -18,10 +18,10 @@
 use crate::parse::Invocation;
 use crate::report::Report;
 
-/// The random bytes of a command identifier that the program draws.
+/// The length in bytes of a generated command identifier.
 const COMMAND_ID_BYTES: usize = 8;
 
-/// Asks for a change and reports what became of it.
+/// Sends a change to the daemons and reports its outcome.
 pub async fn change(client: &Client, invocation: &Invocation) -> Result<Report, CliError> {
     let req = ChangeRequest {
         command: command_id(invocation)?,
@@ -31,9 +31,9 @@
     };
     let report = match client.change(&req).await {
         ChangeResult::Answered(answer) => answer_report(&req, &answer),
-        // An operator who names the command may run it again after its answer was lost. A daemon
-        // that can't look for the command then can't tell whether the earlier run was accepted,
-        // and "not accepted" would have the operator make the change twice.
+        // With `--command-id` this may repeat a run whose answer was lost. A daemon that can't
+        // reach the store can't look up whether that run was accepted. Reporting "not accepted"
+        // could lead the operator to make the change twice.
         ChangeResult::StoreUnavailable(cause) if invocation.options.has(Opt::CommandId) => {
             unknown_report(&req, &cause)
         }
@@ -85,7 +85,7 @@
     })
 }
 
-/// Reads a value of the command line: JSON where it is JSON, else a text.
+/// Parses a value of the command line as JSON; text that is not JSON becomes a JSON string.
 fn parse_value(text: &str) -> Json {
     serde_json::from_str(text).unwrap_or_else(|_| json!(text))
 }
@@ -177,14 +177,15 @@
     Report::new(Exit::Unknown, human, &with_command_id(req, &answer)).with_note(&again)
 }
 
-/// Adds the command's identifier, with which a program can run the command again.
+/// Adds the command identifier to the JSON, so that a program can repeat the command with it.
 fn with_command_id(req: &ChangeRequest, answer: &ChangeAnswer) -> Json {
     let mut json = json!(answer);
     json["command"] = json!(req.command);
     json
 }
 
-/// Waits for an accepted change. Where the wait fails the change is accepted all the same.
+/// Waits until an accepted change is in force. A failed wait does not undo the change, so the
+/// report still names it as accepted.
 async fn wait_for_change(client: &Client, accepted: Report) -> Result<Report, CliError> {
     let Some(revision) = accepted.json["revision"].as_u64().map(Revision) else {
         return Ok(accepted);
--- a/crates/cli/src/ops/key.rs
+++ b/crates/cli/src/ops/key.rs
@@ -1,4 +1,4 @@
-//! Drawing a new operator's key.
+//! The `new-key` command: generates an operator's key.
 
 use std::fs::OpenOptions;
 use std::io::Write as _;
@@ -14,10 +14,10 @@
 use crate::parse::Invocation;
 use crate::report::Report;
 
-/// Only the owner of the secret's file may read it.
+/// The mode of the secret's file: only its owner may read and write it.
 const SECRET_FILE_MODE: u32 = 0o600;
 
-/// Draws a key, writes its secret to a new file and shows the object for the tree.
+/// Generates a key, writes its secret to a new file and returns the object for the settings tree.
 pub fn new_key(invocation: &Invocation) -> Result<Report, CliError> {
     let id = &invocation.args[0];
     let options = &invocation.options;
--- a/crates/cli/src/ops/logs.rs
+++ b/crates/cli/src/ops/logs.rs
@@ -1,4 +1,4 @@
-//! The lines of daemons' logs, from any number of files.
+//! Reads daemons' logs from any number of files.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,20 +7,20 @@
 
 use crate::error::{CliError, FileSnafu};
 
-/// The text of the line at the end of a request.
+/// The message at the end of a request.
 pub(crate) const REQUEST_ENDED: &str = "request ended";
-/// The text of the line of one send.
+/// The message of one send of a request to a backend server.
 pub(crate) const REQUEST_SENT: &str = "request sent";
-/// The text of the line of a daemon's start.
+/// The message at a daemon's start.
 pub(crate) const DAEMON_STARTED: &str = "listening";
-/// The text of the line that counts lines lost to the volume's bound.
+/// The message that counts lines dropped because of the limit on log volume.
 const LINES_DROPPED: &str = "log lines were dropped";
 
 /// One line of a log.
 pub(crate) struct LogLine {
-    /// The VM, by its own word, or else the file.
+    /// The VM that the line names, else the VM that the file named last, else the file's path.
     pub(crate) vm: String,
-    /// The run of its daemon; empty where the line doesn't name it.
+    /// The identifier of the daemon's run; empty if the line has none.
     pub(crate) run: String,
     pub(crate) time: String,
     pub(crate) text: String,
@@ -28,41 +28,42 @@
 }
 
 impl LogLine {
-    /// Gives a field that holds a number.
+    /// Returns the number in a field, or 0.
     pub(crate) fn u64_field(&self, field: &str) -> u64 {
         self.fields.get(field).and_then(Json::as_u64).unwrap_or(0)
     }
 
-    /// Gives a field that holds text.
+    /// Returns the string in a field, or an empty one.
     pub(crate) fn str_field(&self, field: &str) -> &str {
         self.fields.get(field).and_then(Json::as_str).unwrap_or("")
     }
 
-    /// Says whether a field is true.
+    /// Returns whether a field is `true`.
     pub(crate) fn is_true(&self, field: &str) -> bool {
         self.fields.get(field).and_then(Json::as_bool) == Some(true)
     }
 }
 
-/// What was read of all files.
+/// The content of all log files.
 #[derive(Default)]
 pub(crate) struct Logs {
-    /// The lines in the order of their times.
+    /// The lines, sorted by time.
     pub(crate) lines: Vec<LogLine>,
-    /// Lines that are no JSON objects, by file.
+    /// The number of lines that are not JSON objects, by file.
     pub(crate) invalid_lines: BTreeMap<String, usize>,
-    /// Lines that daemons dropped, by VM.
+    /// The number of lines that daemons dropped, by VM.
     pub(crate) dropped_lines: BTreeMap<String, u64>,
-    /// Files that hold lines of several VMs, some of which don't name theirs.
+    /// Files with lines of several VMs, some of which don't name their VM.
     pub(crate) ambiguous_files: BTreeSet<String>,
 }
 
 impl Logs {
-    /// Reads logs. Their lines may have other text in front, as a collector adds it.
+    /// Reads log files. A line may start with other text before its JSON, such as a log collector's
+    /// prefix.
     ///
     /// # Errors
     ///
-    /// Fails where a file can't be read.
+    /// Returns [`CliError::File`] if a file can't be read.
     pub(crate) fn read(files: &[String]) -> Result<Self, CliError> {
         let mut logs = Self::default();
         for file in files {
@@ -105,8 +106,8 @@
     }
 }
 
-/// Makes a line of what was read. One that doesn't name its VM is taken for one of `vm`, the VM
-/// that the file named last.
+/// Converts a JSON object to a line. A line without a VM is attributed to `vm`, the VM that the
+/// file named last.
 fn parse_line(
     mut object: Map<String, Json>,
     vm: &mut String,
--- a/crates/cli/src/ops/losses.rs
+++ b/crates/cli/src/ops/losses.rs
@@ -1,4 +1,5 @@
-//! Why requests were not answered in time, from the logs of VMs. It needs no daemon.
+//! The `losses` command: why requests were not answered in time, from the logs of VMs. It needs no
+//! daemon.
 
 use std::collections::{BTreeMap, HashMap};
 use std::fmt::Write;
@@ -11,16 +12,16 @@
 use crate::parse::Invocation;
 use crate::report::Report;
 
-/// How many times the expected time an answer took of which neither the way nor the server's
-/// queue was the cause: the work without a kept object takes three to four times as long.
+/// An answer that took this many times its expected time counts as slow at the server, not as
+/// network or queueing delay: work without a cached object takes three to four times as long.
 const SLOW_ANSWER_FACTOR: u64 = 2;
-/// Characters of a time that name its second.
+/// The length of a timestamp's prefix down to the second, in bytes.
 const SECOND_PREFIX_LEN: usize = 19;
 
-/// How often something happened.
+/// Numbers of requests by key.
 type Counts = BTreeMap<String, u64>;
 
-/// The requests that were refused, failed or late, counted in four ways.
+/// The numbers of requests that were refused, failed or late, by four keys.
 #[derive(Default)]
 struct Losses {
     by_reason: Counts,
@@ -29,7 +30,7 @@
     by_vm: Counts,
 }
 
-/// Splits the requests that were not answered in time by reason, moment, route and VM.
+/// Counts the requests that were not answered in time by reason, second, route and VM.
 pub fn losses(invocation: &Invocation) -> Result<Report, CliError> {
     let logs = Logs::read(&invocation.args)?;
     let losses = count_losses(&logs);
@@ -79,7 +80,7 @@
     *counts.entry(key.to_owned()).or_default() += 1;
 }
 
-/// Says why a request was not answered in time; nothing where it was.
+/// Returns why a request was not answered in time, or `None` if it was.
 fn loss_reason(ended: &LogLine, sends: &[&LogLine]) -> Option<String> {
     let cause = ended.str_field("cause");
     match ended.str_field("outcome") {
@@ -135,7 +136,7 @@
     text
 }
 
-/// Writes counts, the largest first; moments stay in their order.
+/// Appends a table of counts, the largest first; seconds stay in order of time.
 fn push_table(text: &mut String, name: &str, counts: &Counts, lost: u64) {
     let mut rows: Vec<(&String, &u64)> = counts.iter().collect();
     if name != "second" {
--- a/crates/cli/src/ops/metrics_address.rs
+++ b/crates/cli/src/ops/metrics_address.rs
@@ -1,4 +1,4 @@
-//! Calls on daemons' metrics addresses.
+//! Requests to daemons' metrics addresses.
 
 use std::net::SocketAddr;
 
@@ -9,12 +9,12 @@
 
 use crate::error::{CliError, InvalidAnswerSnafu, RefusedSnafu};
 
-/// The longest answer, in bytes: 200 for each of 40,000 rows.
+/// The maximum size of an answer, in bytes: 200 bytes for each of 40,000 rows.
 const MAX_ANSWER_BYTES: usize = 8 << 20;
-/// The longest cause of a refusal that is shown, in bytes.
+/// The maximum size of an error response's body, in bytes; a longer one is not shown.
 const MAX_ERROR_BYTES: usize = 1 << 10;
 
-/// Reads addresses from the command line.
+/// Parses the addresses of the command line.
 pub(super) fn parse_all(args: &[String]) -> Result<Vec<SocketAddr>, CliError> {
     let parse = |text: &String| {
         let invalid = |_| {
@@ -26,7 +26,7 @@
     args.iter().map(parse).collect()
 }
 
-/// Sends a request that may be sent twice, and reads the JSON of its answer.
+/// Sends an idempotent request and parses its answer as JSON.
 pub(super) async fn query<T: DeserializeOwned>(
     address: SocketAddr,
     head: RequestHead,
--- a/crates/cli/src/ops/mod.rs
+++ b/crates/cli/src/ops/mod.rs
@@ -1,4 +1,4 @@
-//! What each command does.
+//! Implementations of the commands.
 
 mod accounts;
 mod change;
@@ -25,11 +25,11 @@
 use crate::parse::Invocation;
 use crate::report::Report;
 
-/// Runs a command to its end.
+/// Runs a command and returns its report.
 ///
 /// # Errors
 ///
-/// Gives the [`CliError`] of what failed.
+/// Returns the [`CliError`] of the step that failed.
 pub fn run(invocation: &Invocation, env: &Env) -> Result<Report, CliError> {
     match invocation.command {
         Command::NewKey => return key::new_key(invocation),
--- a/crates/cli/src/ops/read.rs
+++ b/crates/cli/src/ops/read.rs
@@ -1,4 +1,4 @@
-//! Commands that read settings and their history.
+//! Commands that read settings and their history: `get`, `effective`, `diff`, `history`, `audit`.
 
 use heatherknot_operator::api::{
     AuditAnswer, DiffAnswer, DiffRequest, EffectiveAnswer, GetAnswer, HistoryAnswer,
@@ -106,7 +106,7 @@
     })
 }
 
-/// Writes one entry of the audit trail.
+/// Formats one entry of the audit trail.
 pub fn format_entry(entry: &AuditEntry) -> String {
     let head = format!(
         "{}  {}  {} (key {}, command {})\n",
--- a/crates/cli/src/ops/rejected.rs
+++ b/crates/cli/src/ops/rejected.rs
@@ -1,4 +1,5 @@
-//! Lists requests under which backend servers ended, and releases them.
+//! The `rejected` and `release` commands: list requests during which backend servers ended, and
+//! allow rejected ones to run again.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -26,10 +27,10 @@
 use crate::parse::Invocation;
 use crate::report::Report;
 
-/// Who releases requests where no name is given.
+/// The operator's name in a release without `--holder`.
 const DEFAULT_OPERATOR: &str = "unnamed";
 
-/// One request, and the daemons that know of it.
+/// The status of one suspected or rejected request, and the daemons that reported it.
 #[derive(Debug, Serialize)]
 struct SuspectRow {
     #[serde(flatten)]
@@ -37,7 +38,7 @@
     daemons: Vec<SocketAddr>,
 }
 
-/// Lists what the daemons at the given metrics addresses know.
+/// Lists the suspected and rejected requests of the daemons at the given metrics addresses.
 pub(super) fn rejected(invocation: &Invocation) -> Result<Report, CliError> {
     let addresses = metrics_address::parse_all(&invocation.args)?;
     let timeout = invocation.options.timeout()?;
@@ -52,7 +53,7 @@
         .fold(report, |report, cause| report.with_note(cause)))
 }
 
-/// Releases requests at the first daemon that answers, which tells the others.
+/// Releases requests at the first daemon that answers; it forwards the release to the others.
 pub(super) fn release(invocation: &Invocation, env: &Env) -> Result<Report, CliError> {
     let Some((target, addresses)) = invocation.args.split_first() else {
         return Err(CliError::usage(
@@ -145,9 +146,11 @@
     for address in addresses {
         let mut head = RequestHead::new(Method::POST, Uri::from_static(RELEASE_PATH));
         let value = HeaderValue::try_from(format!("Bearer {token}"));
-        head.headers
-            .insert(AUTHORIZATION, value.expect("a token is hexadecimal digits"));
-        let body = serde_json::to_vec(release).expect("a release always serialises");
+        head.headers.insert(
+            AUTHORIZATION,
+            value.expect("a token consists of hexadecimal digits"),
+        );
+        let body = serde_json::to_vec(release).expect("a release request always serializes");
         match metrics_address::query(*address, head, Body::full(body), timeout).await {
             Ok(statuses) => return Ok((*address, statuses)),
             Err(CliError::NoAnswer { causes: cause }) => causes.push(cause),
--- a/crates/cli/src/ops/replay.rs
+++ b/crates/cli/src/ops/replay.rs
@@ -1,4 +1,4 @@
-//! Replaying traces. It needs no daemon.
+//! The `replay` command. It needs no daemon.
 
 use heatherknot_replay::report::{Checked, TraceReport};
 use heatherknot_replay::{Options, RunReport, run};
@@ -10,7 +10,8 @@
 use crate::parse::Invocation;
 use crate::report::Report;
 
-/// Replays the traces that the command line names. Fails where a stated outcome doesn't hold.
+/// Replays the traces of the command line. The exit code is [`Exit::Failed`] if a stated outcome
+/// doesn't hold.
 pub fn replay(invocation: &Invocation) -> Result<Report, CliError> {
     let options = &invocation.options;
     let replayed = run(&Options {
--- a/crates/cli/src/ops/report.rs
+++ b/crates/cli/src/ops/report.rs
@@ -1,4 +1,4 @@
-//! Commands that show what the daemons do.
+//! Commands that show the daemons' state: `status`, `explain` and `whoami`.
 
 use heatherknot_operator::api::{
     DaemonStatus, ExplainAnswer, ExplainRequest, RevisionCount, StatusAnswer, WhoAmIAnswer,
@@ -12,7 +12,7 @@
 use crate::parse::Invocation;
 use crate::report::Report;
 
-/// Shows which revision is in force where.
+/// Shows which revision is in force on each daemon.
 pub async fn status(client: &Client) -> Result<Report, CliError> {
     let answer: StatusAnswer = client.call("status", &json!({})).await?;
     let mut human = format_counts(&answer.counts);
@@ -32,7 +32,7 @@
     Ok(Report::new(Exit::Ok, human, &answer))
 }
 
-/// Writes how many daemons have which revision.
+/// Formats the number of daemons on each revision.
 pub fn format_counts(counts: &[RevisionCount]) -> String {
     let lines = counts.iter();
     lines
@@ -52,7 +52,7 @@
     ]
 }
 
-/// Explains where a caller goes.
+/// Explains how the requests of a caller are routed.
 pub async fn explain(client: &Client, invocation: &Invocation) -> Result<Report, CliError> {
     let req = ExplainRequest {
         service: invocation.args[0].clone(),
@@ -75,7 +75,7 @@
     Ok(Report::new(Exit::Ok, human, &answer))
 }
 
-/// Shows what the key may do.
+/// Shows the holder, the rights and the branch of the operator's key.
 pub async fn whoami(client: &Client) -> Result<Report, CliError> {
     let answer: WhoAmIAnswer = client.call("whoami", &json!({})).await?;
     let branch = if answer.branch.is_empty() {
--- a/crates/cli/src/ops/trace.rs
+++ b/crates/cli/src/ops/trace.rs
@@ -1,4 +1,4 @@
-//! The story of one request, from the logs of several VMs. It needs no daemon.
+//! The `trace` command: the log lines of one request across VMs. It needs no daemon.
 
 use std::collections::BTreeMap;
 use std::fmt::Write;
@@ -12,7 +12,7 @@
 use crate::parse::Invocation;
 use crate::report::Report;
 
-/// Tells the story of the request that the command line names.
+/// Shows the log lines of a request in order of time, and which lines may be missing.
 pub fn trace(invocation: &Invocation) -> Result<Report, CliError> {
     let [id, files @ ..] = invocation.args.as_slice() else {
         return Err(CliError::usage(
@@ -42,7 +42,7 @@
     Ok(Report::new(exit, text, &found))
 }
 
-/// Says which lines of the story can't be there.
+/// Returns reasons why lines of the request may be missing.
 fn find_missing(logs: &Logs, request_lines: &[&LogLine]) -> Vec<String> {
     let mut missing = Vec::new();
     let ended = request_lines.iter().find(|line| line.text == REQUEST_ENDED);
@@ -52,8 +52,8 @@
         .count() as u64;
     match ended {
         None => missing.push(
-            "no line of the request's end: it went well and was not sampled, the daemon \
-             crashed before its end, or no file is of the VM that took it"
+            "no line of the request's end: it succeeded and was not sampled, the daemon \
+             crashed before its end, or there is no log of the VM that received it"
                 .to_owned(),
         ),
         Some(line) => {
@@ -77,7 +77,8 @@
     missing
 }
 
-/// Gives the last word before the request's end of each thing that its VM believed.
+/// Returns the latest line of each message and subject (upstream, domain, region, store or VM)
+/// that the request's VM logged up to the request's last line. Lines of requests are left out.
 fn state_before_end<'a>(logs: &'a Logs, request_lines: &[&LogLine]) -> Vec<&'a LogLine> {
     let Some(last) = request_lines.last() else {
         return Vec::new();
--- a/crates/cli/src/ops/wait.rs
+++ b/crates/cli/src/ops/wait.rs
@@ -1,4 +1,4 @@
-//! Waiting until a revision is in force on every daemon.
+//! The `wait` command: waits until a revision is in force on every daemon.
 
 use heatherknot_operator::api::{MAX_WAIT_MS, WaitAnswer, WaitRequest};
 use heatherknot_types::prelude::*;
@@ -11,10 +11,10 @@
 use crate::parse::Invocation;
 use crate::report::Report;
 
-/// The part of the time left that the last call may not use, so that its answer still comes.
+/// The time kept free at the end of the timeout, so that the last answer arrives before it.
 const ANSWER_MARGIN: Millis = Millis(500);
 
-/// Waits as the command line says.
+/// Waits for the revision of the command line.
 pub async fn wait(client: &Client, invocation: &Invocation) -> Result<Report, CliError> {
     let target = revision("REVISION", &invocation.args[0])?;
     let answer = wait_until_in_force(client, target).await?;
@@ -30,7 +30,7 @@
     })
 }
 
-/// Waits until a revision is in force on every daemon or the client's time is over.
+/// Waits until a revision is in force on every daemon or the client's timeout expires.
 pub async fn wait_until_in_force(
     client: &Client,
     target: Revision,
--- a/crates/cli/src/options.rs
+++ b/crates/cli/src/options.rs
@@ -6,58 +6,58 @@
 
 use crate::error::CliError;
 
-/// An option.
+/// An option of the command line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Opt {
-    /// Addresses of daemons.
+    /// `--server`: the operators' address of a daemon; may be repeated.
     Server,
-    /// The file that holds the operator's key.
+    /// `--key-file`: the file that holds the operator's key.
     KeyFile,
-    /// Print JSON.
+    /// `--json`: print JSON.
     Json,
-    /// How long to try.
+    /// `--timeout`: how long to try, in seconds.
     Timeout,
-    /// The revision that the operator had before them.
+    /// `--base`: the revision that the change is based on, for detecting conflicts.
     Base,
-    /// The identifier of the command.
+    /// `--command-id`: an identifier that makes a repeated change take effect once.
     CommandId,
-    /// Check only.
+    /// `--dry-run`: check the change without making it.
     DryRun,
-    /// Wait until the change is in force everywhere.
+    /// `--wait`: wait until the change is in force on every daemon.
     Wait,
-    /// A path in the tree.
+    /// `--path`: a path in the settings tree.
     Path,
-    /// Only what comes after a revision.
+    /// `--after`: list only changes after this revision.
     After,
-    /// The most entries.
+    /// `--limit`: the maximum number of changes to look at.
     Limit,
-    /// The branch of a new key.
+    /// `--branch`: the branch of a new key.
     Branch,
-    /// The rights of a new key.
+    /// `--rights`: the rights of a new key, separated by commas.
     Rights,
-    /// Who holds a new key.
+    /// `--holder`: who holds a new key, or who releases requests.
     Holder,
-    /// The file for the secret of a new key.
+    /// `--secret-file`: the file for the secret of a new key.
     SecretFile,
-    /// The policy of a replay.
+    /// `--policy`: the policy of a replay.
     Policy,
-    /// Replay under every policy.
+    /// `--compare`: replay under every policy.
     Compare,
-    /// The directory for charts.
+    /// `--charts`: the directory for charts of a replay.
     Charts,
-    /// `--around`.
+    /// `--around`: also show the last state that the VM logged before the request's end.
     Around,
 }
 
-/// How an option is written.
+/// The name, value and description of an option.
 pub struct OptSpec {
-    /// The option.
+    /// The option that this entry describes.
     pub opt: Opt,
     /// Its name after two hyphens.
     pub name: &'static str,
-    /// What its value is called; none for a flag.
+    /// The placeholder of its value in the help; `None` for a flag.
     pub value: Option<&'static str>,
-    /// What it does.
+    /// The description shown in the help.
     pub doc: &'static str,
 }
 
@@ -75,7 +75,7 @@
     }
 }
 
-/// Every option.
+/// Every option, in the order of [`Opt`].
 pub static OPTIONS: [OptSpec; 19] = [
     spec(
         Opt::Server,
@@ -191,25 +191,25 @@
 /// The options that every command takes.
 pub const COMMON: [Opt; 4] = [Opt::Server, Opt::KeyFile, Opt::Json, Opt::Timeout];
 
-/// How long the program tries where the command line doesn't say, in seconds.
+/// The timeout where `--timeout` is not given, in seconds.
 const DEFAULT_TIMEOUT_S: u64 = 20;
-/// The longest time to try, in seconds.
+/// The longest timeout, in seconds.
 const MAX_TIMEOUT_S: u64 = 24 * 3600;
 
 impl Opt {
-    /// Gives how the option is written.
+    /// Returns the option's entry in [`OPTIONS`].
     pub fn spec(self) -> &'static OptSpec {
         &OPTIONS[self as usize]
     }
 
-    /// Finds an option by its name.
+    /// Returns the option with the given name.
     pub fn find(name: &str) -> Option<Opt> {
         let mut specs = OPTIONS.iter();
         specs.find(|spec| spec.name == name).map(|spec| spec.opt)
     }
 }
 
-/// One option as it was given.
+/// One option of the command line with its value.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ParsedOption {
     /// The option.
@@ -218,57 +218,57 @@
     pub value: String,
 }
 
-/// The options that were given.
+/// The options of the command line.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Options {
-    /// In the order of the command line.
+    /// The options in the order of the command line, with repetitions.
     pub parsed: Vec<ParsedOption>,
 }
 
 impl Options {
-    /// Tells whether the option was given.
+    /// Returns whether the option is present.
     pub fn has(&self, opt: Opt) -> bool {
         self.parsed.iter().any(|option| option.opt == opt)
     }
 
-    /// Gives the value of an option; the last one counts.
+    /// Returns the value of an option: the last one where it is repeated.
     pub fn value(&self, opt: Opt) -> Option<&str> {
         self.values(opt).last()
     }
 
-    /// Gives every value of an option.
+    /// Returns every value of an option.
     pub fn values(&self, opt: Opt) -> impl Iterator<Item = &str> {
         let matching = self.parsed.iter().filter(move |option| option.opt == opt);
         matching.map(|option| option.value.as_str())
     }
 
-    /// Gives a number.
+    /// Returns the value of an option as a number.
     ///
     /// # Errors
     ///
-    /// Gives [`CliError::Usage`] where the value is none.
+    /// Returns [`CliError::Usage`] if the value is not a whole number.
     pub fn number(&self, opt: Opt) -> Result<Option<u64>, CliError> {
         let name = opt.spec().name;
         let read = |text| number(&format!("--{name}"), text);
         self.value(opt).map(read).transpose()
     }
 
-    /// Gives a revision.
+    /// Returns the value of an option as a revision.
     ///
     /// # Errors
     ///
-    /// Gives [`CliError::Usage`] where the value is none.
+    /// Returns [`CliError::Usage`] if the value is not a revision.
     pub fn revision(&self, opt: Opt) -> Result<Option<Revision>, CliError> {
         let name = opt.spec().name;
         let read = |text| revision(&format!("--{name}"), text);
         self.value(opt).map(read).transpose()
     }
 
-    /// Gives how long to try.
+    /// Returns the timeout.
     ///
     /// # Errors
     ///
-    /// Gives [`CliError::Usage`] where the value is no number of seconds up to a day.
+    /// Returns [`CliError::Usage`] if the value is not a number of seconds from 1 to a day.
     pub fn timeout(&self) -> Result<Millis, CliError> {
         let seconds = self.number(Opt::Timeout)?.unwrap_or(DEFAULT_TIMEOUT_S);
         if !(1..=MAX_TIMEOUT_S).contains(&seconds) {
@@ -278,11 +278,11 @@
         Ok(Millis(1000 * seconds))
     }
 
-    /// Gives the addresses of the daemons.
+    /// Returns the daemons' addresses: those of `--server`, or else of the environment.
     ///
     /// # Errors
     ///
-    /// Gives [`CliError::Usage`] where there are none, or one isn't an IP number and a port.
+    /// Returns [`CliError::Usage`] if there are none, or one isn't an IP number and a port.
     pub fn servers(&self, env_servers: Option<&str>) -> Result<Vec<SocketAddr>, CliError> {
         let mut texts: Vec<&str> = self.values(Opt::Server).collect();
         if texts.is_empty() {
@@ -301,21 +301,21 @@
     }
 }
 
-/// Reads a number of the command line.
+/// Parses a number of the command line.
 ///
 /// # Errors
 ///
-/// Gives [`CliError::Usage`] with the argument's name.
+/// Returns [`CliError::Usage`] with the argument's name if the text is invalid.
 pub fn number(name: &str, text: &str) -> Result<u64, CliError> {
     let error = |_| CliError::usage(format!("{name}: found `{text}`, expected a whole number"));
     text.parse().map_err(error)
 }
 
-/// Reads a revision of the command line, with or without its `r`.
+/// Parses a revision of the command line, with or without the prefix `r`.
 ///
 /// # Errors
 ///
-/// Gives [`CliError::Usage`] with the argument's name.
+/// Returns [`CliError::Usage`] with the argument's name if the text is invalid.
 pub fn revision(name: &str, text: &str) -> Result<Revision, CliError> {
     number(name, text.strip_prefix('r').unwrap_or(text)).map(Revision)
 }
--- a/crates/cli/src/parse.rs
+++ b/crates/cli/src/parse.rs
@@ -1,4 +1,4 @@
-//! From the arguments to a command.
+//! Parses the command line.
 
 use std::ffi::OsString;
 
@@ -9,31 +9,31 @@
 use crate::help;
 use crate::options::{COMMON, Opt, Options, ParsedOption};
 
-/// One command with its arguments and options.
+/// A command with its arguments and options.
 #[derive(Clone, Debug)]
 pub struct Invocation {
-    /// The command.
+    /// The command to run.
     pub command: Command,
-    /// Its arguments.
+    /// Positional arguments after the command's name.
     pub args: Vec<String>,
-    /// Its options.
+    /// The options, each of which the command accepts.
     pub options: Options,
 }
 
-/// What the arguments ask for.
+/// The result of parsing the command line.
 #[derive(Debug)]
 pub enum Parsed {
-    /// A text to print.
+    /// A help or version text to print.
     Help(String),
     /// A command to run.
     Run(Invocation),
 }
 
-/// Reads the arguments.
+/// Parses the arguments and checks them against the command's entry in the table.
 ///
 /// # Errors
 ///
-/// Gives [`CliError::Usage`].
+/// Returns [`CliError::Usage`] if the command line is invalid.
 pub fn parse(args: Vec<OsString>) -> Result<Parsed, CliError> {
     let mut positional: Vec<String> = Vec::new();
     let mut options = Options::default();
--- a/crates/cli/src/report.rs
+++ b/crates/cli/src/report.rs
@@ -1,25 +1,25 @@
-//! What a command has to say, for people and for programs.
+//! The result of a command, as text and as JSON.
 
 use serde::Serialize;
 use serde_json::Value as Json;
 
 use crate::exit::Exit;
 
-/// The outcome of a command.
+/// The result of a command.
 #[derive(Clone, Debug)]
 pub struct Report {
-    /// How the program ends.
+    /// The exit code.
     pub exit: Exit,
-    /// For people, with line ends.
+    /// The text for people, with line ends.
     pub human: String,
-    /// For programs.
+    /// The same result as JSON, for `--json`.
     pub json: Json,
-    /// For standard error, with line ends.
+    /// Notes for standard error, with line ends.
     pub notes: String,
 }
 
 impl Report {
-    /// Makes the report of an answer.
+    /// Creates a report from a text and a serializable answer.
     pub fn new(exit: Exit, human: String, answer: &impl Serialize) -> Report {
         Report {
             exit,
@@ -29,7 +29,7 @@
         }
     }
 
-    /// Adds a line for standard error.
+    /// Adds a line to the notes for standard error.
     #[must_use]
     pub fn with_note(mut self, note: &str) -> Report {
         self.notes.push_str(note);
@@ -37,7 +37,7 @@
         self
     }
 
-    /// Gives the JSON as text.
+    /// Returns the JSON as indented text.
     pub fn json_text(&self) -> String {
         format!("{:#}\n", self.json)
     }
--- a/crates/cli/tests/accounts.rs
+++ b/crates/cli/tests/accounts.rs
@@ -12,7 +12,7 @@
 use serde_json::{Value as Json, json};
 use support::{run_cli, stdout_json};
 
-/// Starts what answers like a daemon's metrics address, until the test's process ends.
+/// Starts a fake metrics address of a daemon that runs until the test process ends.
 fn daemon(page: Json) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
@@ -41,8 +41,10 @@
     })
 }
 
+/// Guards against showing a VM's partial status although the head of its failure domain reports
+/// the account's whole demand.
 #[test]
-fn the_daemon_that_collects_an_accounts_counts_is_shown() {
+fn the_status_with_the_accounts_demand_is_preferred() {
     let leaf = daemon(json!([account("north", None, Some(1.0))])).to_string();
     let head = daemon(json!([account("north", Some(61.0), Some(0.4))])).to_string();
 
@@ -61,8 +63,9 @@
     assert_eq!(stdout_json(&json)[0]["asked"], 61.0);
 }
 
+/// Guards against a wrong percentage for a daemon without reports from others.
 #[test]
-fn a_daemon_that_hears_nothing_goes_by_its_own_share() {
+fn an_account_without_a_part_is_shown_with_own_share() {
     let alone = daemon(json!([account("north", None, None)])).to_string();
 
     let shown = run_cli(&[], &["accounts", &alone]);
@@ -70,8 +73,9 @@
     assert!(shown.stdout.contains("own share"));
 }
 
+/// Guards against hiding the daemons that failed, and against failing because of one of several.
 #[test]
-fn daemons_that_do_not_answer_are_named_beside_those_that_do() {
+fn unreachable_daemons_are_named_on_stderr() {
     let free = TcpListener::bind("127.0.0.1:0")
         .unwrap()
         .local_addr()
--- a/crates/cli/tests/commands.rs
+++ b/crates/cli/tests/commands.rs
@@ -1,4 +1,4 @@
-//! Each command against a daemon on loopback.
+//! Tests the commands against a daemon on loopback.
 
 mod support;
 
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn a_word_needs_no_quotes_and_a_dry_run_changes_nothing() {
+fn an_unquoted_string_is_accepted_and_a_dry_run_changes_nothing() {
     let deployment = Deployment::default();
     let daemon = [daemon_with_layout(&deployment, "dry").address];
     let path = format!("{GALLERY}/class");
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn a_change_that_is_there_already_is_done() {
+fn a_change_without_effect_succeeds() {
     let deployment = Deployment::default();
     let daemon = [daemon_with_layout(&deployment, "same").address];
     run_cli(&daemon, &["drain", "place", "north-1"]);
@@ -117,7 +117,7 @@
 }
 
 #[test]
-fn status_wait_explain_and_whoami_report() {
+fn status_wait_explain_and_whoami_show_the_daemons_answers() {
     let deployment = Deployment::default();
     let daemon = [daemon_with_layout(&deployment, "status").address];
 
@@ -166,7 +166,7 @@
 }
 
 #[test]
-fn output_for_programs_is_json() {
+fn json_option_prints_results_and_errors_as_json() {
     let deployment = Deployment::default();
     let daemon = [daemon_with_layout(&deployment, "json").address];
 
@@ -197,7 +197,7 @@
 }
 
 #[test]
-fn a_new_key_is_drawn_added_and_used_without_its_secret_on_any_command_line() {
+fn a_new_key_is_generated_added_and_used_without_its_secret_on_any_command_line() {
     let deployment = Deployment::default();
     let daemon = daemon_with_layout(&deployment, "key");
     let secret_file = temp_file("comms.key");
@@ -255,7 +255,7 @@
 }
 
 #[test]
-fn a_file_that_is_no_json_is_named_with_the_place_of_the_fault() {
+fn invalid_json_is_reported_with_file_and_line() {
     let path = temp_file("broken.json");
     std::fs::write(&path, "{ \"schema\": 1,\n  oops }").unwrap();
 
--- a/crates/cli/tests/lost_answers.rs
+++ b/crates/cli/tests/lost_answers.rs
@@ -1,4 +1,4 @@
-//! What the program says when answers are lost: never more than it knows.
+//! Outcomes of changes whose answers are lost: never reported as more certain than they are.
 
 mod support;
 
@@ -24,18 +24,17 @@
 }
 
 #[test]
-fn with_no_daemon_reached_a_change_is_not_accepted() {
+fn a_change_that_reaches_no_daemon_is_not_accepted() {
     let output = run_cli(&[unused_address()], &set("1"));
 
     assert_eq!(output.exit, Exit::NotAccepted);
     assert!(output.stdout.contains("no daemon answered"));
 }
 
-// An operator's daemon dies after it got the request. Nobody can say whether the change was
-// made, so the program must neither say that it was nor that it wasn't, and must name the way
-// to find out.
+/// A daemon crashes after it received the request. The change may or may not have been made, so
+/// the program must report neither, and must say how to find out.
 #[test]
-fn with_its_answer_lost_a_change_is_unknown() {
+fn a_change_whose_answer_is_lost_is_unknown() {
     let output = run_cli(&[dropping_daemon()], &set("1"));
 
     assert_eq!(output.exit, Exit::Unknown);
@@ -46,8 +45,8 @@
     );
 }
 
-// The first daemon makes the change, but its answer never arrives. The program asks the next
-// daemon with the same identifier, which finds the change made and says so.
+/// The first daemon makes the change, but its answer is lost. The program must send the same
+/// identifier to the next daemon, which finds the accepted change instead of making it again.
 #[test]
 fn a_change_made_by_a_daemon_whose_answer_was_lost_is_found_through_another() {
     let deployment = Deployment::default();
@@ -62,10 +61,10 @@
     assert_eq!(deployment.changes(), 2);
 }
 
-// The first daemon's answer is lost and the second one refuses the change. The first one may
-// still be making it, so the refusal settles nothing.
+/// The first daemon's answer is lost and the second one refuses the change. The first one may
+/// still be making it, so the outcome must stay unknown.
 #[test]
-fn a_refusal_after_a_lost_answer_settles_nothing() {
+fn a_refusal_after_a_lost_answer_is_unknown() {
     let deployment = Deployment::default();
     let daemon = daemon_with_layout(&deployment, "refusal").address;
     let args = [
@@ -84,7 +83,7 @@
 }
 
 #[test]
-fn a_conflict_shows_the_change_that_came_first() {
+fn a_conflict_shows_the_earlier_change() {
     let deployment = Deployment::default();
     let one = daemon_with_layout(&deployment, "conflict").address;
     let two = deployment.start_daemon().address;
--- a/crates/cli/tests/rejected.rs
+++ b/crates/cli/tests/rejected.rs
@@ -15,10 +15,10 @@
 
 const FINGERPRINT: &str = "00112233445566778899aabbccddeeff";
 
-/// What a daemon was asked for: the path, the operator's word and the body.
+/// The requests that a daemon received: path, `authorization` header and body.
 type ReceivedRequests = Arc<Mutex<Vec<(String, String, String)>>>;
 
-/// Starts what answers like a daemon's metrics address, until the test's process ends.
+/// Starts a fake metrics address of a daemon that runs until the test process ends.
 fn daemon(page: Json) -> (SocketAddr, ReceivedRequests) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
@@ -54,8 +54,9 @@
     })
 }
 
+/// Guards against listing a request once for each daemon that reports it.
 #[test]
-fn what_several_daemons_know_is_one_row() {
+fn a_request_reported_by_several_daemons_is_one_row() {
     let daemons = [
         daemon(json!([suspect(true)])),
         daemon(json!([suspect(true)])),
@@ -79,6 +80,8 @@
     );
 }
 
+/// Guards against sending the deployment's secret instead of a token, and against a dry run that
+/// releases.
 #[test]
 fn a_release_names_the_operator_and_never_shows_the_secret() {
     let (address, received) = daemon(json!([suspect(true)]));
@@ -101,7 +104,7 @@
 }
 
 #[test]
-fn what_is_no_fingerprint_is_said_with_what_was_expected() {
+fn an_invalid_fingerprint_is_a_usage_error() {
     let output = run_cli(&[], &["release", "abc", "127.0.0.1:9"]);
 
     assert_eq!(output.exit, Exit::Usage);
--- a/crates/cli/tests/replay.rs
+++ b/crates/cli/tests/replay.rs
@@ -1,14 +1,14 @@
-//! The replay command: exit codes and output, not the decisions that are replayed.
+//! Tests the exit codes and output of `replay`, not the decisions that are replayed.
 
 mod support;
 
 use heatherknot_cli::exit::Exit;
 use support::{run_cli, stdout_json, temp_file};
 
-/// More requests than any trace has, so that no change of the decisions changes a verdict here.
+/// More requests than any trace has, so that changed decisions do not change these outcomes.
 const MANY: u64 = 1_000_000_000;
 
-/// Writes a short trace of the recorded ones that states one outcome on the requests refused.
+/// Writes a recorded trace with one stated outcome, on the number of refused requests.
 fn trace(name: &str, is: &str) -> String {
     let recorded = concat!(
         env!("CARGO_MANIFEST_DIR"),
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn a_trace_whose_outcome_fails_exits_with_1_and_says_so_to_programs() {
+fn a_trace_whose_outcome_fails_exits_with_1_and_reports_it_as_json() {
     let path = trace("fails.jsonl", "at-least");
 
     let output = run_cli(&[], &["--json", "replay", &path]);
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn a_file_that_is_no_trace_is_named() {
+fn an_invalid_trace_is_reported_with_its_file() {
     let path = temp_file("no-trace.jsonl");
     std::fs::write(&path, "{}\n").unwrap();
 
--- a/crates/cli/tests/support/mod.rs
+++ b/crates/cli/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Fixtures: daemons' operators' interfaces on loopback, over one store in memory.
+//! Fixtures: operators' interfaces of daemons on loopback, over one store in memory.
 #![allow(dead_code, reason = "each test file uses its own part of the fixtures")]
 
 use std::cell::RefCell;
@@ -25,20 +25,20 @@
 use heatherknot_types::prelude::*;
 use serde_json::{Value as Json, json};
 
-/// What the daemons have agreed on.
+/// The accepted changes and the commands that made them.
 #[derive(Default)]
 struct SharedStore {
     changes: Vec<Change>,
     commands: Vec<(CommandId, Revision)>,
 }
 
-/// A daemon that runs until the test's process ends.
+/// A daemon that runs until the test process ends.
 pub struct Daemon {
-    /// Where operators reach it.
+    /// The operators' address.
     pub address: SocketAddr,
 }
 
-/// Daemons over one store in memory.
+/// Daemons that share one store in memory.
 #[derive(Clone, Default)]
 pub struct Deployment {
     store: Arc<Mutex<SharedStore>>,
@@ -61,7 +61,7 @@
         Daemon { address }
     }
 
-    /// Gives the number of changes accepted.
+    /// Returns the number of accepted changes.
     pub fn changes(&self) -> usize {
         self.store.lock().unwrap().changes.len()
     }
@@ -198,7 +198,7 @@
     }
 }
 
-/// Gives the first operator's secret.
+/// Returns the first operator's secret.
 pub fn secret() -> String {
     new_key().secret
 }
@@ -214,12 +214,13 @@
     run(args.iter().map(OsString::from).collect(), &env)
 }
 
-/// Gives the JSON that a run printed.
+/// Parses the standard output of a run as JSON.
 pub fn stdout_json(output: &CommandOutput) -> Json {
     serde_json::from_str(&output.stdout).unwrap()
 }
 
-/// Gives a path for a file of one test, in the directory that the build keeps for tests.
+/// Returns the path of a file for one test in Cargo's directory for temporary test files, without
+/// an earlier file there.
 pub fn temp_file(name: &str) -> PathBuf {
     let dir = PathBuf::from(env!("CARGO_TARGET_TMPDIR"));
     let path = dir.join(format!("{}-{name}", std::process::id()));
@@ -227,7 +228,7 @@
     path
 }
 
-/// Writes the layout of Port Louis to a file and gives its path.
+/// Writes the layout of Port Louis to a file and returns its path.
 pub fn layout_file(name: &str) -> String {
     let path = temp_file(name);
     let layout = layouts::port_louis(layouts::unused_addresses());
@@ -243,7 +244,7 @@
     daemon
 }
 
-/// Listens on loopback, takes each connection's first bytes and closes it unanswered.
+/// Starts a listener that reads the first bytes of each connection and closes it without an answer.
 pub fn dropping_daemon() -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
@@ -256,7 +257,7 @@
     address
 }
 
-/// Passes each request to the daemon, waits for its answer and gives none of it to the caller.
+/// Starts a proxy that forwards each request to the daemon, reads its answer and drops it.
 pub fn answer_dropping_proxy(daemon: SocketAddr) -> SocketAddr {
     use std::io::Write as _;
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
@@ -274,8 +275,8 @@
     address
 }
 
-/// Gives an address on which nothing listens. The port is below those that the system hands
-/// out by itself: one taken from there and let go may be another test's a moment later.
+/// Returns an address on which nothing listens. The port is below the ephemeral range: a port of
+/// that range that was bound and closed may be taken by another test a moment later.
 pub fn unused_address() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 1))
 }
--- a/crates/cli/tests/trace.rs
+++ b/crates/cli/tests/trace.rs
@@ -1,4 +1,4 @@
-//! The story of a request from logs.
+//! Tests `trace` and `losses` on log files.
 
 mod support;
 
@@ -20,7 +20,7 @@
 {"timestamp":"t4","kv":{"id":"r-2"},"text":"request ended"}
 "#;
 
-/// Writes a log and gives its path.
+/// Writes a log file and returns its path.
 fn log_file(name: &str, text: &str) -> String {
     let path = temp_file(name);
     std::fs::write(&path, text).expect("the directory can be written");
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn a_story_is_told_in_order_with_what_is_missing() {
+fn lines_are_in_order_of_time_and_missing_ones_are_reported() {
     let (first, second) = (
         log_file("trace-first", FIRST_VM),
         log_file("trace-second", SECOND_VM),
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn what_the_vm_believed_is_what_it_said_before_the_end() {
+fn around_shows_the_last_state_logged_before_the_end() {
     let first = log_file("trace-around", FIRST_VM);
     let output = run_cli(&[], &["trace", "--json", "--around", "r-1", &first]);
     let around = stdout_json(&output)["around"].to_string();
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn a_request_that_no_log_knows_and_a_file_that_is_not_there_are_told() {
+fn an_unknown_request_and_an_absent_file_are_errors() {
     let first = log_file("trace-none", FIRST_VM);
     let unknown = run_cli(&[], &["trace", "r-9", &first]);
     assert_eq!(unknown.exit, Exit::Failed);
@@ -77,10 +77,10 @@
 {"vm":"south-1","run":"2","timestamp":"2026-01-02 10:00:03.2","kv":{"id":"r-4","sends":1,"outcome":"answered","took_ms":100,"target_ms":400,"route":"maps"},"text":"request ended"}
 "#;
 
-/// Story: a collector joins the logs of all VMs. Each line was told as one of the VM that started
-/// last, so the story of a request led to the wrong VM.
+/// A log collector joins the logs of all VMs. Guards against attributing each line to the VM that
+/// started last, which showed requests at the wrong VM.
 #[test]
-fn lines_of_joined_logs_are_told_as_their_own_vms() {
+fn lines_of_joined_logs_are_attributed_to_their_own_vms() {
     let joined = log_file("trace-joined", JOINED);
     let output = run_cli(&[], &["trace", "r-1", &joined]);
     assert!(
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn joined_logs_that_name_no_vm_are_said_to_be_untellable() {
+fn joined_logs_without_vm_names_are_reported_as_ambiguous() {
     let text = JOINED.replace(r#""vm":"north-1","run":"1","#, "");
     let joined = log_file("trace-unnamed", &text);
     let output = run_cli(&[], &["trace", "r-1", &joined]);
@@ -100,7 +100,7 @@
 }
 
 #[test]
-fn losses_are_split_by_reason_route_vm_and_moment() {
+fn losses_are_counted_by_reason_route_vm_and_second() {
     let joined = log_file("losses-joined", JOINED);
     let output = run_cli(&[], &["losses", "--json", &joined]);
     assert_eq!(output.exit, Exit::Ok, "{}", output.stderr);
--- a/crates/cli/tests/usage.rs
+++ b/crates/cli/tests/usage.rs
@@ -1,4 +1,4 @@
-//! Wrong command lines, and help.
+//! Tests invalid command lines and the help.
 
 mod support;
 
@@ -6,12 +6,12 @@
 use heatherknot_cli::{CommandOutput, run};
 use support::{run_cli, unused_address};
 
-fn bare(args: &[&str]) -> CommandOutput {
+fn run_without_env(args: &[&str]) -> CommandOutput {
     run(args.iter().map(Into::into).collect(), &Default::default())
 }
 
 #[test]
-fn wrong_command_lines_say_what_was_expected_and_exit_with_2() {
+fn invalid_command_lines_name_what_was_expected_and_exit_with_2() {
     let cases: [(&[&str], &str); 12] = [
         (&[], "no command given"),
         (&["reboot"], "unknown command `reboot`"),
@@ -58,8 +58,8 @@
 
 #[test]
 fn a_daemon_and_a_key_must_be_named() {
-    let no_server = bare(&["status"]);
-    let no_key = bare(&["status", "--server", "127.0.0.1:1"]);
+    let no_server = run_without_env(&["status"]);
+    let no_key = run_without_env(&["status", "--server", "127.0.0.1:1"]);
 
     assert!(no_server.exit == Exit::Usage && no_server.stderr.contains("HEATHERKNOT_SERVERS"));
     assert!(no_key.exit == Exit::Usage && no_key.stderr.contains("HEATHERKNOT_KEY_FILE"));
@@ -67,9 +67,9 @@
 
 #[test]
 fn help_lists_every_command_and_the_exit_codes() {
-    let overview = bare(&["--help"]);
-    let of_wait = bare(&["help", "wait"]);
-    let same = bare(&["wait", "--help"]);
+    let overview = run_without_env(&["--help"]);
+    let of_wait = run_without_env(&["help", "wait"]);
+    let same = run_without_env(&["wait", "--help"]);
 
     assert_eq!(overview.exit, Exit::Ok);
     for spec in &heatherknot_cli::command::COMMANDS {
@@ -84,8 +84,10 @@
     assert!(of_wait.stdout.contains("wait REVISION"));
 }
 
+/// The tables are indexed by discriminant. Guards against an entry out of order, with which a
+/// command or an option would have the description of another.
 #[test]
-fn every_command_and_option_stands_at_its_own_place_in_its_table() {
+fn tables_are_in_the_order_of_their_enums() {
     for spec in &heatherknot_cli::command::COMMANDS {
         assert_eq!(spec.command.spec().name, spec.name);
     }
