--- a/crates/cli/tests/commands.rs
+++ b/crates/cli/tests/commands.rs
@@ -10,6 +10,7 @@
 
 const GALLERY: &str = "utilities/port-louis:gallery";
 
+/// Guards against a set value that is shown with another path, unit or origin, or outlives `unset`.
 #[test]
 fn settings_are_set_shown_and_unset() {
     let deployment = Deployment::default();
@@ -39,6 +40,7 @@
     assert_eq!(gone.exit, Exit::Failed);
 }
 
+/// Guards against a dry run that makes the change, and against rejecting a string without quotes.
 #[test]
 fn an_unquoted_string_is_accepted_and_a_dry_run_changes_nothing() {
     let deployment = Deployment::default();
@@ -58,6 +60,7 @@
     assert_eq!(deployment.changes(), 1);
 }
 
+/// Guards against a change that is missing in the history or the audit trail, or can't be undone.
 #[test]
 fn changes_are_listed_compared_and_undone() {
     let deployment = Deployment::default();
@@ -84,6 +87,7 @@
     assert!(!after.stdout.contains("queue_len"));
 }
 
+/// Guards against a repeated drain that fails or adds a revision.
 #[test]
 fn a_change_without_effect_succeeds() {
     let deployment = Deployment::default();
@@ -97,6 +101,7 @@
     assert_eq!(deployment.changes(), 2);
 }
 
+/// Guards against a kind of drain target that can't be drained or undrained.
 #[test]
 fn drains_start_and_end() {
     let deployment = Deployment::default();
@@ -116,6 +121,7 @@
     assert_eq!(deployment.changes(), 9);
 }
 
+/// Guards against fields of an answer that are lost or shown in the wrong column.
 #[test]
 fn status_wait_explain_and_whoami_show_the_daemons_answers() {
     let deployment = Deployment::default();
@@ -150,6 +156,7 @@
     );
 }
 
+/// Guards against `--wait` returning without saying that the change is in force.
 #[test]
 fn a_change_can_wait_until_it_is_in_force() {
     let deployment = Deployment::default();
@@ -165,6 +172,7 @@
     );
 }
 
+/// Guards against results and errors that a program can't parse with `--json`.
 #[test]
 fn json_option_prints_results_and_errors_as_json() {
     let deployment = Deployment::default();
@@ -196,6 +204,8 @@
     );
 }
 
+/// Guards against a secret on standard output or in a file that others can read, and against
+/// overwriting a secret.
 #[test]
 fn a_new_key_is_generated_added_and_used_without_its_secret_on_any_command_line() {
     let deployment = Deployment::default();
@@ -254,6 +264,7 @@
     );
 }
 
+/// Guards against a syntax error that doesn't name its file and line.
 #[test]
 fn invalid_json_is_reported_with_file_and_line() {
     let path = temp_file("broken.json");
@@ -268,6 +279,7 @@
     assert!(output.stderr.contains("broken.json") && output.stderr.contains("line 2"));
 }
 
+/// Guards against output that contains the operator's secret.
 #[test]
 fn the_secret_is_never_printed() {
     let deployment = Deployment::default();
--- a/crates/cli/tests/lost_answers.rs
+++ b/crates/cli/tests/lost_answers.rs
@@ -23,6 +23,7 @@
     args
 }
 
+/// Guards against an unknown outcome where no daemon can have received the change.
 #[test]
 fn a_change_that_reaches_no_daemon_is_not_accepted() {
     let output = run_cli(&[unused_address()], &set("1"));
@@ -82,6 +83,7 @@
     assert_eq!(stdout_json(&output)["outcome"], "unknown");
 }
 
+/// Guards against a conflict that doesn't show which change it is with.
 #[test]
 fn a_conflict_shows_the_earlier_change() {
     let deployment = Deployment::default();
@@ -104,6 +106,7 @@
     assert_eq!(behind.exit, Exit::Failed);
 }
 
+/// Guards against a read that fails although a later daemon can answer it.
 #[test]
 fn reads_are_answered_by_the_next_daemon() {
     let deployment = Deployment::default();
--- a/crates/cli/tests/rejected.rs
+++ b/crates/cli/tests/rejected.rs
@@ -103,6 +103,7 @@
     assert!(received[1].2.contains("\"dry_run\":true"));
 }
 
+/// Guards against sending an invalid fingerprint to daemons.
 #[test]
 fn an_invalid_fingerprint_is_a_usage_error() {
     let output = run_cli(&[], &["release", "abc", "127.0.0.1:9"]);
--- a/crates/cli/tests/replay.rs
+++ b/crates/cli/tests/replay.rs
@@ -27,6 +27,7 @@
     path.to_str().unwrap().to_string()
 }
 
+/// Guards against a replay that fails although the stated outcome holds.
 #[test]
 fn a_trace_whose_outcomes_hold_exits_with_0() {
     let path = trace("holds.jsonl", "at-most");
@@ -41,6 +42,7 @@
     );
 }
 
+/// Guards against a failed outcome that goes unnoticed by programs.
 #[test]
 fn a_trace_whose_outcome_fails_exits_with_1_and_reports_it_as_json() {
     let path = trace("fails.jsonl", "at-least");
@@ -56,6 +58,7 @@
     );
 }
 
+/// Guards against an error that doesn't name the invalid trace.
 #[test]
 fn an_invalid_trace_is_reported_with_its_file() {
     let path = temp_file("no-trace.jsonl");
--- a/crates/cli/tests/trace.rs
+++ b/crates/cli/tests/trace.rs
@@ -27,6 +27,7 @@
     path.to_str().expect("the path is text").to_owned()
 }
 
+/// Guards against lines in the order of the files, lines of other requests and silent gaps.
 #[test]
 fn lines_are_in_order_of_time_and_missing_ones_are_reported() {
     let (first, second) = (
@@ -44,6 +45,7 @@
     assert!(!output.stdout.contains("r-2"));
 }
 
+/// Guards against showing a state that the VM logged after the request's end.
 #[test]
 fn around_shows_the_last_state_logged_before_the_end() {
     let first = log_file("trace-around", FIRST_VM);
@@ -55,6 +57,7 @@
     );
 }
 
+/// Guards against exit code 0 where there are no lines of the request.
 #[test]
 fn an_unknown_request_and_an_absent_file_are_errors() {
     let first = log_file("trace-none", FIRST_VM);
@@ -91,6 +94,7 @@
     assert!(!output.stdout.contains("can't be told"));
 }
 
+/// Guards against lines that are attributed to a VM without a warning that it may be the wrong one.
 #[test]
 fn joined_logs_without_vm_names_are_reported_as_ambiguous() {
     let text = JOINED.replace(r#""vm":"north-1","run":"1","#, "");
@@ -99,6 +103,7 @@
     assert!(output.stdout.contains("can't be told"), "{}", output.stdout);
 }
 
+/// Guards against requests that are counted as lost although in time, or under the wrong key.
 #[test]
 fn losses_are_counted_by_reason_route_vm_and_second() {
     let joined = log_file("losses-joined", JOINED);
--- a/crates/cli/tests/usage.rs
+++ b/crates/cli/tests/usage.rs
@@ -10,6 +10,7 @@
     run(args.iter().map(Into::into).collect(), &Default::default())
 }
 
+/// Guards against an invalid command line that is run or reported without the reason.
 #[test]
 fn invalid_command_lines_name_what_was_expected_and_exit_with_2() {
     let cases: [(&[&str], &str); 12] = [
@@ -56,6 +57,7 @@
     }
 }
 
+/// Guards against running without a daemon or a key.
 #[test]
 fn a_daemon_and_a_key_must_be_named() {
     let no_server = run_without_env(&["status"]);
@@ -65,6 +67,7 @@
     assert!(no_key.exit == Exit::Usage && no_key.stderr.contains("HEATHERKNOT_KEY_FILE"));
 }
 
+/// Guards against a command that is missing in the help, and against two forms of help that differ.
 #[test]
 fn help_lists_every_command_and_the_exit_codes() {
     let overview = run_without_env(&["--help"]);
