--- a/crates/cli/src/client.rs
+++ b/crates/cli/src/client.rs
@@ -1,4 +1,4 @@
-//! Calls on the daemons, with the truth about those whose answer was lost.
+//! Calls to daemons. A change whose answer was lost is reported as unknown, not as failed.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -14,19 +14,19 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-use crate::error::{CliError, RefusedSnafu, UnreachedSnafu, UnreadableSnafu};
+use crate::error::{CliError, InvalidAnswerSnafu, NoAnswerSnafu, RefusedSnafu};
 
-/// The longest answer, in bytes.
-const MAX_ANSWER: usize = 64 << 20;
-/// The pause after every daemon was tried in vain.
-const ROUND_PAUSE: Duration = Duration::from_millis(200);
-/// The least time that one daemon gets for an answer, where so much is left.
-const MIN_TRY: Millis = Millis(2_000);
-/// The longest silence of a daemon: longer than its longest wait, and than the store takes to
-/// fail a change.
+/// The maximum size of an answer, in bytes.
+const MAX_ANSWER_BYTES: usize = 64 << 20;
+/// The pause before the daemons are tried again after all of them failed.
+const RETRY_PAUSE: Duration = Duration::from_millis(200);
+/// The minimum timeout of one attempt, limited by the time left.
+const MIN_ATTEMPT_TIME: Millis = Millis(2_000);
+/// How long a connection may be silent. It exceeds the longest wait of a daemon and the time after
+/// which the store fails a change.
 const SILENCE_LIMIT: Duration = Duration::from_secs(40);
 
-/// The daemons that a command may ask, all alike.
+/// A client of one or more daemons, each of which can serve every call.
 pub struct Client {
     pools: Vec<Pool>,
     token: HeaderValue,
@@ -34,36 +34,36 @@
     deadline: Millis,
 }
 
-/// What became of a change as far as the client knows.
+/// The result of a change as far as the client knows.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ChangeResult {
-    /// A daemon answered, and nothing was lost before.
+    /// A daemon's answer settles the change. A refusal does so only if no earlier answer was lost.
     Answered(ChangeResponse),
     /// It was refused, or reached no daemon.
     NotAccepted(String),
-    /// A daemon answered that it can't reach the store. This try has changed nothing; of an
-    /// earlier run of the same command it says nothing.
-    NoStore(String),
-    /// An answer was lost, and no later one settles it.
+    /// A daemon answered that it can't reach the store. This attempt changed nothing, but an
+    /// earlier run of the same command may have.
+    StoreUnavailable(String),
+    /// An answer was lost, and no later answer settled the outcome.
     Unknown(String),
 }
 
-/// One try of a call.
-enum Try {
-    /// The daemon's whole answer.
+/// The result of sending a call to one daemon.
+enum AttemptResult {
+    /// The daemon's complete answer.
     Answer(StatusCode, Vec<u8>),
-    /// The daemon did not get the call.
+    /// The daemon did not run the call.
     NotSent(String),
-    /// The daemon may have got the call.
-    Lost(String),
+    /// The daemon may have run the call.
+    MaybeSent(String),
 }
 
 impl Client {
-    /// Makes a client that tries until the timeout is over.
+    /// Creates a client whose calls share one timeout.
     ///
     /// # Errors
     ///
-    /// Gives [`CliError::Usage`] where the key can't stand in a header.
+    /// Returns [`CliError::Usage`] if the key is not a valid header value.
     pub fn new(
         servers: &[SocketAddr],
         secret: &str,
@@ -86,73 +86,83 @@
         })
     }
 
-    /// Gives the time left.
+    /// Returns the time left until the deadline.
     pub fn time_left(&self) -> Millis {
         self.deadline.since(self.clock.now())
     }
 
-    /// Asks the daemons in turn until one answers. For calls that change nothing.
+    /// Sends a call that changes nothing to the daemons in turn until one answers.
     ///
     /// # Errors
     ///
-    /// Gives [`CliError::Refused`], [`CliError::Unreadable`], or [`CliError::Unreached`] where
+    /// Returns [`CliError::Refused`], [`CliError::InvalidAnswer`], or [`CliError::NoAnswer`] if
     /// each daemon failed once.
     pub async fn call<T: DeserializeOwned>(
         &self,
         call: &str,
         req: &impl Serialize,
     ) -> Result<T, CliError> {
-        self.call_for(call, req, Millis(0)).await
+        self.call_with_server_wait(call, req, Millis(0)).await
     }
 
-    /// Does the same for a call that the daemon answers only after the given time.
+    /// Like [`call`](Self::call), for a call whose answer the daemon may delay by `server_wait`.
     ///
     /// # Errors
     ///
-    /// Gives what [`call`](Self::call) gives.
-    pub async fn call_for<T: DeserializeOwned>(
+    /// Returns the errors of [`call`](Self::call).
+    pub async fn call_with_server_wait<T: DeserializeOwned>(
         &self,
         call: &str,
         req: &impl Serialize,
-        takes: Millis,
+        server_wait: Millis,
     ) -> Result<T, CliError> {
         let mut causes = Vec::new();
         for pool in &self.pools {
             let peer = pool.address();
-            match self.attempt(pool, call, req, self.try_time() + takes).await {
-                Try::Answer(StatusCode::OK, body) => return read(peer, &body),
-                Try::Answer(status, body) => {
+            match self
+                .attempt(pool, call, req, self.attempt_timeout() + server_wait)
+                .await
+            {
+                AttemptResult::Answer(StatusCode::OK, body) => return parse_answer(peer, &body),
+                AttemptResult::Answer(status, body) => {
                     let error = error_text(status, &body);
                     return RefusedSnafu { peer, error }.fail();
                 }
-                Try::NotSent(cause) | Try::Lost(cause) => causes.push(cause),
+                AttemptResult::NotSent(cause) | AttemptResult::MaybeSent(cause) => {
+                    causes.push(cause)
+                }
             }
         }
         let causes = causes.join("; ");
-        UnreachedSnafu { causes }.fail()
+        NoAnswerSnafu { causes }.fail()
     }
 
-    /// Asks for a change until its outcome is known or the time is over. Every try carries the
+    /// Sends a change until its outcome is known or the timeout expires. Every attempt carries the
     /// same command identifier, so that the daemons make the change at most once.
     pub async fn change(&self, req: &ChangeRequest) -> ChangeResult {
         let mut lost: Option<String> = None;
         let mut failed = Vec::new();
         loop {
             for pool in &self.pools {
-                match self.attempt(pool, "change", req, self.try_time()).await {
-                    Try::NotSent(cause) => failed.push(cause),
-                    Try::Lost(cause) => lost = Some(cause),
-                    Try::Answer(status, body) => match judge(pool.address(), status, &body) {
-                        Judged::Final(answer) => return ChangeResult::Answered(answer),
-                        Judged::Unknown(cause) => lost = Some(cause),
-                        Judged::Refused(result) => return after_loss(result, lost),
-                    },
+                match self
+                    .attempt(pool, "change", req, self.attempt_timeout())
+                    .await
+                {
+                    AttemptResult::NotSent(cause) => failed.push(cause),
+                    AttemptResult::MaybeSent(cause) => lost = Some(cause),
+                    AttemptResult::Answer(status, body) => {
+                        match classify_reply(pool.address(), status, &body) {
+                            ChangeReply::Final(answer) => return ChangeResult::Answered(answer),
+                            ChangeReply::Unknown(cause) => lost = Some(cause),
+                            ChangeReply::Refused(result) => return resolve_refusal(result, lost),
+                        }
+                    }
                 }
             }
-            if self.time_left() <= Millis(ROUND_PAUSE.as_millis() as u64) {
+            if self.time_left() <= Millis(RETRY_PAUSE.as_millis() as u64) {
                 break;
             }
-            monoio::time::sleep(ROUND_PAUSE).await;
+            monoio::time::sleep(RETRY_PAUSE).await;
         }
         match lost {
             Some(cause) => ChangeResult::Unknown(cause),
@@ -163,17 +173,23 @@
         }
     }
 
-    /// Gives the time for one try. A connection or a daemon may be silent for good, so no
-    /// single try gets all the time there is.
-    fn try_time(&self) -> Millis {
-        let tries = self.pools.len() as u64 + 1;
-        Millis(self.time_left().0 / tries).max(MIN_TRY)
+    /// Returns the timeout of one attempt: a part of the time left, because a connection or a
+    /// daemon may never answer.
+    fn attempt_timeout(&self) -> Millis {
+        let attempts = self.pools.len() as u64 + 1;
+        Millis(self.time_left().0 / attempts).max(MIN_ATTEMPT_TIME)
     }
 
-    async fn attempt(&self, pool: &Pool, call: &str, req: &impl Serialize, limit: Millis) -> Try {
+    async fn attempt(
+        &self,
+        pool: &Pool,
+        call: &str,
+        req: &impl Serialize,
+        limit: Millis,
+    ) -> AttemptResult {
         let body = match serde_json::to_vec(req) {
             Ok(body) => Body::full(body),
-            Err(error) => return Try::NotSent(error.to_string()),
+            Err(error) => return AttemptResult::NotSent(error.to_string()),
         };
         let uri = Uri::try_from(format!("{PATH_PREFIX}{call}")).unwrap_or_default();
         let mut head = RequestHead::new(Method::POST, uri);
@@ -186,71 +202,72 @@
             new_connection: true,
         };
         match pool.send(head, body, options).await {
-            Ok(response) => whole(pool.address(), response).await,
+            Ok(response) => read_response(pool.address(), response).await,
             Err(error) => match error.send_progress() {
-                SendProgress::NotSent => Try::NotSent(error.to_string()),
-                SendProgress::MaybeSent => Try::Lost(error.to_string()),
+                SendProgress::NotSent => AttemptResult::NotSent(error.to_string()),
+                SendProgress::MaybeSent => AttemptResult::MaybeSent(error.to_string()),
             },
         }
     }
 }
 
-/// Reads the whole answer. An answer that breaks off says nothing about a change.
-async fn whole(peer: SocketAddr, response: Response) -> Try {
+/// Reads the complete answer. A truncated answer leaves the outcome of a change unknown.
+async fn read_response(peer: SocketAddr, response: Response) -> AttemptResult {
     let outcome = response.headers.get(OUTCOME_HEADER);
-    let not_run = outcome.is_some_and(|value| value == Outcome::NotRun.as_str());
-    if not_run {
-        return Try::NotSent(format!("{peer}: the daemon is full"));
+    let is_not_run = outcome.is_some_and(|value| value == Outcome::NotRun.as_str());
+    if is_not_run {
+        return AttemptResult::NotSent(format!("{peer}: the daemon is full"));
     }
-    match response.body.collect(MAX_ANSWER).await {
-        Ok(body) => Try::Answer(response.status, body.to_vec()),
-        Err(error) => Try::Lost(format!("{peer}: {error}")),
+    match response.body.collect(MAX_ANSWER_BYTES).await {
+        Ok(body) => AttemptResult::Answer(response.status, body.to_vec()),
+        Err(error) => AttemptResult::MaybeSent(format!("{peer}: {error}")),
     }
 }
 
-/// What one answer to a change says.
-enum Judged {
+/// The meaning of one daemon's answer to a change.
+enum ChangeReply {
     Final(ChangeResponse),
     Unknown(String),
     Refused(ChangeResult),
 }
 
-fn judge(peer: SocketAddr, status: StatusCode, body: &[u8]) -> Judged {
+fn classify_reply(peer: SocketAddr, status: StatusCode, body: &[u8]) -> ChangeReply {
     if let Ok(answer) = serde_json::from_slice::<ChangeResponse>(body) {
         return match answer.outcome {
             ChangeOutcome::Accepted | ChangeOutcome::Checked | ChangeOutcome::Unchanged => {
-                Judged::Final(answer)
+                ChangeReply::Final(answer)
             }
-            ChangeOutcome::NotAccepted => Judged::Refused(ChangeResult::Answered(answer)),
+            ChangeOutcome::NotAccepted => ChangeReply::Refused(ChangeResult::Answered(answer)),
             ChangeOutcome::Unknown => {
                 let reason = answer.reason.unwrap_or_default();
-                Judged::Unknown(format!("{peer}: {reason}"))
+                ChangeReply::Unknown(format!("{peer}: {reason}"))
             }
         };
     }
     if serde_json::from_slice::<ErrorResponse>(body).is_ok() {
         let error = format!("{peer}: {}", error_text(status, body));
-        return Judged::Refused(match status {
-            StatusCode::SERVICE_UNAVAILABLE => ChangeResult::NoStore(error),
+        return ChangeReply::Refused(match status {
+            StatusCode::SERVICE_UNAVAILABLE => ChangeResult::StoreUnavailable(error),
             _ => ChangeResult::NotAccepted(error),
         });
     }
-    Judged::Unknown(format!("{peer}: status {status} without an answer"))
+    ChangeReply::Unknown(format!("{peer}: status {status} without an answer"))
 }
 
-/// A refusal settles a change only where no earlier try of it was lost: the lost one may still
-/// be under way in another daemon, and take effect after this refusal.
-fn after_loss(refused: ChangeResult, lost: Option<String>) -> ChangeResult {
+/// Returns the result of a refused change. If the answer of an earlier attempt was lost, the result
+/// is unknown: another daemon may still be processing that attempt and accept the change after
+/// this refusal.
+fn resolve_refusal(refused: ChangeResult, lost: Option<String>) -> ChangeResult {
     match lost {
         None => refused,
         Some(cause) => ChangeResult::Unknown(cause),
     }
 }
 
-fn read<T: DeserializeOwned>(peer: SocketAddr, body: &[u8]) -> Result<T, CliError> {
+fn parse_answer<T: DeserializeOwned>(peer: SocketAddr, body: &[u8]) -> Result<T, CliError> {
     serde_json::from_slice(body).map_err(|error| {
         let problem = error.to_string();
-        UnreadableSnafu { peer, problem }.build()
+        InvalidAnswerSnafu { peer, problem }.build()
     })
 }
 
--- a/crates/cli/src/command.rs
+++ b/crates/cli/src/command.rs
@@ -1,21 +1,21 @@
-//! The commands.
+//! The table of commands.
 
 use crate::options::Opt;
 
-/// A command.
+/// A command of the client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Command {
     /// Shows the node at a path.
     Get,
-    /// Shows the settings in force at a node and where each comes from.
+    /// Shows the settings in force at a node and the origin of each.
     Effective,
-    /// Sets a value.
+    /// Sets the value at a path.
     Set,
     /// Removes a node.
     Unset,
-    /// Puts the content of a file at a node.
+    /// Replaces a node with the content of a JSON file.
     Apply,
-    /// Takes a change back.
+    /// Reverts a change as a new revision.
     Undo,
     /// Starts a drain.
     Drain,
@@ -23,74 +23,74 @@
     Undrain,
     /// Shows the difference between two revisions.
     Diff,
-    /// Lists changes.
+    /// Lists the changes of the key's branch.
     History,
-    /// Shows the audit trail.
+    /// Shows the audit trail and checks its hash chain.
     Audit,
-    /// Shows which revision is in force where.
+    /// Shows which revision is in force on each daemon.
     Status,
-    /// Waits until a revision is in force.
+    /// Waits until a revision is in force on every daemon.
     Wait,
-    /// Explains where a caller goes.
+    /// Explains how the requests of a caller are routed.
     Explain,
-    /// Shows who the operator is.
+    /// Shows the holder and the rights of the operator's key.
     WhoAmI,
-    /// Draws a new key.
+    /// Generates a new operator's key.
     NewKey,
-    /// Replays traces.
+    /// Replays traces and checks their stated outcomes.
     Replay,
-    /// Tells the story of a request from logs.
+    /// Shows the log lines of one request across VMs.
     Trace,
-    /// Splits the requests that were not answered in time, from logs.
+    /// Counts requests that were refused, failed or late, by reason, route, VM and second.
     Losses,
-    /// Shows what daemons know of client accounts.
+    /// Shows the limits and usage of client accounts as daemons report them.
     Accounts,
-    /// Lists requests under which servers ended.
+    /// Lists requests during which backend servers ended.
     Rejected,
-    /// Releases rejected requests.
+    /// Allows rejected requests to run again.
     Release,
 }
 
-/// How a command is written.
+/// The name, arguments and options of a command.
 pub struct CommandSpec {
-    /// The command.
+    /// The command that this entry describes.
     pub command: Command,
-    /// Its name.
+    /// The name on the command line.
     pub name: &'static str,
-    /// Its arguments, as the help shows them.
+    /// The arguments as shown in the help.
     pub args: &'static str,
-    /// The fewest arguments.
-    pub min: usize,
-    /// The most arguments.
-    pub max: usize,
-    /// Its options besides the common ones.
+    /// The minimum number of arguments.
+    pub min_args: usize,
+    /// The maximum number of arguments.
+    pub max_args: usize,
+    /// The options in addition to [`COMMON`](crate::options::COMMON).
     pub options: &'static [Opt],
-    /// What it does.
+    /// The description shown in the help.
     pub doc: &'static str,
 }
 
-const CHANGE: &[Opt] = &[Opt::Base, Opt::CommandId, Opt::DryRun, Opt::Wait];
-const APPLY: &[Opt] = &[Opt::Path, Opt::Base, Opt::CommandId, Opt::DryRun, Opt::Wait];
-const LIST: &[Opt] = &[Opt::After, Opt::Limit];
-const NEW_KEY: &[Opt] = &[Opt::Branch, Opt::Rights, Opt::Holder, Opt::SecretFile];
+const CHANGE_OPTIONS: &[Opt] = &[Opt::Base, Opt::CommandId, Opt::DryRun, Opt::Wait];
+const APPLY_OPTIONS: &[Opt] = &[Opt::Path, Opt::Base, Opt::CommandId, Opt::DryRun, Opt::Wait];
+const LIST_OPTIONS: &[Opt] = &[Opt::After, Opt::Limit];
+const NEW_KEY_OPTIONS: &[Opt] = &[Opt::Branch, Opt::Rights, Opt::Holder, Opt::SecretFile];
 
-const REPLAY: &[Opt] = &[Opt::Policy, Opt::Compare, Opt::Charts];
+const REPLAY_OPTIONS: &[Opt] = &[Opt::Policy, Opt::Compare, Opt::Charts];
 
-const TRACE: &[Opt] = &[Opt::Around];
-const RELEASE: &[Opt] = &[Opt::DryRun, Opt::Holder];
+const TRACE_OPTIONS: &[Opt] = &[Opt::Around];
+const RELEASE_OPTIONS: &[Opt] = &[Opt::DryRun, Opt::Holder];
 
-/// The most logs that one story is told from, and its identifier.
+/// The maximum number of arguments of `trace` (an identifier and 1024 logs) and of `losses`.
 const MAX_LOGS: usize = 1_025;
-/// The most daemons that one run asks.
+/// The maximum number of daemon addresses; `release` counts its first argument, too.
 const MAX_DAEMONS: usize = 1_024;
-/// The most traces that one run replays.
+/// The maximum number of traces of one replay.
 const MAX_TRACES: usize = 256;
 
 const fn spec(
     command: Command,
     name: &'static str,
     args: &'static str,
-    counts: (usize, usize),
+    arg_range: (usize, usize),
     options: &'static [Opt],
     doc: &'static str,
 ) -> CommandSpec {
@@ -98,14 +98,14 @@
         command,
         name,
         args,
-        min: counts.0,
-        max: counts.1,
+        min_args: arg_range.0,
+        max_args: arg_range.1,
         options,
         doc,
     }
 }
 
-/// Every command, in the order of the help.
+/// Every command, in the order of [`Command`], which is also that of the help.
 pub static COMMANDS: [CommandSpec; 22] = [
     spec(
         Command::Get,
@@ -128,7 +128,7 @@
         "set",
         "PATH VALUE",
         (2, 2),
-        CHANGE,
+        CHANGE_OPTIONS,
         "Set a value; VALUE is JSON, or a text.",
     ),
     spec(
@@ -136,7 +136,7 @@
         "unset",
         "PATH",
         (1, 1),
-        CHANGE,
+        CHANGE_OPTIONS,
         "Remove a node, so that its values are inherited.",
     ),
     spec(
@@ -144,7 +144,7 @@
         "apply",
         "FILE",
         (1, 1),
-        APPLY,
+        APPLY_OPTIONS,
         "Put the JSON of a file at a node in place of what is there.",
     ),
     spec(
@@ -152,7 +152,7 @@
         "undo",
         "REVISION",
         (1, 1),
-        CHANGE,
+        CHANGE_OPTIONS,
         "Take one change back, as a new revision.",
     ),
     spec(
@@ -160,7 +160,7 @@
         "drain",
         "vm|server|place|region NAME",
         (2, 2),
-        CHANGE,
+        CHANGE_OPTIONS,
         "Move traffic away from a VM (DOMAIN/VM), a backend server (ADDRESS), a place or a region.",
     ),
     spec(
@@ -168,7 +168,7 @@
         "undrain",
         "vm|server|place|region NAME",
         (2, 2),
-        CHANGE,
+        CHANGE_OPTIONS,
         "End a drain.",
     ),
     spec(
@@ -184,7 +184,7 @@
         "history",
         "",
         (0, 0),
-        LIST,
+        LIST_OPTIONS,
         "List the changes of the key's branch.",
     ),
     spec(
@@ -192,7 +192,7 @@
         "audit",
         "",
         (0, 0),
-        LIST,
+        LIST_OPTIONS,
         "Show who changed what in the key's branch, and check the chain of hashes.",
     ),
     spec(
@@ -232,7 +232,7 @@
         "new-key",
         "ID",
         (1, 1),
-        NEW_KEY,
+        NEW_KEY_OPTIONS,
         "Draw a key: the secret goes to a new file, the object for `operators/ID` to the output.",
     ),
     spec(
@@ -240,7 +240,7 @@
         "replay",
         "TRACE...",
         (1, MAX_TRACES),
-        REPLAY,
+        REPLAY_OPTIONS,
         "Replay traces and compare what comes out with the outcomes that they state.",
     ),
     spec(
@@ -248,7 +248,7 @@
         "trace",
         "ID LOG...",
         (2, MAX_LOGS),
-        TRACE,
+        TRACE_OPTIONS,
         "Tell the story of a request from the logs of VMs.",
     ),
     spec(
@@ -280,18 +280,18 @@
         "release",
         "FINGERPRINT|route=NAME|all ADDRESS...",
         (2, MAX_DAEMONS),
-        RELEASE,
+        RELEASE_OPTIONS,
         "Let rejected requests run again; the first daemon that answers tells the others. The key is the deployment's secret.",
     ),
 ];
 
 impl Command {
-    /// Gives how the command is written.
+    /// Returns the command's entry in [`COMMANDS`].
     pub fn spec(self) -> &'static CommandSpec {
         &COMMANDS[self as usize]
     }
 
-    /// Finds a command by its name.
+    /// Returns the command with the given name.
     pub fn find(name: &str) -> Option<Command> {
         let mut specs = COMMANDS.iter();
         specs
--- a/crates/cli/src/text.rs
+++ b/crates/cli/src/format.rs
@@ -1,25 +1,25 @@
-//! Texts for people: times, tables, edits.
+//! Formats times, tables and edits for people.
 
 use heatherknot_settings::Edit;
 use serde_json::Value as Json;
 
-const SECONDS_A_DAY: u64 = 86_400;
-/// The longest value that a line shows whole, in characters.
-const MAX_VALUE: usize = 80;
+const SECONDS_PER_DAY: u64 = 86_400;
+/// Longer JSON values are truncated to this many characters.
+const MAX_VALUE_CHARS: usize = 80;
 
-/// Writes a wall-clock time in milliseconds since 1970 as date and time in UTC.
-pub fn time(ms: u64) -> String {
+/// Formats a Unix time in milliseconds as date and time in UTC.
+pub fn utc_time(ms: u64) -> String {
     let seconds = ms / 1000;
-    let (days, rest) = (seconds / SECONDS_A_DAY, seconds % SECONDS_A_DAY);
-    let (year, month, day) = date(days);
+    let (days, rest) = (seconds / SECONDS_PER_DAY, seconds % SECONDS_PER_DAY);
+    let (year, month, day) = civil_date(days);
     let (hour, minute, second) = (rest / 3600, rest / 60 % 60, rest % 60);
     format!("{year:04}-{month:02}-{day:02} {hour:02}:{minute:02}:{second:02}Z")
 }
 
-/// Gives year, month and day of a number of days since 1970.
-fn date(days: u64) -> (u64, u64, u64) {
-    // Counted from 1 March of the year 0, so that a leap day ends its year: 719468 days before
-    // 1970, in cycles of 400 years with 146097 days.
+/// Converts a number of days since 1970-01-01 to year, month and day.
+fn civil_date(days: u64) -> (u64, u64, u64) {
+    // Counts from 1 March of year 0, which is 719468 days before 1970, so that a leap day is the
+    // last day of its year. A cycle of 400 years has 146097 days.
     let days = days + 719_468;
     let (cycle, day) = (days / 146_097, days % 146_097);
     let year = (day - day / 1460 + day / 36_524 - day / 146_096) / 365;
@@ -35,8 +35,8 @@
     (year, month, day_of_month)
 }
 
-/// Writes a span in milliseconds.
-pub fn span(ms: u64) -> String {
+/// Formats a duration given in milliseconds.
+pub fn duration(ms: u64) -> String {
     match ms {
         0..1_000 => format!("{ms} ms"),
         1_000..120_000 => format!("{}.{} s", ms / 1000, ms % 1000 / 100),
@@ -45,36 +45,40 @@
     }
 }
 
-/// Writes edits, one a line.
+/// Formats edits, one per line.
 pub fn edits(edits: &[Edit]) -> String {
-    edits.iter().map(edit).collect()
+    edits.iter().map(format_edit).collect()
 }
 
-fn edit(edit: &Edit) -> String {
+fn format_edit(edit: &Edit) -> String {
     let path = &edit.path;
     if edit.dropped.is_some() {
         return format!("  ~ {path}: values no longer kept\n");
     }
     match (&edit.before, &edit.after) {
         (Some(before), Some(after)) => {
-            format!("  ~ {path}: {} -> {}\n", value(before), value(after))
+            format!(
+                "  ~ {path}: {} -> {}\n",
+                truncated_json(before),
+                truncated_json(after)
+            )
         }
-        (None, Some(after)) => format!("  + {path}: {}\n", value(after)),
-        (Some(before), None) => format!("  - {path}: {}\n", value(before)),
+        (None, Some(after)) => format!("  + {path}: {}\n", truncated_json(after)),
+        (Some(before), None) => format!("  - {path}: {}\n", truncated_json(before)),
         (None, None) => format!("  ~ {path}\n"),
     }
 }
 
-fn value(json: &Json) -> String {
+fn truncated_json(json: &Json) -> String {
     let text = json.to_string();
-    if text.chars().count() <= MAX_VALUE {
+    if text.chars().count() <= MAX_VALUE_CHARS {
         return text;
     }
-    let start: String = text.chars().take(MAX_VALUE).collect();
+    let start: String = text.chars().take(MAX_VALUE_CHARS).collect();
     format!("{start}...")
 }
 
-/// Writes rows as a table with columns as wide as their longest cell.
+/// Formats rows as a table whose columns are as wide as their longest cell.
 pub fn table(head: &[&str], rows: &[Vec<String>]) -> String {
     let mut lines: Vec<Vec<String>> = vec![head.iter().map(|cell| cell.to_string()).collect()];
     lines.extend(rows.iter().cloned());
--- a/crates/cli/src/lib.rs
+++ b/crates/cli/src/lib.rs
@@ -1,21 +1,20 @@
 //! The operators' command-line client.
 //!
-//! [`run`] takes the arguments and the environment and gives what to print and the exit code;
-//! the program itself only prints and exits. Commands are in [`ops`], the call on a daemon in
-//! [`client`].
+//! [`run`] takes the arguments and the environment and returns the output and the exit code;
+//! `main` only prints and exits. The commands are in [`ops`], the calls to daemons in [`client`].
 
 pub mod client;
 pub mod command;
 pub mod env;
 pub mod error;
 pub mod exit;
+mod format;
 mod help;
 mod key_source;
 pub mod ops;
 pub mod options;
 mod parse;
 pub mod report;
-mod text;
 
 use std::ffi::OsString;
 
@@ -25,7 +24,7 @@
 use crate::parse::Parsed;
 use crate::report::Report;
 
-/// What one run of the program prints, and how it ends.
+/// The output and exit code of one run of the program.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CommandOutput {
     /// The text for standard output.
@@ -36,7 +35,7 @@
     pub exit: Exit,
 }
 
-/// Runs one command.
+/// Parses the arguments and runs the command they name.
 pub fn run(args: Vec<OsString>, env: &Env) -> CommandOutput {
     match parse::parse(args) {
         Ok(Parsed::Help(text)) => CommandOutput {
@@ -46,13 +45,13 @@
         },
         Ok(Parsed::Run(invocation)) => {
             let json = invocation.options.has(options::Opt::Json);
-            finish(ops::run(&invocation, env), json)
+            to_output(ops::run(&invocation, env), json)
         }
-        Err(error) => finish(Err(error), false),
+        Err(error) => to_output(Err(error), false),
     }
 }
 
-fn finish(outcome: Result<Report, CliError>, json: bool) -> CommandOutput {
+fn to_output(outcome: Result<Report, CliError>, json: bool) -> CommandOutput {
     match outcome {
         Ok(report) => CommandOutput {
             stdout: if json {
@@ -60,12 +59,12 @@
             } else {
                 report.human
             },
-            stderr: report.note,
+            stderr: report.notes,
             exit: report.exit,
         },
         Err(error) => CommandOutput {
             stdout: if json {
-                error_json(&error)
+                error_to_json(&error)
             } else {
                 String::new()
             },
@@ -75,6 +74,6 @@
     }
 }
 
-fn error_json(error: &CliError) -> String {
+fn error_to_json(error: &CliError) -> String {
     format!("{:#}\n", serde_json::json!({ "error": error.to_string() }))
 }
--- a/crates/cli/tests/support/mod.rs
+++ b/crates/cli/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Fixtures: daemons' operators' interfaces on loopback, over one store in memory.
+//! Fixtures: operators' interfaces of daemons on loopback, over one store in memory.
 #![allow(dead_code, reason = "each test file uses its own part of the fixtures")]
 
 use std::cell::RefCell;
@@ -25,80 +25,79 @@
 use heatherknot_types::prelude::*;
 use serde_json::{Value as Json, json};
 
-/// What the daemons have agreed on.
+/// The accepted changes and the commands that made them.
 #[derive(Default)]
-struct Memory {
+struct SharedStore {
     changes: Vec<Change>,
     commands: Vec<(CommandId, Revision)>,
 }
 
-/// A daemon that runs until the test's process ends.
+/// A daemon that runs until the test process ends.
 pub struct Daemon {
-    /// Where operators reach it.
+    /// The operators' address.
     pub address: SocketAddr,
 }
 
-/// Daemons over one store in memory.
+/// Daemons that share one store in memory.
 #[derive(Clone, Default)]
 pub struct Deployment {
-    memory: Arc<Mutex<Memory>>,
+    store: Arc<Mutex<SharedStore>>,
 }
 
 impl Deployment {
     /// Starts a daemon on a thread of its own.
-    pub fn daemon(&self) -> Daemon {
+    pub fn start_daemon(&self) -> Daemon {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
         listener.set_nonblocking(true).unwrap();
-        let memory = self.memory.clone();
+        let store = self.store.clone();
         std::thread::spawn(move || {
             block_on(async move {
                 let listener = monoio::net::TcpListener::from_std(listener).unwrap();
-                let handler = handler(context(&memory));
+                let handler = handler(operator_context(&store));
                 serve(listener, handler, Limits::default(), Flag::new()).await;
             });
         });
         Daemon { address }
     }
 
-    /// Gives the number of changes accepted.
+    /// Returns the number of accepted changes.
     pub fn changes(&self) -> usize {
-        self.memory.lock().unwrap().changes.len()
+        self.store.lock().unwrap().changes.len()
     }
 }
 
-fn context(memory: &Arc<Mutex<Memory>>) -> OperatorContext {
+fn operator_context(store: &Arc<Mutex<SharedStore>>) -> OperatorContext {
     let holder = Rc::new(RefCell::new(SettingsReplica::new()));
-    let (h1, h2) = (holder.clone(), holder);
-    let (m1, m2, m3, m4) = (
-        memory.clone(),
-        memory.clone(),
-        memory.clone(),
-        memory.clone(),
-    );
-    let m5 = memory.clone();
+    let (holder_for_held, holder_for_refresh) = (holder.clone(), holder);
+    let (store_for_refresh, store_for_commit, store_for_find, store_for_history) =
+        (store.clone(), store.clone(), store.clone(), store.clone());
+    let store_for_status = store.clone();
     OperatorContext {
-        current_settings: Rc::new(move || held(&h1)),
+        current_settings: Rc::new(move || held(&holder_for_held)),
         refresh: Rc::new(move || {
-            let changes = m1.lock().unwrap().changes.clone();
-            h2.borrow_mut().accept_changes(&changes).unwrap();
-            let held = held(&h2);
+            let changes = store_for_refresh.lock().unwrap().changes.clone();
+            holder_for_refresh
+                .borrow_mut()
+                .accept_changes(&changes)
+                .unwrap();
+            let held = held(&holder_for_refresh);
             async move { Ok(held) }.boxed_local()
         }),
         commit: Rc::new(move |proposal| {
-            let outcome = commit(&mut m2.lock().unwrap(), &proposal);
+            let outcome = commit(&mut store_for_commit.lock().unwrap(), &proposal);
             async move { outcome }.boxed_local()
         }),
         find_command: Rc::new(move |command| {
-            let found = find(&m3.lock().unwrap(), &command);
+            let found = find(&store_for_find.lock().unwrap(), &command);
             async move { Ok(found) }.boxed_local()
         }),
         history: Rc::new(move |after| {
-            let history = history(&m4.lock().unwrap(), after);
+            let history = history(&store_for_history.lock().unwrap(), after);
             async move { Ok(history) }.boxed_local()
         }),
         status: Rc::new(move || {
-            let daemons = vec![status(m5.lock().unwrap().changes.len() as u64)];
+            let daemons = vec![status(store_for_status.lock().unwrap().changes.len() as u64)];
             async move { daemons }.boxed_local()
         }),
         explain: Rc::new(|_| async move { Some(explanation()) }.boxed_local()),
@@ -115,15 +114,15 @@
     }
 }
 
-fn find(memory: &Memory, command: &CommandId) -> Option<Revision> {
-    let mut commands = memory.commands.iter();
+fn find(store: &SharedStore, command: &CommandId) -> Option<Revision> {
+    let mut commands = store.commands.iter();
     commands
         .find(|(known, _)| known == command)
         .map(|(_, revision)| *revision)
 }
 
-fn commit(memory: &mut Memory, proposal: &Proposal) -> CommitOutcome {
-    let at = memory
+fn commit(store: &mut SharedStore, proposal: &Proposal) -> CommitOutcome {
+    let at = store
         .changes
         .last()
         .map_or(ChainPoint::default(), Change::point);
@@ -135,13 +134,13 @@
     }
     let change: Change = serde_json::from_slice(&proposal.change).unwrap();
     let revision = change.revision;
-    memory.changes.push(change);
-    memory.commands.push((proposal.command.clone(), revision));
+    store.changes.push(change);
+    store.commands.push((proposal.command.clone(), revision));
     CommitOutcome::Accepted(revision)
 }
 
-fn history(memory: &Memory, after: Revision) -> HistoryPage {
-    let later = memory
+fn history(store: &SharedStore, after: Revision) -> HistoryPage {
+    let later = store
         .changes
         .iter()
         .filter(|change| change.revision > after);
@@ -199,13 +198,13 @@
     }
 }
 
-/// Gives the first operator's secret.
+/// Returns the first operator's secret.
 pub fn secret() -> String {
     new_key().secret
 }
 
 /// Runs the program against daemons with the first operator's key from the environment.
-pub fn cli(servers: &[SocketAddr], args: &[&str]) -> CommandOutput {
+pub fn run_cli(servers: &[SocketAddr], args: &[&str]) -> CommandOutput {
     let servers: Vec<String> = servers.iter().map(SocketAddr::to_string).collect();
     let env = Env {
         servers: Some(servers.join(",")),
@@ -215,22 +214,23 @@
     run(args.iter().map(OsString::from).collect(), &env)
 }
 
-/// Gives the JSON that a run printed.
-pub fn json_of(finished: &CommandOutput) -> Json {
-    serde_json::from_str(&finished.stdout).unwrap()
+/// Parses the standard output of a run as JSON.
+pub fn stdout_json(output: &CommandOutput) -> Json {
+    serde_json::from_str(&output.stdout).unwrap()
 }
 
-/// Gives a path for a file of one test, in the directory that the build keeps for tests.
-pub fn file(name: &str) -> PathBuf {
+/// Returns the path of a file for one test in Cargo's directory for temporary test files, without
+/// an earlier file there.
+pub fn temp_file(name: &str) -> PathBuf {
     let dir = PathBuf::from(env!("CARGO_TARGET_TMPDIR"));
     let path = dir.join(format!("{}-{name}", std::process::id()));
     let _ = std::fs::remove_file(&path);
     path
 }
 
-/// Writes the layout of Port Louis to a file and gives its path.
+/// Writes the layout of Port Louis to a file and returns its path.
 pub fn layout_file(name: &str) -> String {
-    let path = file(name);
+    let path = temp_file(name);
     let layout = layouts::port_louis(layouts::unused_addresses());
     std::fs::write(&path, layout.to_string()).unwrap();
     path.to_str().unwrap().to_string()
@@ -238,14 +238,14 @@
 
 /// Starts a daemon that takes the layout of Port Louis as its first revision.
 pub fn daemon_with_layout(deployment: &Deployment, name: &str) -> Daemon {
-    let daemon = deployment.daemon();
-    let filled = cli(&[daemon.address], &["apply", &layout_file(name)]);
-    assert_eq!(filled.exit.code(), 0, "{filled:?}");
+    let daemon = deployment.start_daemon();
+    let applied = run_cli(&[daemon.address], &["apply", &layout_file(name)]);
+    assert_eq!(applied.exit.code(), 0, "{applied:?}");
     daemon
 }
 
-/// Listens on loopback, takes each connection's first bytes and closes it unanswered.
-pub fn taker() -> SocketAddr {
+/// Starts a listener that reads the first bytes of each connection and closes it without an answer.
+pub fn dropping_daemon() -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     std::thread::spawn(move || {
@@ -257,8 +257,8 @@
     address
 }
 
-/// Passes each request to the daemon, waits for its answer and gives none of it to the caller.
-pub fn answer_loser(daemon: SocketAddr) -> SocketAddr {
+/// Starts a proxy that forwards each request to the daemon, reads its answer and drops it.
+pub fn answer_dropping_proxy(daemon: SocketAddr) -> SocketAddr {
     use std::io::Write as _;
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
@@ -275,8 +275,8 @@
     address
 }
 
-/// Gives an address on which nothing listens. The port is below those that the system hands
-/// out by itself: one taken from there and let go may be another test's a moment later.
-pub fn nobody() -> SocketAddr {
+/// Returns an address on which nothing listens. The port is below the ephemeral range: a port of
+/// that range that was bound and closed may be taken by another test a moment later.
+pub fn unused_address() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 1))
 }
--- a/crates/cli/tests/usage.rs
+++ b/crates/cli/tests/usage.rs
@@ -1,17 +1,18 @@
-//! Wrong command lines, and help.
+//! Tests invalid command lines and the help.
 
 mod support;
 
 use heatherknot_cli::exit::Exit;
 use heatherknot_cli::{CommandOutput, run};
-use support::{cli, nobody};
+use support::{run_cli, unused_address};
 
-fn bare(args: &[&str]) -> CommandOutput {
+fn run_without_env(args: &[&str]) -> CommandOutput {
     run(args.iter().map(Into::into).collect(), &Default::default())
 }
 
+/// Guards against an invalid command line that is run or reported without the reason.
 #[test]
-fn wrong_command_lines_say_what_was_expected_and_exit_with_2() {
+fn invalid_command_lines_name_what_was_expected_and_exit_with_2() {
     let cases: [(&[&str], &str); 12] = [
         (&[], "no command given"),
         (&["reboot"], "unknown command `reboot`"),
@@ -45,31 +46,33 @@
         (&["new-key", "a", "--holder", "A"], "expected --secret-file"),
     ];
     for (args, expected) in cases {
-        let finished = cli(&[nobody()], args);
+        let output = run_cli(&[unused_address()], args);
 
-        assert_eq!(finished.exit, Exit::Usage, "{args:?}");
+        assert_eq!(output.exit, Exit::Usage, "{args:?}");
         assert!(
-            finished.stderr.contains(expected),
+            output.stderr.contains(expected),
             "{args:?}: {}",
-            finished.stderr
+            output.stderr
         );
     }
 }
 
+/// Guards against running without a daemon or a key.
 #[test]
 fn a_daemon_and_a_key_must_be_named() {
-    let no_server = bare(&["status"]);
-    let no_key = bare(&["status", "--server", "127.0.0.1:1"]);
+    let no_server = run_without_env(&["status"]);
+    let no_key = run_without_env(&["status", "--server", "127.0.0.1:1"]);
 
     assert!(no_server.exit == Exit::Usage && no_server.stderr.contains("HEATHERKNOT_SERVERS"));
     assert!(no_key.exit == Exit::Usage && no_key.stderr.contains("HEATHERKNOT_KEY_FILE"));
 }
 
+/// Guards against a command that is missing in the help, and against two forms of help that differ.
 #[test]
 fn help_lists_every_command_and_the_exit_codes() {
-    let overview = bare(&["--help"]);
-    let of_wait = bare(&["help", "wait"]);
-    let same = bare(&["wait", "--help"]);
+    let overview = run_without_env(&["--help"]);
+    let of_wait = run_without_env(&["help", "wait"]);
+    let same = run_without_env(&["wait", "--help"]);
 
     assert_eq!(overview.exit, Exit::Ok);
     for spec in &heatherknot_cli::command::COMMANDS {
@@ -84,8 +87,10 @@
     assert!(of_wait.stdout.contains("wait REVISION"));
 }
 
+/// The tables are indexed by discriminant. Guards against an entry out of order, with which a
+/// command or an option would have the description of another.
 #[test]
-fn every_command_and_option_stands_at_its_own_place_in_its_table() {
+fn tables_are_in_the_order_of_their_enums() {
     for spec in &heatherknot_cli::command::COMMANDS {
         assert_eq!(spec.command.spec().name, spec.name);
     }
