--- a/crates/blocks/benches/block_table.rs
+++ b/crates/blocks/benches/block_table.rs
@@ -1,4 +1,4 @@
-//! Look-up and the change of a thousand blocks in each layout, by criterion.
+//! Benchmarks lookups and a diff of 1000 blocks in each layout with criterion.
 //!
 //! `cargo bench --locked -p heatherknot-blocks`; `BLOCKS` sets the number of blocks, 1.5
 //! million by default.
--- a/crates/blocks/benches/layouts/mod.rs
+++ b/crates/blocks/benches/layouts/mod.rs
@@ -24,17 +24,17 @@
 /// One layout filled with blocks.
 pub struct Layout {
     pub lookup: Box<dyn Fn(IpAddr) -> Option<BlockClass>>,
-    /// Brings the next revision in force. A look-up may come before and after, not during.
+    /// Applies the next revision. Not to be called during a lookup.
     pub apply: Box<dyn FnMut(&Prepared)>,
 }
 
-/// A difference as the layouts take it.
+/// A diff as the layouts take it.
 pub struct Prepared {
     pub diff: Diff,
     pub changes: Vec<Change>,
 }
 
-/// Makes the difference of `count` changes that fits the generated blocks.
+/// Creates the diff of `count` changes that fits the generated blocks.
 pub fn prepare(table: &BlockTable, blocks: &[Block], count: usize, seed: u64) -> Prepared {
     let changes = generate::changes(blocks, count, seed);
     let diff = Diff::new(table, table.revision().next(), changes.clone()).expect("good changes");
@@ -53,7 +53,7 @@
     }
 }
 
-/// Gives seeded addresses: four in five inside a block, the others anywhere.
+/// Returns seeded addresses: four in five inside a block, the others anywhere.
 pub fn addresses(blocks: &[Block], count: usize, seed: u64) -> Vec<IpAddr> {
     let mut rng = fastrand::Rng::with_seed(seed);
     let draw = |_| {
@@ -62,7 +62,10 @@
         let noise = rng.u128(..);
         match prefix.address() {
             IpAddr::V4(v4) => {
-                let host = noise as u32 & (u32::MAX.checked_shr(prefix.bits().into()).unwrap_or(0));
+                let host = noise as u32
+                    & (u32::MAX
+                        .checked_shr(prefix.prefix_len().into())
+                        .unwrap_or(0));
                 let address = if inside {
                     u32::from(v4) | host
                 } else {
@@ -71,7 +74,7 @@
                 IpAddr::V4(address.into())
             }
             IpAddr::V6(v6) => {
-                let host = noise & (u128::MAX >> prefix.bits());
+                let host = noise & (u128::MAX >> prefix.prefix_len());
                 let anywhere = 0b001 << 125 | noise >> 3;
                 let address = if inside {
                     u128::from(v6) | host
@@ -85,7 +88,7 @@
     (0..count).map(draw).collect()
 }
 
-/// Puts a table of this package behind the common functions.
+/// Wraps a [`BlockTable`] as a layout.
 pub fn chunks(table: BlockTable) -> Layout {
     let held = std::rc::Rc::new(std::cell::RefCell::new(table));
     let reader = held.clone();
@@ -98,14 +101,14 @@
     }
 }
 
-fn word(address: IpAddr) -> (Family, u64) {
+fn family_and_bits(address: IpAddr) -> (Family, u64) {
     match address {
         IpAddr::V4(v4) => (Family::V4, u64::from(u32::from(v4)) << 32),
         IpAddr::V6(v6) => (Family::V6, (u128::from(v6) >> 64) as u64),
     }
 }
 
-fn first_bits(bits: u64, len: u8) -> u64 {
+fn mask_bits(bits: u64, len: u8) -> u64 {
     let shift = 64 - u32::from(len);
     bits >> shift << shift
 }
@@ -122,7 +125,7 @@
 }
 
 impl Ranges {
-    fn put(&mut self, family: Family, bits: u64, class: u16) {
+    fn push_range(&mut self, family: Family, bits: u64, class: u16) {
         match family {
             Family::V4 if self.v4_starts.last() == Some(&((bits >> 32) as u32)) => {
                 *self.v4_classes.last_mut().expect("as long as starts") = class;
@@ -141,18 +144,18 @@
         }
     }
 
-    /// Ends the blocks of the stack that lie before the next one.
+    /// Pops the blocks that end before the next one and starts a range of the enclosing block.
     fn close(&mut self, stack: &mut Vec<Block>, next: Option<Prefix>) {
         while let Some(&(prefix, _)) = stack.last() {
             if next.is_some_and(|next| prefix.contains(next.address())) {
                 return;
             }
             stack.pop();
-            let (family, bits) = word(prefix.address());
-            let end = bits.checked_add(1 << (64 - u32::from(prefix.bits())));
+            let (family, bits) = family_and_bits(prefix.address());
+            let end = bits.checked_add(1 << (64 - u32::from(prefix.prefix_len())));
             if let Some(end) = end {
                 let parent = stack.last().map_or(NO_CLASS, |(_, class)| class.0);
-                self.put(family, end, parent);
+                self.push_range(family, end, parent);
             }
         }
     }
@@ -162,8 +165,8 @@
         let mut stack: Vec<Block> = Vec::new();
         for (prefix, class) in blocks {
             ranges.close(&mut stack, Some(prefix));
-            let (family, bits) = word(prefix.address());
-            ranges.put(family, bits, class.0);
+            let (family, bits) = family_and_bits(prefix.address());
+            ranges.push_range(family, bits, class.0);
             stack.push((prefix, class));
         }
         ranges.close(&mut stack, None);
@@ -175,7 +178,7 @@
     }
 
     fn lookup(&self, address: IpAddr) -> Option<BlockClass> {
-        let (family, bits) = word(address);
+        let (family, bits) = family_and_bits(address);
         let (at, classes) = match family {
             Family::V4 => {
                 let bits = (bits >> 32) as u32;
@@ -192,8 +195,8 @@
     }
 }
 
-/// Ranges have lost the blocks that they were made of, so a change needs the blocks beside
-/// them, packed as a prefix and class in order, and makes all ranges anew.
+/// Ranges cannot be converted back to blocks, so this layout also keeps the sorted blocks and
+/// rebuilds all ranges on a change.
 fn sorted_ranges(blocks: impl Iterator<Item = Block>) -> Layout {
     let source: Vec<(u64, u8, bool, u16)> = blocks.map(pack_block).collect();
     let ranges = Ranges::build(source.iter().map(unpack_block));
@@ -204,7 +207,7 @@
         apply: Box::new(move |prepared| {
             let next = {
                 let held = held.borrow();
-                let merged = merged(held.0.iter().map(unpack_block), &prepared.changes);
+                let merged = merge_changes(held.0.iter().map(unpack_block), &prepared.changes);
                 let source: Vec<_> = merged.into_iter().map(pack_block).collect();
                 let ranges = Ranges::build(source.iter().map(unpack_block));
                 (source, ranges)
@@ -215,8 +218,8 @@
 }
 
 fn pack_block((prefix, class): Block) -> (u64, u8, bool, u16) {
-    let (family, bits) = word(prefix.address());
-    (bits, prefix.bits(), family == Family::V6, class.0)
+    let (family, bits) = family_and_bits(prefix.address());
+    (bits, prefix.prefix_len(), family == Family::V6, class.0)
 }
 
 fn unpack_block(&(bits, len, is_v6, class): &(u64, u8, bool, u16)) -> Block {
@@ -228,10 +231,10 @@
     (prefix, BlockClass(class))
 }
 
-fn merged(blocks: impl Iterator<Item = Block>, changes: &[Change]) -> Vec<Block> {
+fn merge_changes(blocks: impl Iterator<Item = Block>, changes: &[Change]) -> Vec<Block> {
     let mut changes = changes.iter().peekable();
     let mut out = Vec::new();
-    let mut put = |change: &Change| {
+    let mut push_change = |change: &Change| {
         if let Some(class) = change.class {
             out.push((change.prefix, class));
         }
@@ -239,11 +242,11 @@
     let mut rest = Vec::new();
     for (prefix, class) in blocks {
         while let Some(change) = changes.next_if(|c| c.prefix < prefix) {
-            put(change);
+            push_change(change);
         }
         match changes.next_if(|c| c.prefix == prefix) {
-            Some(change) => put(change),
-            None => put(&Change {
+            Some(change) => push_change(change),
+            None => push_change(&Change {
                 prefix,
                 class: Some(class),
             }),
@@ -251,35 +254,35 @@
     }
     rest.extend(changes);
     for change in rest {
-        put(change);
+        push_change(change);
     }
     out
 }
 
-/// One hash table for each length of each family, asked from the longest down.
+/// One hash table per prefix length and family, searched from the longest prefix to the shortest.
 fn hash_per_length(blocks: impl Iterator<Item = Block>) -> Layout {
     type Tables = BTreeMap<(Family, std::cmp::Reverse<u8>), HashMap<u64, u16>>;
     let mut tables = Tables::new();
     for (prefix, class) in blocks {
-        let (family, bits) = word(prefix.address());
-        let table = tables.entry((family, std::cmp::Reverse(prefix.bits())));
+        let (family, bits) = family_and_bits(prefix.address());
+        let table = tables.entry((family, std::cmp::Reverse(prefix.prefix_len())));
         table.or_default().insert(bits, class.0);
     }
     let held = std::rc::Rc::new(std::cell::RefCell::new(tables));
     let reader = held.clone();
     Layout {
         lookup: Box::new(move |address| {
-            let (family, bits) = word(address);
+            let (family, bits) = family_and_bits(address);
             let tables = reader.borrow();
             let mut mine = tables.iter().filter(|((of, _), _)| *of == family);
-            mine.find_map(|((_, len), table)| table.get(&first_bits(bits, len.0)))
+            mine.find_map(|((_, len), table)| table.get(&mask_bits(bits, len.0)))
                 .map(|&class| BlockClass(class))
         }),
         apply: Box::new(move |prepared| {
             let mut tables = held.borrow_mut();
             for change in &prepared.changes {
-                let (family, bits) = word(change.prefix.address());
-                let key = (family, std::cmp::Reverse(change.prefix.bits()));
+                let (family, bits) = family_and_bits(change.prefix.address());
+                let key = (family, std::cmp::Reverse(change.prefix.prefix_len()));
                 let table = tables.entry(key).or_default();
                 match change.class {
                     Some(class) => table.insert(bits, class.0),
@@ -321,7 +324,7 @@
 }
 
 fn change_treebitmap(tables: &mut TreeTables, prefix: Prefix, class: Option<BlockClass>) {
-    let len = prefix.bits().into();
+    let len = prefix.prefix_len().into();
     match (prefix.address(), class) {
         (IpAddr::V4(v4), Some(class)) => tables.0.insert(v4, len, class.0),
         (IpAddr::V4(v4), None) => tables.0.remove(v4, len),
@@ -358,7 +361,7 @@
 }
 
 fn change_trie(maps: &mut TrieMaps, prefix: Prefix, class: Option<BlockClass>) {
-    let len = prefix.bits();
+    let len = prefix.prefix_len();
     match (prefix.address(), class) {
         (IpAddr::V4(v4), Some(class)) => {
             let net = Ipv4Net::new(v4, len).expect("a prefix's length");
--- a/crates/blocks/examples/block_table.rs
+++ b/crates/blocks/examples/block_table.rs
@@ -1,10 +1,10 @@
-//! Prints memory, look-up and change times of the block table beside other layouts.
+//! Prints memory, lookup and change times of the block table beside other layouts.
 //!
 //! `cargo run --release --locked -p heatherknot-blocks --example block_table \
 //! [BLOCKS [ADJACENT_PERMILLE]]`
 //!
-//! Each layout is filled and measured in a process of its own, one after the other, so that
-//! the memory of one doesn't hide in that of another. A run ends by itself.
+//! Each layout is built and measured in a separate process, one after the other, so that their
+//! memory figures are independent.
 
 #[path = "../benches/layouts/mod.rs"]
 mod layouts;
@@ -27,12 +27,12 @@
 const SEED: u64 = 20;
 const ADDRESSES: usize = 1 << 20;
 const CHANGES: usize = 1000;
-/// Look-ups timed together: one alone is shorter than reading the clock.
-const BATCH: usize = 64;
+/// Lookups per timed batch; a single one takes less time than reading the clock.
+const BATCH_LOOKUPS: usize = 64;
 /// Rounds of each measurement; the median is printed with the least and the greatest.
 const ROUNDS: usize = 7;
-const RECORD: usize = 12;
-/// What the kernel takes as the order to begin the peak of resident memory anew.
+const RECORD_BYTES: usize = 12;
+/// Written to `/proc/self/clear_refs`, resets the peak of resident memory (`VmHWM`).
 const RESET_PEAK: &str = "5";
 
 type Result<T> = std::result::Result<T, Box<dyn Error>>;
@@ -51,7 +51,7 @@
     }
 }
 
-/// Writes the input to a directory of its own, measures every layout and removes it again.
+/// Writes the input to a temporary directory, measures every layout and removes the directory.
 fn compare(mix: Mix) -> Result<()> {
     let dir = std::env::temp_dir().join(format!("heatherknot-blocks-{}", std::process::id()));
     fs::create_dir(&dir)?;
@@ -67,7 +67,7 @@
         "resident",
         "bytes",
         "peak with",
-        "look-up ns median",
+        "lookup ns median",
         "p99 of",
         "1000 changes ms median",
         "load ms"
@@ -101,7 +101,7 @@
     }
     let diff = prepared.diff.encode();
     println!(
-        "{} blocks; {} shards of {total} bytes in all; a difference of {CHANGES} blocks has {} bytes",
+        "{} blocks; {} shards of {total} bytes in all; a diff of {CHANGES} blocks has {} bytes",
         blocks.len(),
         table.shards().len(),
         diff.len()
@@ -117,11 +117,11 @@
     dir.join(format!("shard-{number}"))
 }
 
-fn record((prefix, class): Block) -> [u8; RECORD] {
-    let mut out = [0; RECORD];
+fn record((prefix, class): Block) -> [u8; RECORD_BYTES] {
+    let mut out = [0; RECORD_BYTES];
     out[..8].copy_from_slice(&pack_address(prefix.address())[1..9]);
     out[8] = u8::from(prefix.address().is_ipv6());
-    out[9] = prefix.bits();
+    out[9] = prefix.prefix_len();
     out[10..].copy_from_slice(&class.0.to_le_bytes());
     out
 }
@@ -178,16 +178,16 @@
     let lookups = time_lookups(&layout, &addresses);
     let applies = time_apply(name, dir, &mut layout, &prepared)?;
     let peak = status_kb("VmHWM")? - before;
-    let count = fs::metadata(dir.join("blocks"))?.len() / RECORD as u64;
+    let count = fs::metadata(dir.join("blocks"))?.len() / RECORD_BYTES as u64;
     println!(
         "{:<16} {:>9.1} {:>7.2} {:>9.1} {:>20} {:>9.0} {:>24} {:>10.0}",
         name,
         resident as f64 / 1024.0,
         resident as f64 * 1024.0 / count as f64,
         peak as f64 / 1024.0,
-        spread(&lookups.rounds, 0),
+        format_median_and_range(&lookups.rounds, 0),
         lookups.p99,
-        spread(&applies, 2),
+        format_median_and_range(&applies, 2),
         load.as_secs_f64() * 1000.0,
     );
     Ok(())
@@ -200,7 +200,7 @@
     }
     let mut input = std::io::BufReader::new(fs::File::open(dir.join("blocks"))?);
     let records = std::iter::from_fn(move || {
-        let mut record = [0; RECORD];
+        let mut record = [0; RECORD_BYTES];
         input.read_exact(&mut record).ok()?;
         Some(read_record(&record))
     });
@@ -216,14 +216,14 @@
         let shard = Shard::decode(&key, fs::read(&path)?.into())?;
         loader.add(&key, &shard)?;
         number += 1;
-        if number == shard.of {
+        if number == shard.shard_count {
             return Ok(loader.finish(&key)?);
         }
     }
 }
 
 struct Lookups {
-    /// Mean time of a look-up in each round, in nanoseconds.
+    /// Mean time of a lookup in each round, in nanoseconds.
     rounds: Vec<f64>,
     /// The 99th percentile over batches of the mean time in a batch, in nanoseconds.
     p99: f64,
@@ -234,14 +234,14 @@
     let mut batches = Vec::new();
     for _ in 0..ROUNDS {
         let mut total = Duration::ZERO;
-        for batch in addresses.chunks_exact(BATCH) {
+        for batch in addresses.chunks_exact(BATCH_LOOKUPS) {
             let start = Instant::now();
             for &address in batch {
                 black_box((layout.lookup)(black_box(address)));
             }
             let took = start.elapsed();
             total += took;
-            batches.push(took.as_nanos() as f64 / BATCH as f64);
+            batches.push(took.as_nanos() as f64 / BATCH_LOOKUPS as f64);
         }
         rounds.push(total.as_nanos() as f64 / addresses.len() as f64);
     }
@@ -250,8 +250,8 @@
     Lookups { rounds, p99 }
 }
 
-/// Brings the difference in force several times; the chunks start from the first revision
-/// each time, with the table in force held meanwhile.
+/// Times several applications of the diff. The chunks layout starts from the first revision
+/// each time and keeps that table alive meanwhile.
 fn time_apply(
     name: &str,
     dir: &Path,
@@ -277,7 +277,7 @@
     Ok(times)
 }
 
-fn spread(rounds: &[f64], digits: usize) -> String {
+fn format_median_and_range(rounds: &[f64], digits: usize) -> String {
     let mut sorted = rounds.to_vec();
     sorted.sort_by(f64::total_cmp);
     let (least, median) = (sorted[0], sorted[sorted.len() / 2]);
@@ -285,7 +285,7 @@
     format!("{median:.digits$} ({least:.digits$}..{greatest:.digits$})")
 }
 
-/// Gives a line of this process's status in kilobytes.
+/// Returns a field of `/proc/self/status` in kilobytes.
 fn status_kb(name: &str) -> Result<u64> {
     let status = fs::read_to_string("/proc/self/status")?;
     let line = status.lines().find(|line| line.starts_with(name));
--- a/crates/blocks/src/builder.rs
+++ b/crates/blocks/src/builder.rs
@@ -1,69 +1,71 @@
-//! Packs sorted entries into chunks and gathers chunks into groups.
+//! Packs sorted entries into chunks and collects chunks into groups.
 
 use crate::chunk;
 use crate::entry::Entry;
 use crate::group::Group;
 use crate::map::ChunkMap;
 
-/// Entries in a chunk packed from a sorted run.
-const FILL: usize = 20;
-/// The most entries in a chunk, but for a longer run at one address.
+/// The number of entries in a chunk when a table is built from scratch.
+const TARGET_ENTRIES: usize = 20;
+/// The maximum number of entries in a chunk. Entries at one address are never split, so a
+/// chunk may exceed it by those.
 const MAX_ENTRIES: usize = 30;
-/// Chunks in a group packed from a sorted run.
-const FILL_GROUP: usize = 28;
-/// The most chunks in a group.
-const MAX_GROUP: usize = 42;
-/// The fewest chunks in a group that is closed while its neighbour changes too.
-const MIN_GROUP: usize = 14;
+/// The number of chunks in a group when a table is built from scratch.
+const TARGET_CHUNKS: usize = 28;
+/// The maximum number of chunks in a group.
+const MAX_CHUNKS: usize = 42;
+/// The minimum number of chunks in a group; fewer are merged with the chunks that follow if
+/// the next group is rewritten too.
+const MIN_CHUNKS: usize = 14;
 
 /// A map under construction, filled from its lowest address up.
 #[derive(Debug, Default)]
 pub(crate) struct MapBuilder {
-    /// Entries that are not packed yet.
-    pub(crate) run: Vec<Entry>,
-    /// The entries before the run that contain its first address, the shortest first.
+    /// Entries not yet packed.
+    pub(crate) pending: Vec<Entry>,
+    /// The entries before the pending ones that contain its first address, the shortest first.
     pub(crate) covers: Vec<Entry>,
     keys: Vec<u64>,
     ends: Vec<u32>,
     bytes: Vec<u8>,
-    out: ChunkMap,
+    map: ChunkMap,
 }
 
 impl MapBuilder {
     /// Appends an entry, which comes after every one before it, and packs a full chunk.
     pub(crate) fn push(&mut self, entry: Entry) {
-        let last = self.run.last();
+        let last = self.pending.last();
         let is_new_address = last.is_some_and(|last| last.net.bits != entry.net.bits);
-        if self.run.len() >= FILL && is_new_address {
-            let mut run = std::mem::take(&mut self.run);
-            self.pack_part(&run);
+        if self.pending.len() >= TARGET_ENTRIES && is_new_address {
+            let mut run = std::mem::take(&mut self.pending);
+            self.pack_chunk(&run);
             run.clear();
-            self.run = run;
-            if self.keys.len() >= FILL_GROUP {
+            self.pending = run;
+            if self.keys.len() >= TARGET_CHUNKS {
                 self.close_group();
             }
         }
-        self.run.push(entry);
+        self.pending.push(entry);
     }
 
-    /// Packs the run into chunks of nearly equal size.
-    pub(crate) fn pack_run(&mut self) {
-        let mut run = std::mem::take(&mut self.run);
+    /// Packs the pending entries into chunks of nearly equal size.
+    pub(crate) fn pack_pending(&mut self) {
+        let mut run = std::mem::take(&mut self.pending);
         let mut rest = run.as_slice();
         let mut parts = rest.len().div_ceil(MAX_ENTRIES);
         while !rest.is_empty() {
             let wanted = rest.len().div_ceil(parts.max(1));
             let (part, after) = rest.split_at(end_of_address(rest, wanted));
-            self.pack_part(part);
+            self.pack_chunk(part);
             rest = after;
             parts = parts.saturating_sub(1);
         }
         run.clear();
-        self.run = run;
+        self.pending = run;
         self.covers.clear();
     }
 
-    fn pack_part(&mut self, part: &[Entry]) {
+    fn pack_chunk(&mut self, part: &[Entry]) {
         let key = part[0].net.bits;
         self.covers.retain(|cover| cover.net.contains(key));
         chunk::pack(&self.covers, part, &mut self.bytes);
@@ -75,13 +77,13 @@
     }
 
     /// Appends a chunk of another map.
-    pub(crate) fn copy_chunk(&mut self, key: u64, chunk: &[u8]) {
+    pub(crate) fn push_chunk(&mut self, key: u64, chunk: &[u8]) {
         self.bytes.extend_from_slice(chunk);
         self.end_chunk(key);
     }
 
     /// Appends a chunk of another map with other covers.
-    pub(crate) fn copy_with_covers(&mut self, key: u64, chunk: &[u8], covers: &[Entry]) {
+    pub(crate) fn push_chunk_with_covers(&mut self, key: u64, chunk: &[u8], covers: &[Entry]) {
         chunk::copy_with_covers(chunk, covers, &mut self.bytes);
         self.end_chunk(key);
     }
@@ -91,31 +93,32 @@
         self.ends.push(self.bytes.len() as u32);
     }
 
-    /// Appends a group of another map as it is.
-    pub(crate) fn share(&mut self, group: &Group) {
+    /// Appends a group of another map without copying it.
+    pub(crate) fn push_shared_group(&mut self, group: &Group) {
         self.close_group();
-        self.out.first.push(group.key(0));
-        self.out.groups.push(group.clone());
+        self.map.first_keys.push(group.key(0));
+        self.map.groups.push(group.clone());
     }
 
-    /// Ends the group under construction unless it is so small that it would stay a splinter.
-    pub(crate) fn end_group(&mut self) {
-        if self.keys.len() >= MIN_GROUP {
+    /// Closes the current group if it has at least [`MIN_CHUNKS`] chunks, to avoid many small
+    /// groups.
+    pub(crate) fn close_group_if_large(&mut self) {
+        if self.keys.len() >= MIN_CHUNKS {
             self.close_group();
         }
     }
 
-    /// Makes groups of nearly equal size of the chunks since the last group.
+    /// Packs the chunks since the last group into groups of nearly equal size.
     fn close_group(&mut self) {
-        let parts = self.keys.len().div_ceil(MAX_GROUP);
+        let parts = self.keys.len().div_ceil(MAX_CHUNKS);
         let size = self.keys.len().div_ceil(parts.max(1));
         let (keys, ends) = (self.keys.chunks(size.max(1)), self.ends.chunks(size.max(1)));
         let mut start = 0;
         for (keys, ends) in keys.zip(ends) {
             let end = ends[ends.len() - 1];
             let bytes = &self.bytes[start as usize..end as usize];
-            self.out.first.push(keys[0]);
-            self.out.groups.push(Group::new(keys, ends, start, bytes));
+            self.map.first_keys.push(keys[0]);
+            self.map.groups.push(Group::new(keys, ends, start, bytes));
             start = end;
         }
         self.keys.clear();
@@ -123,17 +126,17 @@
         self.bytes.clear();
     }
 
-    /// Packs what is left and gives the map.
+    /// Packs the remaining entries and returns the map.
     pub(crate) fn finish(mut self) -> ChunkMap {
-        self.pack_run();
+        self.pack_pending();
         self.close_group();
-        self.out.first.shrink_to_fit();
-        self.out.groups.shrink_to_fit();
-        self.out
+        self.map.first_keys.shrink_to_fit();
+        self.map.groups.shrink_to_fit();
+        self.map
     }
 }
 
-/// Gives the first place at or after `wanted` where a new address begins.
+/// Returns the first index at or after `wanted` where a new address begins.
 fn end_of_address(entries: &[Entry], wanted: usize) -> usize {
     let last = entries[wanted - 1].net.bits;
     let same = entries[wanted..]
--- a/crates/blocks/src/chunk.rs
+++ b/crates/blocks/src/chunk.rs
@@ -1,7 +1,7 @@
 //! A chunk: a few neighbouring entries in their packed form.
 //!
 //! A chunk begins with its covers, the prefixes of earlier chunks that contain the chunk's
-//! first address, so that a look-up reads one chunk only. All entries at one address lie in
+//! first address, so that a lookup reads one chunk only. All entries at one address lie in
 //! one chunk, which makes the first addresses of chunks unique.
 
 use crate::class::BlockClass;
@@ -14,7 +14,7 @@
 /// Appends a chunk: the number of covers, the covers, the entries.
 ///
 /// `covers` are the entries of earlier chunks that contain the first address, the shortest
-/// first; `entries` isn't empty.
+/// first; `entries` is not empty.
 pub(crate) fn pack(covers: &[Entry], entries: &[Entry], out: &mut Vec<u8>) {
     push_covers(covers, out);
     let mut writer = EntryWriter::new(entries[0].net.bits);
@@ -41,7 +41,7 @@
     &chunk[1 + usize::from(chunk[0]) * COVER_BYTES..]
 }
 
-/// Gives the covers of the chunk whose first address is `key`, the shortest first.
+/// Returns the covers of the chunk whose first address is `key`, the shortest first.
 pub(crate) fn covers(chunk: &[u8], key: u64) -> impl Iterator<Item = Entry> + '_ {
     let end = 1 + usize::from(chunk[0]) * COVER_BYTES;
     chunk[1..end].chunks_exact(COVER_BYTES).map(move |cover| {
@@ -51,12 +51,12 @@
     })
 }
 
-/// Gives the entries of the chunk whose first address is `key`.
+/// Returns the entries of the chunk whose first address is `key`.
 pub(crate) fn entries(chunk: &[u8], key: u64) -> EntryReader<'_> {
     EntryReader::new(body(chunk), key)
 }
 
-/// Gives the class of the longest prefix that contains `address`, in the chunk whose first
+/// Returns the class of the longest prefix that contains `address`, in the chunk whose first
 /// address is `key`. `address` lies at or after `key`.
 ///
 /// Entries come in order of address and length, so of those that contain the address the
--- a/crates/blocks/src/diff.rs
+++ b/crates/blocks/src/diff.rs
@@ -1,4 +1,4 @@
-//! A difference: the changes from one revision of the table to a later one.
+//! A diff: the changes from one revision of the table to a later one.
 
 use heatherknot_types::prelude::*;
 
@@ -6,20 +6,20 @@
 use crate::entry::Entry;
 use crate::error::{BlockError, Cause};
 use crate::map::NetChange;
-use crate::packed::{self, HeadReader};
+use crate::packed::{self, HeaderReader};
 use crate::prefix::{Family, Prefix};
 use crate::table::BlockTable;
 
 const KIND: &str = "HKD1";
-/// Bytes of the head: two revisions, the sum, removed and set entries of each family.
-const HEAD_BYTES: usize = 8 + 8 + 8 + 4 * 4;
+/// Bytes of the header: two revisions, the checksum, removed and set entries of each family.
+const HEADER_BYTES: usize = 8 + 8 + 8 + 4 * 4;
 
-/// What happens to one block.
+/// The change of one block.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Change {
     /// The block's prefix.
     pub prefix: Prefix,
-    /// The class that it gets, or `None` where it is removed.
+    /// The new class, or `None` if the block is removed.
     pub class: Option<BlockClass>,
 }
 
@@ -28,120 +28,121 @@
 pub struct Diff {
     from: Revision,
     to: Revision,
-    sum: u64,
+    checksum: u64,
     changes: Vec<Change>,
 }
 
 impl Diff {
-    /// Makes the difference that brings `table` to revision `to` by the given changes.
+    /// Creates the diff that brings `table` to revision `to` by the given changes.
     ///
     /// # Errors
     ///
-    /// [`Cause::Backward`] where `to` isn't higher than the table's revision,
-    /// [`Cause::Twice`] where two changes name one prefix, [`Cause::Missing`] where a
-    /// removed prefix isn't in the table.
+    /// [`Cause::RevisionNotHigher`] where `to` is not higher than the table's revision,
+    /// [`Cause::DuplicatePrefix`] where two changes name one prefix,
+    /// [`Cause::PrefixNotFound`] where a removed prefix is not in the table.
     pub fn new(table: &BlockTable, to: Revision, mut changes: Vec<Change>) -> Result<Diff, Cause> {
         changes.sort();
         if let Some(pair) = changes.windows(2).find(|w| w[0].prefix == w[1].prefix) {
             let (prefix, class) = (pair[1].prefix, pair[1].class);
-            return Err(Cause::Twice { prefix, class });
+            return Err(Cause::DuplicatePrefix { prefix, class });
         }
         let mut diff = Diff {
             from: table.revision(),
             to,
-            sum: 0,
+            checksum: 0,
             changes,
         };
-        diff.sum = table.changed(&diff)?.sum();
+        diff.checksum = table.with_changes(&diff)?.checksum();
         Ok(diff)
     }
 
-    /// Gives the difference that makes `new` out of `old`.
+    /// Returns the diff that turns `old` into `new`.
     ///
     /// # Errors
     ///
-    /// [`Cause::Backward`] where the revision of `new` isn't the higher one.
+    /// [`Cause::RevisionNotHigher`] where the revision of `new` is not the higher one.
     pub fn between(old: &BlockTable, new: &BlockTable) -> Result<Diff, Cause> {
         let mut changes = Vec::new();
         for family in [Family::V4, Family::V6] {
-            compare(old, new, family, &mut changes);
+            push_changes_between(old, new, family, &mut changes);
         }
         Diff::new(old, new.revision(), changes)
     }
 
-    /// Gives the revision at which the difference starts.
+    /// Returns the revision at which the diff starts.
     pub fn from(&self) -> Revision {
         self.from
     }
 
-    /// Gives the revision to which it leads.
+    /// Returns the revision to which it leads.
     pub fn to(&self) -> Revision {
         self.to
     }
 
-    /// Gives the sum of the table after the changes.
-    pub fn sum(&self) -> u64 {
-        self.sum
+    /// Returns the checksum of the table after the changes.
+    pub fn checksum(&self) -> u64 {
+        self.checksum
     }
 
-    /// Gives the changes in order of prefix.
+    /// Returns the changes in order of prefix.
     pub fn changes(&self) -> &[Change] {
         &self.changes
     }
 
-    /// Gives the changes of one family.
+    /// Returns the changes of one family.
     pub(crate) fn net_changes(&self, family: Family) -> Vec<NetChange> {
         let changes = self.changes.iter();
-        let mine = changes.filter(|change| change.prefix.family() == family);
-        mine.map(|change| NetChange {
-            net: change.prefix.net(),
-            class: change.class,
-        })
-        .collect()
+        let in_family = changes.filter(|change| change.prefix.family() == family);
+        in_family
+            .map(|change| NetChange {
+                net: change.prefix.net(),
+                class: change.class,
+            })
+            .collect()
     }
 
-    /// Gives the value to keep in the store.
+    /// Encodes the diff as a value of the store.
     pub fn encode(&self) -> Vec<u8> {
         let lists = [Family::V4, Family::V6].map(|family| {
             let changes = self.net_changes(family);
-            [removed(&changes), set(&changes)]
+            [removed_entries(&changes), set_entries(&changes)]
         });
-        let mut payload = Vec::with_capacity(HEAD_BYTES + self.changes.len() * 8);
+        let mut payload = Vec::with_capacity(HEADER_BYTES + self.changes.len() * 8);
         payload.extend_from_slice(&self.from.0.to_le_bytes());
         payload.extend_from_slice(&self.to.0.to_le_bytes());
-        payload.extend_from_slice(&self.sum.to_le_bytes());
+        payload.extend_from_slice(&self.checksum.to_le_bytes());
         for list in lists.iter().flatten() {
             payload.extend_from_slice(&(list.len() as u32).to_le_bytes());
         }
         for list in lists.iter().flatten() {
-            packed::push_list(list, &mut payload);
+            packed::push_entries(list, &mut payload);
         }
-        packed::seal(KIND, &payload)
+        packed::add_frame(KIND, &payload)
     }
 
     /// Reads a value of the store and checks each entry. `key` is the value's key.
     ///
     /// # Errors
     ///
-    /// [`BlockError`] with the key and the cause where the value is no difference, is damaged,
-    /// or holds an entry that can't be read, is too long, out of order or named twice.
+    /// [`BlockError`] with the key and the cause where the value is not a diff, is damaged,
+    /// or holds an entry that cannot be read, is too long, out of order or named twice.
     pub fn decode(key: &str, value: &[u8]) -> Result<Diff, BlockError> {
         Self::decode_value(value).map_err(|cause| cause.at(key))
     }
 
     fn decode_value(value: &[u8]) -> Result<Diff, Cause> {
-        let payload = packed::open(KIND, HEAD_BYTES, value)?;
-        let mut head = HeadReader::new(payload);
-        let (from, to) = (Revision(head.u64()), Revision(head.u64()));
-        let sum = head.u64();
-        let counts = [head.u32(), head.u32(), head.u32(), head.u32()];
-        let mut rest = &payload[HEAD_BYTES..];
+        let payload = packed::check_frame(KIND, HEADER_BYTES, value)?;
+        let mut header = HeaderReader::new(payload);
+        let (from, to) = (Revision(header.u64()), Revision(header.u64()));
+        let checksum = header.u64();
+        let counts = [header.u32(), header.u32(), header.u32(), header.u32()];
+        let mut rest = &payload[HEADER_BYTES..];
         let mut changes = Vec::new();
         for (list, &count) in counts.iter().enumerate() {
             let family = [Family::V4, Family::V6][list / 2];
             let is_set = list % 2 == 1;
             let base = changes.len();
-            rest = packed::read_list(rest, family, base, count, |entry| {
+            rest = packed::read_entries(rest, family, base, count, |entry| {
                 changes.push(Change {
                     prefix: Prefix::from_net(family, entry.net),
                     class: is_set.then_some(entry.class),
@@ -152,18 +153,18 @@
         changes.sort();
         if let Some(pair) = changes.windows(2).find(|w| w[0].prefix == w[1].prefix) {
             let (prefix, class) = (pair[1].prefix, pair[1].class);
-            return Err(Cause::Twice { prefix, class });
+            return Err(Cause::DuplicatePrefix { prefix, class });
         }
         Ok(Diff {
             from,
             to,
-            sum,
+            checksum,
             changes,
         })
     }
 }
 
-fn removed(changes: &[NetChange]) -> Vec<Entry> {
+fn removed_entries(changes: &[NetChange]) -> Vec<Entry> {
     let removed = changes.iter().filter(|change| change.class.is_none());
     removed
         .map(|change| Entry {
@@ -173,7 +174,7 @@
         .collect()
 }
 
-fn set(changes: &[NetChange]) -> Vec<Entry> {
+fn set_entries(changes: &[NetChange]) -> Vec<Entry> {
     let set = changes.iter().filter_map(|change| {
         let net = change.net;
         change.class.map(|class| Entry { net, class })
@@ -181,23 +182,28 @@
     set.collect()
 }
 
-/// Appends the changes of one family that make `new` out of `old`.
-fn compare(old: &BlockTable, new: &BlockTable, family: Family, changes: &mut Vec<Change>) {
+/// Appends the changes of one family that turn `old` into `new`.
+fn push_changes_between(
+    old: &BlockTable,
+    new: &BlockTable,
+    family: Family,
+    changes: &mut Vec<Change>,
+) {
     let mut old = old.entries(family).peekable();
-    let mut put = |net, class| {
+    let mut push_change = |net, class| {
         let prefix = Prefix::from_net(family, net);
         changes.push(Change { prefix, class });
     };
     for entry in new.entries(family) {
-        while let Some(gone) = old.next_if(|e| e.net < entry.net) {
-            put(gone.net, None);
+        while let Some(removed) = old.next_if(|e| e.net < entry.net) {
+            push_change(removed.net, None);
         }
         let before = old.next_if(|e| e.net == entry.net);
         if before != Some(entry) {
-            put(entry.net, Some(entry.class));
+            push_change(entry.net, Some(entry.class));
         }
     }
-    for gone in old {
-        put(gone.net, None);
+    for removed in old {
+        push_change(removed.net, None);
     }
 }
--- a/crates/blocks/src/error.rs
+++ b/crates/blocks/src/error.rs
@@ -1,4 +1,4 @@
-//! What can be wrong with a shard, a difference or the order in which they come.
+//! Errors in a shard, in a diff or in the order in which they arrive.
 
 use heatherknot_types::prelude::*;
 use snafu::Snafu;
@@ -6,8 +6,7 @@
 use crate::class::BlockClass;
 use crate::prefix::Prefix;
 
-/// A shard or difference that was refused, by its key in the store. The table that was in
-/// force stays as it was.
+/// A shard or diff was rejected. The current table remains in use.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 #[snafu(display("client blocks: `{key}`: {cause}"))]
 pub struct BlockError {
@@ -18,45 +17,45 @@
     pub cause: Cause,
 }
 
-/// What is wrong with a shard or a difference.
+/// The reason why a shard or a diff was rejected.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 pub enum Cause {
     /// The value is shorter than a header and a digest.
     #[snafu(display("the value has {found} bytes; expected at least {expected}"))]
-    Short {
+    TooShort {
         /// Bytes found.
         found: usize,
-        /// The least that a value has.
+        /// The minimum size of a value.
         expected: usize,
     },
-    /// The value doesn't begin as this kind of value does.
+    /// The value does not begin as this kind of value does.
     #[snafu(display("the value begins with `{found}`; expected `{expected}`"))]
-    Kind {
+    WrongKind {
         /// The first bytes, with unprintable ones escaped.
         found: String,
         /// The first bytes expected.
         expected: &'static str,
     },
-    /// The digest doesn't match the bytes before it.
+    /// The digest does not match the bytes before it.
     #[snafu(display("the digest does not match: the value is damaged or cut short"))]
-    Digest,
+    DigestMismatch,
     /// The value is larger than the store holds.
     #[snafu(display("the value has {found} bytes; a value holds at most {max}"))]
     TooLarge {
         /// Bytes found.
         found: usize,
-        /// The most that a value holds.
+        /// The maximum size of a value.
         max: usize,
     },
-    /// The bytes at one entry make no entry.
-    #[snafu(display("entry {index} can't be read"))]
-    Entry {
+    /// The bytes of an entry are malformed.
+    #[snafu(display("entry {index} is malformed"))]
+    InvalidEntry {
         /// Number of the entry in the value, from zero.
         index: usize,
     },
-    /// An entry doesn't come after the one before it.
+    /// An entry does not come after the one before it.
     #[snafu(display("entry {index}, {prefix}, is not in order after the entry before it"))]
-    Order {
+    OutOfOrder {
         /// Number of the entry in the value, from zero.
         index: usize,
         /// The prefix.
@@ -64,7 +63,7 @@
     },
     /// An IPv4 entry is longer than 32 bits.
     #[snafu(display("entry {index} has {len} bits; expected 1 to {max}"))]
-    Length {
+    LengthOutOfRange {
         /// Number of the entry in the value, from zero.
         index: usize,
         /// The length found, in bits.
@@ -74,71 +73,73 @@
     },
     /// Bytes follow the last entry.
     #[snafu(display("{count} bytes follow the last entry"))]
-    Trailing {
+    TrailingBytes {
         /// The bytes that follow.
         count: usize,
     },
     /// A shard belongs to another revision than the shards before it.
     #[snafu(display("the shard is of {found}; the shards before it are of {expected}"))]
-    ShardRevision {
+    ShardRevisionMismatch {
         /// The revision found.
         found: Revision,
         /// The revision of the first shard.
         expected: Revision,
     },
-    /// A shard comes out of turn.
-    #[snafu(display("the shard is number {found} of {found_of}; expected {expected} of {of}"))]
-    ShardNumber {
+    /// A shard comes out of sequence.
+    #[snafu(display(
+        "the shard is number {found} of {found_count}; expected {expected} of {expected_count}"
+    ))]
+    UnexpectedShardNumber {
         /// The number found, from zero.
         found: u16,
-        /// The number of shards that it tells.
-        found_of: u16,
+        /// The number of shards according to this shard.
+        found_count: u16,
         /// The number that comes next, from zero.
         expected: u16,
-        /// The number of shards that the first shard told.
-        of: u16,
+        /// The number of shards according to the first shard.
+        expected_count: u16,
     },
-    /// The loader was asked for its table before the last shard came.
+    /// The load was finished before all shards were added.
     #[snafu(display("{found} of {expected} shards are loaded"))]
-    Unfinished {
+    MissingShards {
         /// Shards loaded.
         found: u16,
         /// Shards in all.
         expected: u16,
     },
-    /// The difference doesn't start at the revision in force.
-    #[snafu(display("the difference starts at {found}; the table in force is {expected}"))]
-    Base {
-        /// The revision at which the difference starts.
+    /// The diff does not start at the revision in force.
+    #[snafu(display("the diff starts at {found}; the table in force is {expected}"))]
+    BaseMismatch {
+        /// The revision at which the diff starts.
         found: Revision,
         /// The revision in force.
         expected: Revision,
     },
-    /// The difference doesn't lead to a higher revision.
-    #[snafu(display("the difference leads from {from} to {to}; a revision only grows"))]
-    Backward {
-        /// The revision at which the difference starts.
+    /// The diff does not lead to a higher revision.
+    #[snafu(display("the diff leads from {from} to {to}; the revision must increase"))]
+    RevisionNotHigher {
+        /// The revision at which the diff starts.
         from: Revision,
         /// The revision to which it leads.
         to: Revision,
     },
-    /// The difference removes a prefix that the table doesn't hold.
-    #[snafu(display("the difference removes {prefix}, which the table does not hold"))]
-    Missing {
+    /// The diff removes a prefix that the table does not hold.
+    #[snafu(display("the diff removes {prefix}, which the table does not hold"))]
+    PrefixNotFound {
         /// The prefix.
         prefix: Prefix,
     },
-    /// The table after the last step isn't the one that the writer had.
-    #[snafu(display("the table's sum is {found:016x}; the writer's is {expected:016x}"))]
-    Sum {
-        /// The sum found.
+    /// The resulting table differs from the one that the writer had.
+    #[snafu(display("the table's checksum is {found:016x}; expected {expected:016x}"))]
+    ChecksumMismatch {
+        /// The checksum found.
         found: u64,
-        /// The sum that the writer gave.
+        /// The checksum that the writer stored.
         expected: u64,
     },
-    /// A change names one prefix twice.
-    #[snafu(display("the difference names {prefix} twice, at last with {class:?}"))]
-    Twice {
+    /// A diff names one prefix twice.
+    #[snafu(display("the diff names {prefix} twice, the second time with {class:?}"))]
+    DuplicatePrefix {
         /// The prefix.
         prefix: Prefix,
         /// The class of the later change.
--- a/crates/blocks/src/generate.rs
+++ b/crates/blocks/src/generate.rs
@@ -1,4 +1,5 @@
-//! Seeded client blocks with the skew of real allocation, for benchmarks and tests.
+//! Generates client blocks from a seed, distributed like real address allocations, for
+//! benchmarks and tests.
 //!
 //! Lengths are mostly /24 to /16 for IPv4 and /48 to /32 for IPv6. Blocks lie in clusters:
 //! an allocation begins at a random address, and its blocks follow each other, side by side
@@ -42,31 +43,31 @@
 ];
 /// Blocks in an allocation on average.
 const CLUSTER_MEAN: f64 = 40.0;
-/// Thousandths of blocks that lie right after the block before, where a mix doesn't say.
+/// Thousandths of blocks that lie right after the block before, unless the mix sets it.
 const ADJACENT_PERMILLE: u32 = 600;
 /// Thousandths of blocks that get a covering block one to four bits shorter.
-const COVERED_PERMILLE: u32 = 60;
-/// Thousandths of blocks whose class isn't that of their allocation.
-const OWN_CLASS_PERMILLE: u32 = 120;
+const COVERING_PERMILLE: u32 = 60;
+/// Thousandths of blocks whose class is not that of their allocation.
+const OTHER_CLASS_PERMILLE: u32 = 120;
 
-/// How many blocks of each family to make, and from which seed.
+/// Parameters of the generated blocks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Mix {
     /// IPv4 blocks.
     pub v4: usize,
     /// IPv6 blocks.
     pub v6: usize,
-    /// Classes to choose from.
+    /// Number of classes.
     pub classes: u16,
     /// Thousandths of blocks that lie right after the block before; the others follow after
     /// a gap of one to eleven blocks.
     pub adjacent_permille: u32,
-    /// The seed; one seed makes the same blocks again.
+    /// The seed; equal seeds generate equal blocks.
     pub seed: u64,
 }
 
 impl Mix {
-    /// Gives the mix for `count` blocks: two thirds IPv4, one third IPv6, 400 classes.
+    /// Returns the mix for `count` blocks: two thirds IPv4, one third IPv6, 400 classes.
     pub fn of(count: usize, seed: u64) -> Mix {
         let v6 = count / 3;
         let v4 = count - v6;
@@ -80,12 +81,12 @@
     }
 }
 
-/// Makes the blocks of a mix, in order of prefix.
+/// Generates the blocks of a mix, in order of prefix.
 pub fn blocks(mix: Mix) -> Vec<(Prefix, BlockClass)> {
     let mut rng = Rng::with_seed(mix.seed);
-    let mut made = family_blocks(Family::V4, mix.v4, mix, &mut rng);
-    made.extend(family_blocks(Family::V6, mix.v6, mix, &mut rng));
-    made
+    let mut generated = family_blocks(Family::V4, mix.v4, mix, &mut rng);
+    generated.extend(family_blocks(Family::V6, mix.v6, mix, &mut rng));
+    generated
 }
 
 fn family_blocks(
@@ -94,12 +95,12 @@
     mix: Mix,
     rng: &mut Rng,
 ) -> Vec<(Prefix, BlockClass)> {
-    let mut made = BTreeMap::new();
-    while made.len() < count {
-        let size = cluster_size(rng).min(count - made.len());
-        add_cluster(family, size, count, mix, rng, &mut made);
+    let mut generated = BTreeMap::new();
+    while generated.len() < count {
+        let size = cluster_size(rng).min(count - generated.len());
+        add_cluster(family, size, count, mix, rng, &mut generated);
     }
-    let blocks = made.into_iter();
+    let blocks = generated.into_iter();
     blocks
         .map(|(net, class)| (Prefix::from_net(family, net), class))
         .collect()
@@ -116,7 +117,7 @@
     count: usize,
     mix: Mix,
     rng: &mut Rng,
-    made: &mut BTreeMap<Net, BlockClass>,
+    generated: &mut BTreeMap<Net, BlockClass>,
 ) {
     let class = BlockClass(rng.u16(..mix.classes));
     let usual = pick_length(family, rng);
@@ -127,13 +128,13 @@
             _ => usual,
         };
         let block = Net::covering(at.bits, len);
-        let class = own_class(class, mix.classes, rng);
-        made.insert(block, class);
-        if made.len() < count && rng.u32(..1000) < COVERED_PERMILLE {
+        let class = pick_class(class, mix.classes, rng);
+        generated.insert(block, class);
+        if generated.len() < count && rng.u32(..1000) < COVERING_PERMILLE {
             let cover = Net::covering(block.bits, len - rng.u8(1..=4));
-            made.entry(cover).or_insert(class);
+            generated.entry(cover).or_insert(class);
         }
-        if made.len() >= count {
+        if generated.len() >= count {
             return;
         }
         at = match next_block(block, mix.adjacent_permille, rng) {
@@ -143,14 +144,14 @@
     }
 }
 
-fn own_class(usual: BlockClass, classes: u16, rng: &mut Rng) -> BlockClass {
-    match rng.u32(..1000) < OWN_CLASS_PERMILLE {
+fn pick_class(usual: BlockClass, classes: u16, rng: &mut Rng) -> BlockClass {
+    match rng.u32(..1000) < OTHER_CLASS_PERMILLE {
         true => BlockClass(rng.u16(..classes)),
         false => usual,
     }
 }
 
-/// Gives the block of the same length after a short gap, if there is one.
+/// Returns the block of the same length after a short gap, if there is one.
 fn next_block(block: Net, adjacent_permille: u32, rng: &mut Rng) -> Option<Net> {
     let steps = match rng.u32(..1000) < adjacent_permille {
         true => 1,
@@ -181,34 +182,34 @@
         Family::V4 => &V4_LENGTHS,
         Family::V6 => &V6_LENGTHS,
     };
-    let mut left = rng.u32(..1000);
+    let mut remaining = rng.u32(..1000);
     for &(len, weight) in lengths {
-        if left < weight {
+        if remaining < weight {
             return len;
         }
-        left -= weight;
+        remaining -= weight;
     }
     lengths[0].0
 }
 
-/// Makes `count` changes to the given blocks: half get another class, a quarter are removed,
-/// and for each one removed a neighbour is added.
+/// Generates `count` changes to the given blocks: about half change a class, a quarter remove a
+/// block and a quarter add a block next to an existing one.
 pub fn changes(blocks: &[(Prefix, BlockClass)], count: usize, seed: u64) -> Vec<Change> {
     let mut rng = Rng::with_seed(seed);
-    let held: BTreeMap<Prefix, BlockClass> = blocks.iter().copied().collect();
-    let mut made = BTreeMap::new();
-    while made.len() < count {
+    let existing: BTreeMap<Prefix, BlockClass> = blocks.iter().copied().collect();
+    let mut generated = BTreeMap::new();
+    while generated.len() < count {
         let (prefix, class) = blocks[rng.usize(..blocks.len())];
         match rng.u8(..4) {
-            0 => made.insert(prefix, None),
-            1 => match free_neighbour(prefix, &held, &mut rng) {
-                Some(neighbour) => made.insert(neighbour, Some(class)),
+            0 => generated.insert(prefix, None),
+            1 => match free_neighbour(prefix, &existing, &mut rng) {
+                Some(neighbour) => generated.insert(neighbour, Some(class)),
                 None => continue,
             },
-            _ => made.insert(prefix, Some(BlockClass(class.0 ^ 1))),
+            _ => generated.insert(prefix, Some(BlockClass(class.0 ^ 1))),
         };
     }
-    let changes = made.into_iter();
+    let changes = generated.into_iter();
     changes
         .map(|(prefix, class)| Change { prefix, class })
         .collect()
@@ -216,10 +217,10 @@
 
 fn free_neighbour(
     prefix: Prefix,
-    held: &BTreeMap<Prefix, BlockClass>,
+    existing: &BTreeMap<Prefix, BlockClass>,
     rng: &mut Rng,
 ) -> Option<Prefix> {
     let net = next_block(prefix.net(), ADJACENT_PERMILLE, rng)?;
     let neighbour = Prefix::from_net(prefix.family(), net);
-    (!held.contains_key(&neighbour)).then_some(neighbour)
+    (!existing.contains_key(&neighbour)).then_some(neighbour)
 }
--- a/crates/blocks/src/group.rs
+++ b/crates/blocks/src/group.rs
@@ -1,33 +1,33 @@
 //! A group: a run of neighbouring chunks in one shared buffer.
 //!
 //! The buffer holds the number of chunks, the first address of each, where each ends, and
-//! the chunks. One allocation keeps what a look-up reads close together in memory.
+//! the chunks. One allocation keeps what a lookup reads close together in memory.
 
 use std::sync::Arc;
 
 const COUNT_BYTES: usize = 2;
 const KEY_BYTES: usize = 8;
 const END_BYTES: usize = 2;
-/// The two counts of an `Arc` and the word that the allocator keeps.
-const ALLOCATION_BYTES: usize = 24;
+/// The two reference counts of an `Arc` and one word of allocator overhead.
+const ALLOCATION_OVERHEAD_BYTES: usize = 24;
 
-/// A run of neighbouring chunks, which never changes. A clone shares it.
+/// An immutable run of neighbouring chunks. Clones share the buffer.
 #[derive(Clone, Debug)]
 pub(crate) struct Group {
     packed: Arc<[u8]>,
 }
 
 impl Group {
-    /// Makes a group of chunks: the first address of each, where each ends in `bytes` and
+    /// Creates a group of chunks: the first address of each, where each ends in `bytes` and
     /// their bytes.
     ///
     /// # Panics
     ///
-    /// Where the chunks are larger than 64 KiB together, which the builder's limits on chunks
-    /// and entries rule out.
+    /// Where the chunks are larger than 64 KiB together, which the builder's limits on
+    /// chunks and entries prevent.
     pub(crate) fn new(keys: &[u64], ends: &[u32], start: u32, bytes: &[u8]) -> Group {
-        let head = keys.len() * (KEY_BYTES + END_BYTES) + COUNT_BYTES;
-        let mut out = Vec::with_capacity(head + bytes.len());
+        let header_bytes = keys.len() * (KEY_BYTES + END_BYTES) + COUNT_BYTES;
+        let mut out = Vec::with_capacity(header_bytes + bytes.len());
         out.extend_from_slice(&(keys.len() as u16).to_le_bytes());
         for key in keys {
             out.extend_from_slice(&key.to_le_bytes());
@@ -40,54 +40,54 @@
         Group { packed: out.into() }
     }
 
-    /// Gives the number of chunks, which is never zero.
+    /// Returns the number of chunks, which is never zero.
     pub(crate) fn len(&self) -> usize {
         usize::from(u16::from_le_bytes([self.packed[0], self.packed[1]]))
     }
 
-    /// Gives the first address of a chunk.
-    pub(crate) fn key(&self, at: usize) -> u64 {
-        let start = COUNT_BYTES + at * KEY_BYTES;
+    /// Returns the first address of a chunk.
+    pub(crate) fn key(&self, index: usize) -> u64 {
+        let start = COUNT_BYTES + index * KEY_BYTES;
         let bytes = self.packed[start..].first_chunk();
         u64::from_le_bytes(*bytes.expect("a chunk of the group"))
     }
 
-    /// Gives the last chunk whose first address isn't above `address`.
+    /// Returns the last chunk whose first address is not above `address`.
     pub(crate) fn find(&self, address: u64) -> Option<usize> {
         let end = COUNT_BYTES + self.len() * KEY_BYTES;
         let (keys, _) = self.packed[COUNT_BYTES..end].as_chunks::<KEY_BYTES>();
-        let above = keys.partition_point(|&key| u64::from_le_bytes(key) <= address);
-        above.checked_sub(1)
+        let end = keys.partition_point(|&key| u64::from_le_bytes(key) <= address);
+        end.checked_sub(1)
     }
 
-    /// Gives the bytes of a chunk.
-    pub(crate) fn chunk(&self, at: usize) -> &[u8] {
+    /// Returns the bytes of a chunk.
+    pub(crate) fn chunk(&self, index: usize) -> &[u8] {
         let count = self.len();
         let ends = COUNT_BYTES + count * KEY_BYTES;
         let body = ends + count * END_BYTES;
-        let end_of = |at: usize| {
-            let start = ends + at * END_BYTES;
+        let end_of = |index: usize| {
+            let start = ends + index * END_BYTES;
             usize::from(u16::from_le_bytes([
                 self.packed[start],
                 self.packed[start + 1],
             ]))
         };
-        let start = at.checked_sub(1).map_or(0, end_of);
-        &self.packed[body + start..body + end_of(at)]
+        let start = index.checked_sub(1).map_or(0, end_of);
+        &self.packed[body + start..body + end_of(index)]
     }
 
-    /// Gives each chunk with its first address.
+    /// Returns each chunk with its first address.
     pub(crate) fn chunks(&self) -> impl Iterator<Item = (u64, &[u8])> {
-        (0..self.len()).map(|at| (self.key(at), self.chunk(at)))
+        (0..self.len()).map(|index| (self.key(index), self.chunk(index)))
     }
 
-    /// Gives the bytes held in memory.
+    /// Returns the bytes held in memory.
     pub(crate) fn resident_bytes(&self) -> usize {
-        self.packed.len() + ALLOCATION_BYTES
+        self.packed.len() + ALLOCATION_OVERHEAD_BYTES
     }
 
-    /// Gives where the group lies in memory, which tells shared groups from copies.
-    pub(crate) fn address(&self) -> usize {
+    /// Returns the address of the buffer, which distinguishes shared groups from copies.
+    pub(crate) fn data_address(&self) -> usize {
         self.packed.as_ptr() as usize
     }
 }
--- a/crates/blocks/src/lib.rs
+++ b/crates/blocks/src/lib.rs
@@ -1,9 +1,9 @@
 //! The table of client blocks: longest-prefix match from a caller's address to a class of
-//! preferences, with packed shards for the platform's store and differences between
+//! preferences, with packed shards for the platform's store and diffs between
 //! revisions.
 //!
-//! Everything here is plain data and plain functions; reading shards from the store is the
-//! daemon's part. `docs/block-table.md` gives the layouts weighed and the figures.
+//! This crate does no I/O; the daemon reads the shards from the store. `docs/block-table.md`
+//! compares the alternative layouts, with measurements.
 
 mod builder;
 mod chunk;
--- a/crates/blocks/src/packed.rs
+++ b/crates/blocks/src/packed.rs
@@ -1,4 +1,5 @@
-//! The frame around a packed value: its kind in four bytes, the payload, a SHA-256 digest.
+//! The frame around a stored value: four magic bytes for its kind, the payload and a SHA-256
+//! digest of both.
 
 use sha2::{Digest, Sha256};
 
@@ -9,8 +10,8 @@
 const KIND_BYTES: usize = 4;
 const DIGEST_BYTES: usize = 32;
 
-/// Makes a value of a kind and a payload.
-pub(crate) fn seal(kind: &'static str, payload: &[u8]) -> Vec<u8> {
+/// Returns the payload framed by its kind and digest.
+pub(crate) fn add_frame(kind: &'static str, payload: &[u8]) -> Vec<u8> {
     let mut out = Vec::with_capacity(KIND_BYTES + payload.len() + DIGEST_BYTES);
     out.extend_from_slice(kind.as_bytes());
     out.extend_from_slice(payload);
@@ -19,35 +20,36 @@
     out
 }
 
-/// Gives the payload of a value, which has `head` bytes at least.
-pub(crate) fn open<'a>(
+/// Checks the kind and digest of a value and returns its payload, which has at least
+/// `header_bytes` bytes.
+pub(crate) fn check_frame<'a>(
     kind: &'static str,
-    head: usize,
+    header_bytes: usize,
     value: &'a [u8],
 ) -> Result<&'a [u8], Cause> {
-    let expected = KIND_BYTES + head + DIGEST_BYTES;
+    let expected = KIND_BYTES + header_bytes + DIGEST_BYTES;
     let found = value.len();
     if found < expected {
-        return Err(Cause::Short { found, expected });
+        return Err(Cause::TooShort { found, expected });
     }
     if &value[..KIND_BYTES] != kind.as_bytes() {
         let found = value[..KIND_BYTES].escape_ascii().to_string();
         let expected = kind;
-        return Err(Cause::Kind { found, expected });
+        return Err(Cause::WrongKind { found, expected });
     }
-    let (sealed, digest) = value.split_at(found - DIGEST_BYTES);
-    if Sha256::digest(sealed).as_slice() != digest {
-        return Err(Cause::Digest);
+    let (framed, digest) = value.split_at(found - DIGEST_BYTES);
+    if Sha256::digest(framed).as_slice() != digest {
+        return Err(Cause::DigestMismatch);
     }
-    Ok(&sealed[KIND_BYTES..])
+    Ok(&framed[KIND_BYTES..])
 }
 
-/// Reads the fixed-size numbers at the head of a payload. The caller has checked the size.
-pub(crate) struct HeadReader<'a> {
+/// Reads the fixed-size integers of a payload's header. The caller has checked the size.
+pub(crate) struct HeaderReader<'a> {
     rest: &'a [u8],
 }
 
-impl<'a> HeadReader<'a> {
+impl<'a> HeaderReader<'a> {
     pub(crate) fn new(payload: &'a [u8]) -> Self {
         Self { rest: payload }
     }
@@ -71,53 +73,54 @@
     }
 }
 
-/// Appends entries in order, as a list that begins afresh.
-pub(crate) fn push_list(entries: &[Entry], out: &mut Vec<u8>) {
+/// Appends sorted entries as a list encoded independently of any list before it.
+pub(crate) fn push_entries(entries: &[Entry], out: &mut Vec<u8>) {
     let mut writer = EntryWriter::new(0);
     for &entry in entries {
         writer.push(entry, out);
     }
 }
 
-/// Reads a list of `count` entries at the head of `bytes`, each checked for length and order,
-/// and gives the bytes after it. `base` is the number of the first entry in the value.
-pub(crate) fn read_list(
+/// Reads a list of `count` entries at the start of `bytes`, checks the length and order of each
+/// and returns the bytes after the list. `first_index` is the index of the list's first entry
+/// within the value.
+pub(crate) fn read_entries(
     bytes: &[u8],
     family: Family,
-    base: usize,
+    first_index: usize,
     count: u32,
-    mut each: impl FnMut(Entry),
+    mut on_entry: impl FnMut(Entry),
 ) -> Result<&[u8], Cause> {
     let mut reader = EntryReader::new(bytes, 0);
-    let mut before = None;
-    for index in base..base + count as usize {
-        let entry = reader.next().ok_or(Cause::Entry { index })?;
+    let mut prev = None;
+    for index in first_index..first_index + count as usize {
+        let entry = reader.next().ok_or(Cause::InvalidEntry { index })?;
         let (len, max) = (entry.net.len, family.max_len());
         if len > max {
-            return Err(Cause::Length { index, len, max });
+            return Err(Cause::LengthOutOfRange { index, len, max });
         }
-        if before >= Some(entry.net) {
+        if prev >= Some(entry.net) {
             let prefix = Prefix::from_net(family, entry.net);
-            return Err(Cause::Order { index, prefix });
+            return Err(Cause::OutOfOrder { index, prefix });
         }
-        before = Some(entry.net);
-        each(entry);
+        prev = Some(entry.net);
+        on_entry(entry);
     }
-    Ok(reader.rest())
+    Ok(reader.remaining())
 }
 
-/// Refuses bytes after the last list.
+/// Returns an error if bytes follow the last list.
 pub(crate) fn expect_end(rest: &[u8]) -> Result<(), Cause> {
     match rest.len() {
         0 => Ok(()),
-        count => Err(Cause::Trailing { count }),
+        count => Err(Cause::TrailingBytes { count }),
     }
 }
 
-/// Appends one entry as it stands in a list after `before`.
-pub(crate) fn push_after(before: Option<&Entry>, entry: Entry, out: &mut Vec<u8>) {
-    let mut writer = match before {
-        Some(before) => EntryWriter::after(*before),
+/// Appends one entry, encoded relative to `prev`.
+pub(crate) fn push_entry_after(prev: Option<&Entry>, entry: Entry, out: &mut Vec<u8>) {
+    let mut writer = match prev {
+        Some(prev) => EntryWriter::after(*prev),
         None => EntryWriter::new(0),
     };
     writer.push(entry, out);
--- a/crates/blocks/src/prefix.rs
+++ b/crates/blocks/src/prefix.rs
@@ -12,12 +12,12 @@
 pub enum Family {
     /// IPv4: prefixes of 1 to 32 bits.
     V4,
-    /// IPv6: prefixes of 1 to 64 bits. Longer ones lie inside one subnet and are refused.
+    /// IPv6: prefixes of 1 to 64 bits. Longer ones lie inside one subnet and are rejected.
     V6,
 }
 
 impl Family {
-    /// Gives the length of the longest prefix that the table keeps, in bits.
+    /// Returns the length of the longest prefix that the table keeps, in bits.
     pub fn max_len(self) -> u8 {
         match self {
             Family::V4 => 32,
@@ -26,7 +26,7 @@
     }
 }
 
-/// A prefix inside one family: its bits from the top of the word, and their number.
+/// A prefix of one family: its bits, left-aligned in a 64-bit word, and its length.
 ///
 /// Ordered by address and then from the shorter to the longer, so that a prefix comes
 /// before every prefix that it contains.
@@ -37,7 +37,7 @@
 }
 
 impl Net {
-    /// Gives the prefix of `len` bits that contains `bits`. `len` is 1 to 64.
+    /// Returns the prefix of `len` bits that contains `bits`. `len` is 1 to 64.
     pub(crate) fn covering(bits: u64, len: u8) -> Net {
         let shift = 64 - u32::from(len);
         Net {
@@ -46,7 +46,7 @@
         }
     }
 
-    /// Says whether the prefix contains the address `bits`.
+    /// Returns whether the prefix contains the address `bits`.
     pub(crate) fn contains(self, bits: u64) -> bool {
         (self.bits ^ bits) >> (64 - u32::from(self.len)) == 0
     }
@@ -59,10 +59,10 @@
     net: Net,
 }
 
-/// Why a prefix was refused.
+/// The reason why a prefix was rejected.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 pub enum PrefixError {
-    /// The text isn't an address, a slash and a number of bits.
+    /// The text is not an address, a slash and a number of bits.
     #[snafu(display("`{text}` is not a prefix; expected ADDRESS/BITS, such as 192.0.2.0/24"))]
     Text {
         /// The text.
@@ -89,7 +89,7 @@
 }
 
 impl Prefix {
-    /// Makes a prefix of `len` bits.
+    /// Creates a prefix of `len` bits.
     ///
     /// # Errors
     ///
@@ -104,12 +104,12 @@
         if len == 0 || len > max {
             return Err(PrefixError::Length { address, len, max });
         }
-        let low = match address {
+        let low_bits = match address {
             IpAddr::V4(_) => 0,
             IpAddr::V6(v6) => u128::from(v6) as u64,
         };
         let net = Net::covering(raw_bits(address), len);
-        if net.bits != raw_bits(address) || low != 0 {
+        if net.bits != raw_bits(address) || low_bits != 0 {
             return Err(PrefixError::HostBits { address, len });
         }
         Ok(Prefix { family, net })
@@ -123,17 +123,17 @@
         self.net
     }
 
-    /// Gives the address family.
+    /// Returns the address family.
     pub fn family(self) -> Family {
         self.family
     }
 
-    /// Gives the number of bits.
-    pub fn bits(self) -> u8 {
+    /// Returns the prefix length, in bits.
+    pub fn prefix_len(self) -> u8 {
         self.net.len
     }
 
-    /// Gives the lowest address of the block.
+    /// Returns the lowest address of the block.
     pub fn address(self) -> IpAddr {
         match self.family {
             Family::V4 => IpAddr::V4(Ipv4Addr::from((self.net.bits >> 32) as u32)),
@@ -141,9 +141,9 @@
         }
     }
 
-    /// Says whether the block contains the address.
+    /// Returns whether the block contains the address.
     pub fn contains(self, address: IpAddr) -> bool {
-        let (family, bits) = split(address);
+        let (family, bits) = family_and_bits(address);
         family == self.family && self.net.contains(bits)
     }
 }
@@ -155,9 +155,9 @@
     }
 }
 
-/// Gives the family and the leading 64 bits of a caller's address. An IPv4 address that a
+/// Returns the family and the leading 64 bits of a caller's address. An IPv4 address that a
 /// dual-stack socket reports as `::ffff:a.b.c.d` counts as IPv4.
-pub(crate) fn split(address: IpAddr) -> (Family, u64) {
+pub(crate) fn family_and_bits(address: IpAddr) -> (Family, u64) {
     match address.to_canonical() {
         v4 @ IpAddr::V4(_) => (Family::V4, raw_bits(v4)),
         v6 => (Family::V6, raw_bits(v6)),
@@ -168,10 +168,10 @@
     type Err = PrefixError;
 
     fn from_str(text: &str) -> Result<Prefix, PrefixError> {
-        let wrong = || PrefixError::Text { text: text.into() };
-        let (address, len) = text.split_once('/').ok_or_else(wrong)?;
-        let address = address.parse().map_err(|_| wrong())?;
-        let len = len.parse().map_err(|_| wrong())?;
+        let invalid = || PrefixError::Text { text: text.into() };
+        let (address, len) = text.split_once('/').ok_or_else(invalid)?;
+        let address = address.parse().map_err(|_| invalid())?;
+        let len = len.parse().map_err(|_| invalid())?;
         Prefix::new(address, len)
     }
 }
--- a/crates/blocks/src/table.rs
+++ b/crates/blocks/src/table.rs
@@ -16,18 +16,18 @@
 /// All client blocks at one revision; it never changes.
 ///
 /// A clone shares everything. [`BlockTable::apply`] gives the next revision, which shares
-/// what didn't change, so the holder swaps one value and look-ups never wait.
+/// the unchanged groups; the owner replaces one value and lookups never block.
 #[derive(Clone, Debug, Default)]
 pub struct BlockTable {
     revision: Revision,
     v4: ChunkMap,
     v6: ChunkMap,
     count: usize,
-    sum: u64,
+    checksum: u64,
 }
 
 impl BlockTable {
-    /// Makes a table of blocks in any order; of two with one prefix the later one counts.
+    /// Creates a table of blocks in any order; if a prefix occurs more than once, the last one wins.
     pub fn from_blocks(
         revision: Revision,
         blocks: impl IntoIterator<Item = (Prefix, BlockClass)>,
@@ -44,35 +44,35 @@
         loader.into_table(revision)
     }
 
-    /// Gives the class of the longest block that contains the address, or `None` where no
+    /// Returns the class of the longest block that contains the address, or `None` where no
     /// block does.
     pub fn lookup(&self, address: IpAddr) -> Option<BlockClass> {
-        let (family, bits) = prefix::split(address);
+        let (family, bits) = prefix::family_and_bits(address);
         self.map(family).lookup(bits)
     }
 
-    /// Gives the revision.
+    /// Returns the revision.
     pub fn revision(&self) -> Revision {
         self.revision
     }
 
-    /// Gives the number of blocks.
+    /// Returns the number of blocks.
     pub fn len(&self) -> usize {
         self.count
     }
 
-    /// Says whether the table holds no block.
+    /// Returns whether the table holds no block.
     pub fn is_empty(&self) -> bool {
         self.count == 0
     }
 
-    /// Gives a number that two tables have in common only where their blocks are the same,
-    /// but for chance. It guards against mistakes, not against forgery.
-    pub fn sum(&self) -> u64 {
-        self.sum
+    /// Returns a checksum over the blocks, which differs between tables with different blocks
+    /// except for random collisions. It detects mistakes; it is not cryptographic.
+    pub fn checksum(&self) -> u64 {
+        self.checksum
     }
 
-    /// Gives the blocks in order of prefix.
+    /// Returns the blocks in order of prefix.
     pub fn blocks(&self) -> impl Iterator<Item = (Prefix, BlockClass)> + '_ {
         [Family::V4, Family::V6].into_iter().flat_map(|family| {
             let entries = self.entries(family);
@@ -91,76 +91,76 @@
         }
     }
 
-    /// Gives the table after a difference; this one stays as it is. `key` is the
-    /// difference's key in the store.
+    /// Returns the table after a diff; this table is not modified. `key` is the
+    /// diff's key in the store.
     ///
     /// # Errors
     ///
-    /// [`BlockError`] with the key and the cause where the difference doesn't start at this
-    /// table's revision, doesn't lead to a higher one, removes a block that isn't there, or
+    /// [`BlockError`] with the key and the cause where the diff does not start at this
+    /// table's revision, does not lead to a higher one, removes a block that is not there, or
     /// leads to other blocks than its writer had.
     pub fn apply(&self, key: &str, diff: &Diff) -> Result<BlockTable, BlockError> {
-        self.checked(diff).map_err(|cause| cause.at(key))
+        self.try_apply(diff).map_err(|cause| cause.at(key))
     }
 
-    fn checked(&self, diff: &Diff) -> Result<BlockTable, Cause> {
+    fn try_apply(&self, diff: &Diff) -> Result<BlockTable, Cause> {
         if diff.from() != self.revision {
             let (found, expected) = (diff.from(), self.revision);
-            return Err(Cause::Base { found, expected });
+            return Err(Cause::BaseMismatch { found, expected });
         }
-        let table = self.changed(diff)?;
-        if table.sum != diff.sum() {
-            let (found, expected) = (table.sum, diff.sum());
-            return Err(Cause::Sum { found, expected });
+        let table = self.with_changes(diff)?;
+        if table.checksum != diff.checksum() {
+            let (found, expected) = (table.checksum, diff.checksum());
+            return Err(Cause::ChecksumMismatch { found, expected });
         }
         Ok(table)
     }
 
-    /// Makes the changes without a look at the revision or sum that the difference tells.
-    pub(crate) fn changed(&self, diff: &Diff) -> Result<BlockTable, Cause> {
+    /// Applies the changes without checking the diff's base revision or checksum.
+    pub(crate) fn with_changes(&self, diff: &Diff) -> Result<BlockTable, Cause> {
         let (from, to) = (diff.from(), diff.to());
         if to <= from {
-            return Err(Cause::Backward { from, to });
+            return Err(Cause::RevisionNotHigher { from, to });
         }
         let mut table = BlockTable {
             revision: to,
             ..self.clone()
         };
         for family in [Family::V4, Family::V6] {
-            table.change_family(family, diff)?;
+            table.apply_family(family, diff)?;
         }
         Ok(table)
     }
 
-    fn change_family(&mut self, family: Family, diff: &Diff) -> Result<(), Cause> {
+    fn apply_family(&mut self, family: Family, diff: &Diff) -> Result<(), Cause> {
         let changes = diff.net_changes(family);
         if changes.is_empty() {
             return Ok(());
         }
         let mut missing = None;
-        let (mut count, mut sum) = (self.count, self.sum);
+        let (mut count, mut checksum) = (self.count, self.checksum);
         let map = self.map(family).apply(&changes, &mut |change, before| {
             if change.class.is_none() && before.is_none() {
                 missing.get_or_insert(change.net);
             }
             count += usize::from(change.class.is_some());
             count -= usize::from(before.is_some());
-            sum = sum.wrapping_add(fingerprint(family, change.net, change.class));
-            sum = sum.wrapping_sub(fingerprint(family, change.net, before));
+            checksum = checksum.wrapping_add(fingerprint(family, change.net, change.class));
+            checksum = checksum.wrapping_sub(fingerprint(family, change.net, before));
         });
         if let Some(net) = missing {
             let prefix = Prefix::from_net(family, net);
-            return Err(Cause::Missing { prefix });
+            return Err(Cause::PrefixNotFound { prefix });
         }
         match family {
             Family::V4 => self.v4 = map,
             Family::V6 => self.v6 = map,
         }
-        (self.count, self.sum) = (count, sum);
+        (self.count, self.checksum) = (count, checksum);
         Ok(())
     }
 
-    /// Gives the whole table as shards, each below the store's limit for a value.
+    /// Returns the whole table as shards, each below the store's limit for a value.
     pub fn shards(&self) -> Vec<Shard> {
         let mut writer = ShardWriter::default();
         for family in [Family::V4, Family::V6] {
@@ -168,10 +168,10 @@
                 writer.push(family, entry);
             }
         }
-        writer.finish(self.revision, self.sum)
+        writer.finish(self.revision, self.checksum)
     }
 
-    /// Gives the bytes that the table holds, with those that it shares with other revisions.
+    /// Returns the bytes that the table holds, with those shared with other revisions.
     pub fn resident_bytes(&self) -> usize {
         self.v4.resident_bytes() + self.v6.resident_bytes()
     }
@@ -185,7 +185,7 @@
 }
 
 fn fingerprint(family: Family, net: Net, class: Option<BlockClass>) -> u64 {
-    /// Keeps an IPv4 block apart from the IPv6 block with the same leading bits.
+    /// Distinguishes an IPv6 block from the IPv4 block with the same leading bits.
     const V6_SALT: u64 = 0x9e37_79b9_7f4a_7c15;
     let salt = match family {
         Family::V4 => 0,
@@ -194,70 +194,70 @@
     class.map_or(0, |class| Entry { net, class }.fingerprint(salt))
 }
 
-/// Builds a table from its shards, one at a time, so that the holder can serve look-ups from
-/// the table in force in between.
+/// Builds a table from its shards, one at a time, so that the owner can serve lookups from
+/// the current table between shards.
 #[derive(Debug, Default)]
 pub struct TableLoader {
     v4: MapBuilder,
     v6: MapBuilder,
-    last: Option<(Family, Net)>,
+    last_entry: Option<(Family, Net)>,
     count: usize,
-    sum: u64,
-    next: u16,
-    head: Option<Head>,
+    checksum: u64,
+    next_number: u16,
+    header: Option<ShardHeader>,
 }
 
-/// What every shard of one table must agree on.
+/// The header fields that are equal in all shards of a table.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-struct Head {
+struct ShardHeader {
     revision: Revision,
-    of: u16,
-    sum: u64,
+    shard_count: u16,
+    checksum: u64,
 }
 
 impl TableLoader {
-    /// Takes the next shard. `key` is its key in the store.
+    /// Adds the next shard. `key` is its key in the store.
     ///
     /// # Errors
     ///
     /// [`BlockError`] with the key and the cause where the shard belongs to another revision
-    /// than the ones before, comes out of turn, or overlaps the one before. The loader is of
-    /// no use afterwards.
+    /// than the ones before, comes out of sequence, or overlaps the one before. The loader
+    /// must not be used after an error.
     pub fn add(&mut self, key: &str, shard: &Shard) -> Result<(), BlockError> {
-        self.add_checked(shard).map_err(|cause| cause.at(key))
+        self.try_add(shard).map_err(|cause| cause.at(key))
     }
 
-    fn add_checked(&mut self, shard: &Shard) -> Result<(), Cause> {
-        let head = Head {
+    fn try_add(&mut self, shard: &Shard) -> Result<(), Cause> {
+        let header = ShardHeader {
             revision: shard.revision,
-            of: shard.of,
-            sum: shard.sum,
+            shard_count: shard.shard_count,
+            checksum: shard.checksum,
         };
-        let first = *self.head.get_or_insert(head);
-        if head.revision != first.revision {
-            return Err(Cause::ShardRevision {
-                found: head.revision,
+        let first = *self.header.get_or_insert(header);
+        if header.revision != first.revision {
+            return Err(Cause::ShardRevisionMismatch {
+                found: header.revision,
                 expected: first.revision,
             });
         }
-        if shard.number != self.next || head != first {
-            return Err(Cause::ShardNumber {
+        if shard.number != self.next_number || header != first {
+            return Err(Cause::UnexpectedShardNumber {
                 found: shard.number,
-                found_of: shard.of,
-                expected: self.next,
-                of: first.of,
+                found_count: shard.shard_count,
+                expected: self.next_number,
+                expected_count: first.shard_count,
             });
         }
-        self.next += 1;
+        self.next_number += 1;
         let mut index = 0;
         let mut overlap = None;
-        shard.read(|family, entry| {
+        shard.for_each_entry(|family, entry| {
             if overlap.is_some() {
                 return;
             }
-            if self.last >= Some((family, entry.net)) {
+            if self.last_entry >= Some((family, entry.net)) {
                 let prefix = Prefix::from_net(family, entry.net);
-                overlap = Some(Cause::Order { index, prefix });
+                overlap = Some(Cause::OutOfOrder { index, prefix });
                 return;
             }
             index += 1;
@@ -267,32 +267,35 @@
     }
 
     fn push(&mut self, family: Family, entry: Entry) {
-        self.last = Some((family, entry.net));
+        self.last_entry = Some((family, entry.net));
         self.count += 1;
-        let print = fingerprint(family, entry.net, Some(entry.class));
-        self.sum = self.sum.wrapping_add(print);
+        let fingerprint = fingerprint(family, entry.net, Some(entry.class));
+        self.checksum = self.checksum.wrapping_add(fingerprint);
         match family {
             Family::V4 => self.v4.push(entry),
             Family::V6 => self.v6.push(entry),
         }
     }
 
-    /// Gives the table after the last shard, whose key is `key`.
+    /// Returns the table after the last shard, whose key is `key`.
     ///
     /// # Errors
     ///
-    /// [`BlockError`] where shards are missing or the blocks aren't those that the writer had.
+    /// [`BlockError`] where shards are missing or the blocks are not those that the writer had.
     pub fn finish(self, key: &str) -> Result<BlockTable, BlockError> {
-        let Some(head) = self.head.filter(|head| head.of == self.next) else {
-            let expected = self.head.map_or(1, |head| head.of);
-            let found = self.next;
-            return Err(Cause::Unfinished { found, expected }.at(key));
+        let Some(header) = self
+            .header
+            .filter(|header| header.shard_count == self.next_number)
+        else {
+            let expected = self.header.map_or(1, |header| header.shard_count);
+            let found = self.next_number;
+            return Err(Cause::MissingShards { found, expected }.at(key));
         };
-        if self.sum != head.sum {
-            let (found, expected) = (self.sum, head.sum);
-            return Err(Cause::Sum { found, expected }.at(key));
+        if self.checksum != header.checksum {
+            let (found, expected) = (self.checksum, header.checksum);
+            return Err(Cause::ChecksumMismatch { found, expected }.at(key));
         }
-        Ok(self.into_table(head.revision))
+        Ok(self.into_table(header.revision))
     }
 
     fn into_table(self, revision: Revision) -> BlockTable {
@@ -301,7 +304,7 @@
             v4: self.v4.finish(),
             v6: self.v6.finish(),
             count: self.count,
-            sum: self.sum,
+            checksum: self.checksum,
         }
     }
 }
--- a/crates/blocks/tests/bad_values.rs
+++ b/crates/blocks/tests/bad_values.rs
@@ -1,4 +1,5 @@
-//! Shards and differences that are damaged, out of turn or of the wrong table.
+//! Tests that shards and diffs that are damaged, out of sequence or of the wrong table are
+//! rejected.
 
 use heatherknot_blocks::generate::{self, Mix};
 use heatherknot_blocks::{BlockClass, BlockTable, Cause, Change, Diff, Prefix, Shard, TableLoader};
@@ -8,7 +9,7 @@
 const KEY: &str = "hk/blocks/snapshot/7/0";
 const DIGEST_BYTES: usize = 32;
 /// Where a shard's counts of entries begin: kind, revision, two numbers, sum.
-const COUNTS_AT: usize = 4 + 8 + 2 + 2 + 8;
+const COUNTS_OFFSET: usize = 4 + 8 + 2 + 2 + 8;
 
 fn table(revision: u64, count: usize) -> BlockTable {
     BlockTable::from_blocks(Revision(revision), generate::blocks(Mix::of(count, 11)))
@@ -18,10 +19,10 @@
     text.parse().expect("prefix")
 }
 
-/// Replaces the digest by that of the damaged bytes, as a faulty writer would.
-fn seal_again(value: &mut [u8]) {
-    let (sealed, digest) = value.split_at_mut(value.len() - DIGEST_BYTES);
-    digest.copy_from_slice(&Sha256::digest(sealed));
+/// Recomputes the digest over the damaged bytes, as a faulty writer would.
+fn rewrite_digest(value: &mut [u8]) {
+    let (framed, digest) = value.split_at_mut(value.len() - DIGEST_BYTES);
+    digest.copy_from_slice(&Sha256::digest(framed));
 }
 
 fn shard_cause(value: &[u8]) -> Cause {
@@ -42,7 +43,7 @@
         let cause = shard_cause(&damaged);
 
         assert!(
-            matches!(cause, Cause::Digest | Cause::Kind { .. }),
+            matches!(cause, Cause::DigestMismatch | Cause::WrongKind { .. }),
             "{at}: {cause}"
         );
     }
@@ -56,7 +57,7 @@
         let cause = shard_cause(&value[..len]);
 
         assert!(
-            matches!(cause, Cause::Digest | Cause::Short { .. }),
+            matches!(cause, Cause::DigestMismatch | Cause::TooShort { .. }),
             "{len}: {cause}"
         );
     }
@@ -70,7 +71,7 @@
     let cause = shard_cause(&diff.encode());
 
     let (found, expected) = ("HKD1".to_owned(), "HKS1");
-    assert_eq!(cause, Cause::Kind { found, expected });
+    assert_eq!(cause, Cause::WrongKind { found, expected });
 }
 
 #[test]
@@ -82,8 +83,8 @@
         .for_each(|&(at, byte)| {
             let mut damaged = value.clone();
             let body = damaged.len() - DIGEST_BYTES;
-            damaged[COUNTS_AT + usize::from(at) % (body - COUNTS_AT)] = byte;
-            seal_again(&mut damaged);
+            damaged[COUNTS_OFFSET + usize::from(at) % (body - COUNTS_OFFSET)] = byte;
+            rewrite_digest(&mut damaged);
             let Ok(shard) = Shard::decode(KEY, damaged.clone().into()) else {
                 return;
             };
@@ -103,7 +104,7 @@
             let mut value = if *is_shard { *b"HKS1" } else { *b"HKD1" }.to_vec();
             value.extend_from_slice(payload);
             value.extend_from_slice(&[0; DIGEST_BYTES]);
-            seal_again(&mut value);
+            rewrite_digest(&mut value);
 
             let shard = Shard::decode(KEY, value.clone().into());
             let diff = Diff::decode(KEY, &value);
@@ -114,9 +115,8 @@
 
 #[test]
 fn shards_of_two_revisions_make_no_table() {
-    // A reader lists the shards of revision 7; while it reads them, a writer replaces the
-    // table. The second shard it gets is of revision 8. Were it taken, callers would be
-    // steered by a table that never was.
+    // A writer replaces the table while a reader loads the shards of revision 7, so the second
+    // shard is of revision 8. Accepting it would give a table that mixes two revisions.
     let old = table(7, 400_000).shards();
     let new = table(8, 400_000).shards();
     let mut loader = TableLoader::default();
@@ -130,7 +130,10 @@
 
     assert_eq!(error.key, "hk/blocks/snapshot/8/1");
     let (found, expected) = (Revision(8), Revision(7));
-    assert_eq!(error.cause, Cause::ShardRevision { found, expected });
+    assert_eq!(
+        error.cause,
+        Cause::ShardRevisionMismatch { found, expected }
+    );
 }
 
 #[test]
@@ -142,7 +145,7 @@
     let error = loader.finish(KEY).expect_err("one shard of several");
 
     let (found, expected) = (1, shards.len() as u16);
-    assert_eq!(error.cause, Cause::Unfinished { found, expected });
+    assert_eq!(error.cause, Cause::MissingShards { found, expected });
 }
 
 #[test]
@@ -158,7 +161,7 @@
     assert!(
         matches!(
             error.cause,
-            Cause::ShardNumber {
+            Cause::UnexpectedShardNumber {
                 found: 0,
                 expected: 1,
                 ..
@@ -170,9 +173,9 @@
 
 #[test]
 fn a_difference_of_another_base_leaves_the_table_in_force() {
-    // Two writers make revision 8 out of revision 7 in a race; the loser's difference is read
-    // by a daemon that has the winner's table already. Applied, it would give that daemon
-    // other blocks than every other daemon has.
+    // Two writers create revision 8 from revision 7 concurrently, and a daemon that applied the
+    // winner's diff then reads the loser's. Applying it would leave this daemon with other blocks
+    // than all other daemons.
     let base = table(7, 1000);
     let removed = base.blocks().next().expect("a block").0;
     let change = |class| {
@@ -190,7 +193,7 @@
         .expect_err("another base");
 
     let (found, expected) = (Revision(7), Revision(8));
-    assert_eq!(error.cause, Cause::Base { found, expected });
+    assert_eq!(error.cause, Cause::BaseMismatch { found, expected });
     assert_eq!(in_force.lookup(removed.address()), Some(BlockClass(9999)));
     assert_eq!(in_force.revision(), Revision(8));
 }
@@ -209,7 +212,10 @@
         .apply("hk/blocks/change/8", &diff)
         .expect_err("other blocks");
 
-    assert!(matches!(error.cause, Cause::Sum { .. }), "{error}");
+    assert!(
+        matches!(error.cause, Cause::ChecksumMismatch { .. }),
+        "{error}"
+    );
 }
 
 #[test]
@@ -226,7 +232,7 @@
         }],
     );
 
-    assert_eq!(cause, Err(Cause::Missing { prefix: absent }));
+    assert_eq!(cause, Err(Cause::PrefixNotFound { prefix: absent }));
 }
 
 #[test]
@@ -236,7 +242,7 @@
     let cause = Diff::new(&table, Revision(7), Vec::new());
 
     let (from, to) = (Revision(7), Revision(7));
-    assert_eq!(cause, Err(Cause::Backward { from, to }));
+    assert_eq!(cause, Err(Cause::RevisionNotHigher { from, to }));
 }
 
 #[test]
--- a/crates/blocks/tests/longest_match.rs
+++ b/crates/blocks/tests/longest_match.rs
@@ -1,4 +1,4 @@
-//! The table against a naive longest match, under random blocks, changes and addresses.
+//! Compares the table with a naive longest-prefix match under random blocks, changes and addresses.
 
 use std::collections::BTreeMap;
 use std::net::{IpAddr, Ipv4Addr, Ipv6Addr};
@@ -11,7 +11,7 @@
 
 type Blocks = BTreeMap<Prefix, BlockClass>;
 
-/// A prefix as the generator draws it: the small spread makes blocks collide and nest.
+/// A random prefix; dense addresses come from a small range, so that blocks collide and nest.
 #[derive(Clone, Copy, Debug, TypeGenerator)]
 struct RawPrefix {
     is_v6: bool,
@@ -61,10 +61,10 @@
     Prefix::new(address, len).expect("prefix of the family's length")
 }
 
-fn naive(blocks: &Blocks, address: IpAddr) -> Option<BlockClass> {
+fn naive_longest_match(blocks: &Blocks, address: IpAddr) -> Option<BlockClass> {
     let matching = blocks.iter().filter(|(prefix, _)| prefix.contains(address));
     matching
-        .max_by_key(|(prefix, _)| prefix.bits())
+        .max_by_key(|(prefix, _)| prefix.prefix_len())
         .map(|(_, &class)| class)
 }
 
@@ -93,7 +93,7 @@
         .collect()
 }
 
-fn make_changes(blocks: &mut Blocks, changes: &[Change]) {
+fn apply_changes(blocks: &mut Blocks, changes: &[Change]) {
     for change in changes {
         match change.class {
             Some(class) => blocks.insert(change.prefix, class),
@@ -103,15 +103,19 @@
 }
 
 fn assert_same(table: &BlockTable, blocks: &Blocks, probes: &[RawPrefix]) {
-    let held: Vec<_> = blocks
+    let expected: Vec<_> = blocks
         .iter()
         .map(|(&prefix, &class)| (prefix, class))
         .collect();
-    assert_eq!(table.blocks().collect::<Vec<_>>(), held);
-    assert_eq!(table.len(), held.len());
-    let starts = held.iter().map(|(prefix, _)| prefix.address());
+    assert_eq!(table.blocks().collect::<Vec<_>>(), expected);
+    assert_eq!(table.len(), expected.len());
+    let starts = expected.iter().map(|(prefix, _)| prefix.address());
     for address in probes.iter().map(|&raw| address(raw)).chain(starts) {
-        assert_eq!(table.lookup(address), naive(blocks, address), "{address}");
+        assert_eq!(
+            table.lookup(address),
+            naive_longest_match(blocks, address),
+            "{address}"
+        );
     }
 }
 
@@ -138,7 +142,7 @@
 
             for (at, step) in case.steps.iter().enumerate() {
                 let changes = step_changes(&blocks, step);
-                make_changes(&mut blocks, &changes);
+                apply_changes(&mut blocks, &changes);
                 let diff =
                     Diff::new(&table, Revision(at as u64 + 2), changes).expect("good changes");
                 let diff = Diff::decode("hk/blocks/test", &diff.encode()).expect("own difference");
@@ -209,7 +213,7 @@
 
     for (at, table) in tables.iter().enumerate() {
         assert_same(table, &blocks, &probes);
-        make_changes(&mut blocks, steps.get(at).map_or(&[], Vec::as_slice));
+        apply_changes(&mut blocks, steps.get(at).map_or(&[], Vec::as_slice));
     }
 }
 
@@ -220,8 +224,8 @@
     let mut table = BlockTable::from_blocks(Revision(1), blocks.clone());
 
     for seed in 0..200 {
-        let held: Vec<_> = table.blocks().collect();
-        let changes = heatherknot_blocks::generate::changes(&held, 200, seed);
+        let current: Vec<_> = table.blocks().collect();
+        let changes = heatherknot_blocks::generate::changes(&current, 200, seed);
         let diff = Diff::new(&table, table.revision().next(), changes).expect("good changes");
         table = table
             .apply("hk/blocks/test", &diff)
@@ -263,9 +267,9 @@
         heatherknot_blocks::generate::blocks(heatherknot_blocks::generate::Mix::of(5_000, 3));
     let old = BlockTable::from_blocks(Revision(1), blocks.clone());
     let changes = heatherknot_blocks::generate::changes(&blocks, 100, 4);
-    let mut wanted: Blocks = blocks.into_iter().collect();
-    make_changes(&mut wanted, &changes);
-    let new = BlockTable::from_blocks(Revision(2), wanted.clone());
+    let mut expected_blocks: Blocks = blocks.into_iter().collect();
+    apply_changes(&mut expected_blocks, &changes);
+    let new = BlockTable::from_blocks(Revision(2), expected_blocks.clone());
 
     let diff = Diff::between(&old, &new).expect("a later revision");
 
@@ -273,7 +277,7 @@
     let applied = old
         .apply("hk/blocks/test", &diff)
         .expect("difference in turn");
-    assert!(applied.blocks().eq(wanted));
+    assert!(applied.blocks().eq(expected_blocks));
 }
 
 #[test]
