--- a/crates/blocks/benches/layouts/mod.rs
+++ b/crates/blocks/benches/layouts/mod.rs
@@ -37,7 +37,7 @@
 /// Creates the diff of `count` changes that fits the generated blocks.
 pub fn prepare(table: &BlockTable, blocks: &[Block], count: usize, seed: u64) -> Prepared {
     let changes = generate::changes(blocks, count, seed);
-    let diff = Diff::new(table, table.revision().next(), changes.clone()).expect("good changes");
+    let diff = Diff::new(table, table.revision().next(), changes.clone()).expect("valid changes");
     Prepared { diff, changes }
 }
 
@@ -96,7 +96,7 @@
         lookup: Box::new(move |address| reader.borrow().lookup(address)),
         apply: Box::new(move |prepared| {
             let next = held.borrow().apply("hk/blocks/change/2", &prepared.diff);
-            *held.borrow_mut() = next.expect("difference in turn");
+            *held.borrow_mut() = next.expect("next diff");
         }),
     }
 }
--- a/crates/blocks/src/diff.rs
+++ b/crates/blocks/src/diff.rs
@@ -37,9 +37,9 @@
     ///
     /// # Errors
     ///
-    /// [`Cause::RevisionNotHigher`] where `to` is not higher than the table's revision,
-    /// [`Cause::DuplicatePrefix`] where two changes name one prefix,
-    /// [`Cause::PrefixNotFound`] where a removed prefix is not in the table.
+    /// [`Cause::RevisionNotHigher`] if `to` is not higher than the table's revision,
+    /// [`Cause::DuplicatePrefix`] if two changes name one prefix,
+    /// [`Cause::PrefixNotFound`] if a removed prefix is not in the table.
     pub fn new(table: &BlockTable, to: Revision, mut changes: Vec<Change>) -> Result<Diff, Cause> {
         changes.sort();
         if let Some(pair) = changes.windows(2).find(|w| w[0].prefix == w[1].prefix) {
@@ -60,7 +60,7 @@
     ///
     /// # Errors
     ///
-    /// [`Cause::RevisionNotHigher`] where the revision of `new` is not the higher one.
+    /// [`Cause::RevisionNotHigher`] if the revision of `new` is not the higher one.
     pub fn between(old: &BlockTable, new: &BlockTable) -> Result<Diff, Cause> {
         let mut changes = Vec::new();
         for family in [Family::V4, Family::V6] {
@@ -124,7 +124,7 @@
     ///
     /// # Errors
     ///
-    /// [`BlockError`] with the key and the cause where the value is not a diff, is damaged,
+    /// [`BlockError`] with the key and the cause if the value is not a diff, is damaged,
     /// or holds an entry that cannot be read, is too long, out of order or named twice.
     pub fn decode(key: &str, value: &[u8]) -> Result<Diff, BlockError> {
         Self::decode_value(value).map_err(|cause| cause.at(key))
--- a/crates/blocks/src/error.rs
+++ b/crates/blocks/src/error.rs
@@ -85,7 +85,7 @@
         /// The revision of the first shard.
         expected: Revision,
     },
-    /// A shard comes out of sequence.
+    /// A shard is out of sequence.
     #[snafu(display(
         "the shard is number {found} of {found_count}; expected {expected} of {expected_count}"
     ))]
@@ -107,12 +107,12 @@
         /// Shards in all.
         expected: u16,
     },
-    /// The diff does not start at the revision in force.
-    #[snafu(display("the diff starts at {found}; the table in force is {expected}"))]
+    /// The diff does not start at the current revision.
+    #[snafu(display("the diff starts at {found}; the current table is at {expected}"))]
     BaseMismatch {
         /// The revision at which the diff starts.
         found: Revision,
-        /// The revision in force.
+        /// The current revision.
         expected: Revision,
     },
     /// The diff does not lead to a higher revision.
--- a/crates/blocks/src/group.rs
+++ b/crates/blocks/src/group.rs
@@ -23,7 +23,7 @@
     ///
     /// # Panics
     ///
-    /// Where the chunks are larger than 64 KiB together, which the builder's limits on
+    /// If the chunks together exceed 64 KiB, which the builder's limits on
     /// chunks and entries prevent.
     pub(crate) fn new(keys: &[u64], ends: &[u32], start: u32, bytes: &[u8]) -> Group {
         let header_bytes = keys.len() * (KEY_BYTES + END_BYTES) + COUNT_BYTES;
@@ -81,7 +81,7 @@
         (0..self.len()).map(|index| (self.key(index), self.chunk(index)))
     }
 
-    /// Returns the bytes held in memory.
+    /// Returns the memory that the group uses, in bytes.
     pub(crate) fn resident_bytes(&self) -> usize {
         self.packed.len() + ALLOCATION_OVERHEAD_BYTES
     }
--- a/crates/blocks/src/lib.rs
+++ b/crates/blocks/src/lib.rs
@@ -1,6 +1,5 @@
 //! The table of client blocks: longest-prefix match from a caller's address to a class of
-//! preferences, with packed shards for the platform's store and diffs between
-//! revisions.
+//! preferences, with packed shards for the platform's store and diffs between revisions.
 //!
 //! This crate does no I/O; the daemon reads the shards from the store. `docs/block-table.md`
 //! compares the alternative layouts, with measurements.
--- a/crates/blocks/src/map.rs
+++ b/crates/blocks/src/map.rs
@@ -56,7 +56,8 @@
         merge.finish()
     }
 
-    /// Returns the bytes held, with those shared with other revisions.
+    /// Returns the memory that the map uses, in bytes, including memory shared with other
+    /// revisions.
     pub(crate) fn resident_bytes(&self) -> usize {
         let index = self.first_keys.capacity() * 8 + self.groups.capacity() * size_of::<Group>();
         let groups = self.groups.iter().map(|group| group.resident_bytes());
--- a/crates/blocks/src/prefix.rs
+++ b/crates/blocks/src/prefix.rs
@@ -93,8 +93,8 @@
     ///
     /// # Errors
     ///
-    /// [`PrefixError::Length`] where `len` is outside 1 to 32 (IPv4) or 1 to 64 (IPv6),
-    /// [`PrefixError::HostBits`] where the address has bits set after the prefix.
+    /// [`PrefixError::Length`] if `len` is outside 1 to 32 (IPv4) or 1 to 64 (IPv6),
+    /// [`PrefixError::HostBits`] if the address has bits set after the prefix.
     pub fn new(address: IpAddr, len: u8) -> Result<Prefix, PrefixError> {
         let family = match address {
             IpAddr::V4(_) => Family::V4,
--- a/crates/blocks/src/shard.rs
+++ b/crates/blocks/src/shard.rs
@@ -51,7 +51,7 @@
     ///
     /// # Errors
     ///
-    /// [`BlockError`] with the key and the cause where the value is not a shard, is damaged, or
+    /// [`BlockError`] with the key and the cause if the value is not a shard, is damaged, or
     /// holds an entry that cannot be read, is too long or out of order.
     pub fn decode(key: &str, value: Bytes) -> Result<Shard, BlockError> {
         Self::decode_value(value).map_err(|cause| cause.at(key))
--- a/crates/blocks/src/table.rs
+++ b/crates/blocks/src/table.rs
@@ -44,7 +44,7 @@
         loader.into_table(revision)
     }
 
-    /// Returns the class of the longest block that contains the address, or `None` where no
+    /// Returns the class of the longest block that contains the address, or `None` if no
     /// block does.
     pub fn lookup(&self, address: IpAddr) -> Option<BlockClass> {
         let (family, bits) = prefix::family_and_bits(address);
@@ -96,7 +96,7 @@
     ///
     /// # Errors
     ///
-    /// [`BlockError`] with the key and the cause where the diff does not start at this
+    /// [`BlockError`] with the key and the cause if the diff does not start at this
     /// table's revision, does not lead to a higher one, removes a block that is not there, or
     /// leads to other blocks than its writer had.
     pub fn apply(&self, key: &str, diff: &Diff) -> Result<BlockTable, BlockError> {
@@ -171,12 +171,13 @@
         writer.finish(self.revision, self.checksum)
     }
 
-    /// Returns the bytes that the table holds, with those shared with other revisions.
+    /// Returns the memory that the table uses, in bytes, including memory shared with other
+    /// revisions.
     pub fn resident_bytes(&self) -> usize {
         self.v4.resident_bytes() + self.v6.resident_bytes()
     }
 
-    /// Counts the groups of chunks in the table and those that it shares with `other`.
+    /// Returns the number of chunk groups, and how many of them are shared with `other`.
     pub fn shared_groups(&self, other: &BlockTable) -> (usize, usize) {
         let v4 = self.v4.shared_groups(&other.v4);
         let v6 = self.v6.shared_groups(&other.v6);
@@ -220,7 +221,7 @@
     ///
     /// # Errors
     ///
-    /// [`BlockError`] with the key and the cause where the shard belongs to another revision
+    /// [`BlockError`] with the key and the cause if the shard belongs to another revision
     /// than the ones before, comes out of sequence, or overlaps the one before. The loader
     /// must not be used after an error.
     pub fn add(&mut self, key: &str, shard: &Shard) -> Result<(), BlockError> {
@@ -281,7 +282,7 @@
     ///
     /// # Errors
     ///
-    /// [`BlockError`] where shards are missing or the blocks are not those that the writer had.
+    /// [`BlockError`] if shards are missing or the blocks are not those that the writer had.
     pub fn finish(self, key: &str) -> Result<BlockTable, BlockError> {
         let Some(header) = self
             .header
--- a/crates/blocks/tests/bad_values.rs
+++ b/crates/blocks/tests/bad_values.rs
@@ -8,7 +8,7 @@
 
 const KEY: &str = "hk/blocks/snapshot/7/0";
 const DIGEST_BYTES: usize = 32;
-/// Where a shard's counts of entries begin: kind, revision, two numbers, sum.
+/// Offset of a shard's entry counts, in bytes: kind, revision, two numbers, checksum.
 const COUNTS_OFFSET: usize = 4 + 8 + 2 + 2 + 8;
 
 fn table(revision: u64, count: usize) -> BlockTable {
@@ -32,8 +32,9 @@
     error.cause
 }
 
+/// Guards against shards damaged in the store being loaded.
 #[test]
-fn a_damaged_byte_anywhere_is_refused() {
+fn shard_with_any_damaged_byte_is_rejected() {
     let value = table(7, 300).shards()[0].encode();
 
     for at in 0..value.len() {
@@ -49,8 +50,9 @@
     }
 }
 
+/// Guards against shards being loaded after a partial write or read.
 #[test]
-fn a_value_cut_short_at_any_byte_is_refused() {
+fn shard_truncated_at_any_byte_is_rejected() {
     let value = table(7, 300).shards()[0].encode();
 
     for len in 0..value.len() {
@@ -63,8 +65,9 @@
     }
 }
 
+/// Guards against values of one kind being decoded as the other.
 #[test]
-fn a_difference_is_no_shard() {
+fn diff_is_not_decoded_as_a_shard() {
     let table = table(7, 10);
     let diff = Diff::new(&table, Revision(8), Vec::new()).expect("a later revision");
 
@@ -74,8 +77,9 @@
     assert_eq!(cause, Cause::WrongKind { found, expected });
 }
 
+/// Guards against a faulty writer whose digest matches its bad entries.
 #[test]
-fn a_faulty_writer_that_seals_bad_entries_is_refused() {
+fn bad_entries_with_a_valid_digest_are_rejected() {
     let value = table(7, 300).shards()[0].encode();
 
     heatherknot_test_support::property::check()
@@ -96,8 +100,9 @@
         });
 }
 
+/// Guards against panics in the decoders, which the digest check would otherwise hide.
 #[test]
-fn random_bytes_with_a_good_digest_never_panic() {
+fn random_bytes_with_a_valid_digest_never_panic() {
     heatherknot_test_support::property::check()
         .with_type::<(bool, Vec<u8>)>()
         .for_each(|(is_shard, payload)| {
@@ -113,8 +118,9 @@
         });
 }
 
+/// Guards against a table that mixes the shards of two revisions.
 #[test]
-fn shards_of_two_revisions_make_no_table() {
+fn shards_of_two_revisions_are_rejected() {
     // A writer replaces the table while a reader loads the shards of revision 7, so the second
     // shard is of revision 8. Accepting it would give a table that mixes two revisions.
     let old = table(7, 400_000).shards();
@@ -136,8 +142,9 @@
     );
 }
 
+/// Guards against a table that lacks the blocks of a shard.
 #[test]
-fn a_missing_shard_makes_no_table() {
+fn missing_shard_is_rejected() {
     let shards = table(7, 400_000).shards();
     let mut loader = TableLoader::default();
     loader.add(KEY, &shards[0]).expect("first shard");
@@ -148,8 +155,9 @@
     assert_eq!(error.cause, Cause::MissingShards { found, expected });
 }
 
+/// Guards against a shard being loaded twice in place of the next one.
 #[test]
-fn a_shard_given_twice_is_refused() {
+fn repeated_shard_is_rejected() {
     let shards = table(7, 400_000).shards();
     let mut loader = TableLoader::default();
     loader.add(KEY, &shards[0]).expect("first shard");
@@ -171,8 +179,9 @@
     );
 }
 
+/// Guards against a diff being applied to a revision that it was not made from.
 #[test]
-fn a_difference_of_another_base_leaves_the_table_in_force() {
+fn diff_with_another_base_is_rejected_and_keeps_the_table() {
     // Two writers create revision 8 from revision 7 concurrently, and a daemon that applied the
     // winner's diff then reads the loser's. Applying it would leave this daemon with other blocks
     // than all other daemons.
@@ -184,9 +193,11 @@
             class,
         }]
     };
-    let winner = Diff::new(&base, Revision(8), change(Some(BlockClass(9999)))).expect("good");
-    let loser = Diff::new(&base, Revision(8), change(None)).expect("good");
-    let in_force = base.apply("hk/blocks/change/8", &winner).expect("in turn");
+    let winner = Diff::new(&base, Revision(8), change(Some(BlockClass(9999)))).expect("valid diff");
+    let loser = Diff::new(&base, Revision(8), change(None)).expect("valid diff");
+    let in_force = base
+        .apply("hk/blocks/change/8", &winner)
+        .expect("next diff");
 
     let error = in_force
         .apply("hk/blocks/change/8", &loser)
@@ -198,15 +209,16 @@
     assert_eq!(in_force.revision(), Revision(8));
 }
 
+/// Guards against two tables of one revision diverging unnoticed.
 #[test]
-fn a_difference_made_from_other_blocks_is_refused_by_its_sum() {
+fn diff_made_from_other_blocks_is_rejected_by_its_checksum() {
     let table_a = table(7, 1000);
     let table_b = BlockTable::from_blocks(Revision(7), table_a.blocks().skip(1));
     let change = Change {
         prefix: prefix("2001:db8::/48"),
         class: Some(BlockClass(1)),
     };
-    let diff = Diff::new(&table_a, Revision(8), vec![change]).expect("good");
+    let diff = Diff::new(&table_a, Revision(8), vec![change]).expect("valid diff");
 
     let error = table_b
         .apply("hk/blocks/change/8", &diff)
@@ -218,8 +230,9 @@
     );
 }
 
+/// Guards against a diff that removes a block the table does not have.
 #[test]
-fn removing_an_absent_block_names_it() {
+fn removing_an_unknown_block_is_rejected_with_its_prefix() {
     let table = table(7, 10);
     let absent = prefix("2001:db8::/48");
 
@@ -235,8 +248,9 @@
     assert_eq!(cause, Err(Cause::PrefixNotFound { prefix: absent }));
 }
 
+/// Guards against a diff that does not increase the revision.
 #[test]
-fn a_difference_never_leads_back() {
+fn diff_to_the_same_revision_is_rejected() {
     let table = table(7, 10);
 
     let cause = Diff::new(&table, Revision(7), Vec::new());
@@ -245,8 +259,9 @@
     assert_eq!(cause, Err(Cause::RevisionNotHigher { from, to }));
 }
 
+/// Guards against prefix errors that do not say what was expected.
 #[test]
-fn a_prefix_in_words_is_refused_with_what_was_expected() {
+fn invalid_prefix_text_is_rejected_with_the_expected_form() {
     let cases = [
         (
             "192.0.2.1/24",
--- a/crates/blocks/tests/longest_match.rs
+++ b/crates/blocks/tests/longest_match.rs
@@ -28,7 +28,7 @@
 
 #[derive(Clone, Debug, TypeGenerator)]
 struct Case {
-    /// Generated blocks to begin with, enough for several chunks.
+    /// Number of dense initial blocks; many fill several chunks.
     dense: u16,
     start: Vec<(RawPrefix, u8)>,
     steps: Vec<Vec<RawChange>>,
@@ -68,7 +68,7 @@
         .map(|(_, &class)| class)
 }
 
-/// Neighbouring /28 blocks inside the range of the dense addresses, some of them nested.
+/// Returns neighbouring /28 blocks inside the range of the dense addresses, some of them nested.
 fn dense_blocks(count: u16) -> impl Iterator<Item = (Prefix, BlockClass)> {
     (0..count).map(|at| {
         let address = Ipv4Addr::from(0x0a00_0000 | u32::from(at) << 3 & !0xf);
@@ -122,14 +122,15 @@
 fn reload(table: &BlockTable) -> BlockTable {
     let mut loader = TableLoader::default();
     for shard in table.shards() {
-        let shard = Shard::decode("hk/blocks/test", shard.encode().into()).expect("own shard");
-        loader.add("hk/blocks/test", &shard).expect("shard in turn");
+        let shard = Shard::decode("hk/blocks/test", shard.encode().into()).expect("valid shard");
+        loader.add("hk/blocks/test", &shard).expect("next shard");
     }
     loader.finish("hk/blocks/test").expect("all shards")
 }
 
+/// Guards against lookups that differ from a linear search after diffs or a reload from shards.
 #[test]
-fn equals_a_naive_longest_match_through_differences_and_reloads() {
+fn matches_naive_longest_match_after_diffs_and_reloads() {
     heatherknot_test_support::property::check()
         .with_type::<Case>()
         .for_each(|case| {
@@ -144,11 +145,9 @@
                 let changes = step_changes(&blocks, step);
                 apply_changes(&mut blocks, &changes);
                 let diff =
-                    Diff::new(&table, Revision(at as u64 + 2), changes).expect("good changes");
-                let diff = Diff::decode("hk/blocks/test", &diff.encode()).expect("own difference");
-                table = table
-                    .apply("hk/blocks/test", &diff)
-                    .expect("difference in turn");
+                    Diff::new(&table, Revision(at as u64 + 2), changes).expect("valid changes");
+                let diff = Diff::decode("hk/blocks/test", &diff.encode()).expect("valid diff");
+                table = table.apply("hk/blocks/test", &diff).expect("next diff");
             }
 
             assert_same(&table, &blocks, &case.probes);
@@ -156,7 +155,7 @@
         });
 }
 
-/// Hundreds of blocks under one wide block, so that many chunks carry a cover.
+/// Returns 2000 blocks inside one wide block, so that many chunks have a cover.
 fn nested_blocks() -> Blocks {
     let mut blocks = Blocks::new();
     blocks.insert("10.0.0.0/8".parse().expect("prefix"), BlockClass(1));
@@ -168,8 +167,9 @@
     blocks
 }
 
+/// Guards against chunks that keep an outdated cover after a block of an earlier chunk changes.
 #[test]
-fn a_wide_block_changes_class_under_every_chunk_that_it_covers() {
+fn changing_a_wide_block_updates_the_covers_of_every_chunk() {
     let mut blocks = nested_blocks();
     let table = BlockTable::from_blocks(Revision(1), blocks.clone());
     let wide = "10.0.0.0/8".parse().expect("prefix");
@@ -204,11 +204,8 @@
     let mut tables = vec![table];
     for step in &steps {
         let last = tables.last().expect("a table");
-        let diff = Diff::new(last, last.revision().next(), step.clone()).expect("good changes");
-        tables.push(
-            last.apply("hk/blocks/test", &diff)
-                .expect("difference in turn"),
-        );
+        let diff = Diff::new(last, last.revision().next(), step.clone()).expect("valid changes");
+        tables.push(last.apply("hk/blocks/test", &diff).expect("next diff"));
     }
 
     for (at, table) in tables.iter().enumerate() {
@@ -217,8 +214,9 @@
     }
 }
 
+/// Guards against memory growth from chunks and groups that shrink with each diff.
 #[test]
-fn many_small_differences_leave_the_chunks_filled() {
+fn many_small_diffs_do_not_fragment_the_chunks() {
     let mix = heatherknot_blocks::generate::Mix::of(20_000, 5);
     let blocks = heatherknot_blocks::generate::blocks(mix);
     let mut table = BlockTable::from_blocks(Revision(1), blocks.clone());
@@ -226,10 +224,8 @@
     for seed in 0..200 {
         let current: Vec<_> = table.blocks().collect();
         let changes = heatherknot_blocks::generate::changes(&current, 200, seed);
-        let diff = Diff::new(&table, table.revision().next(), changes).expect("good changes");
-        table = table
-            .apply("hk/blocks/test", &diff)
-            .expect("difference in turn");
+        let diff = Diff::new(&table, table.revision().next(), changes).expect("valid changes");
+        table = table.apply("hk/blocks/test", &diff).expect("next diff");
     }
 
     let fresh = BlockTable::from_blocks(Revision(1), table.blocks());
@@ -237,21 +233,20 @@
     let (used, best) = (table.resident_bytes(), fresh.resident_bytes());
     assert!(
         used < best * 5 / 4,
-        "{used} bytes after the differences, {best} packed anew"
+        "{used} bytes after the diffs, {best} rebuilt"
     );
 }
 
+/// Guards against a diff copying groups that it does not change.
 #[test]
-fn a_difference_shares_the_groups_that_it_does_not_touch() {
+fn diff_shares_unchanged_groups() {
     let blocks =
         heatherknot_blocks::generate::blocks(heatherknot_blocks::generate::Mix::of(100_000, 9));
     let table = BlockTable::from_blocks(Revision(1), blocks.clone());
     let changes = heatherknot_blocks::generate::changes(&blocks, 10, 1);
-    let diff = Diff::new(&table, Revision(2), changes).expect("good changes");
+    let diff = Diff::new(&table, Revision(2), changes).expect("valid changes");
 
-    let next = table
-        .apply("hk/blocks/test", &diff)
-        .expect("difference in turn");
+    let next = table.apply("hk/blocks/test", &diff).expect("next diff");
 
     let (count, shared) = next.shared_groups(&table);
     assert!(
@@ -261,8 +256,9 @@
     );
 }
 
+/// Guards against missing or superfluous changes in a diff of two tables.
 #[test]
-fn between_two_tables_gives_the_difference() {
+fn between_returns_the_diff_of_two_tables() {
     let blocks =
         heatherknot_blocks::generate::blocks(heatherknot_blocks::generate::Mix::of(5_000, 3));
     let old = BlockTable::from_blocks(Revision(1), blocks.clone());
@@ -274,14 +270,13 @@
     let diff = Diff::between(&old, &new).expect("a later revision");
 
     assert_eq!(diff.changes().len(), 100);
-    let applied = old
-        .apply("hk/blocks/test", &diff)
-        .expect("difference in turn");
+    let applied = old.apply("hk/blocks/test", &diff).expect("next diff");
     assert!(applied.blocks().eq(expected_blocks));
 }
 
+/// Guards against missing IPv4 callers that a dual-stack socket reports as IPv4-mapped addresses.
 #[test]
-fn an_ipv4_caller_on_a_dual_stack_socket_is_found() {
+fn ipv4_mapped_address_matches_an_ipv4_block() {
     let prefix = "192.0.2.0/24".parse().expect("prefix");
     let table = BlockTable::from_blocks(Revision(1), [(prefix, BlockClass(4))]);
 
