--- a/crates/settings/examples/settings-cost.rs
+++ b/crates/settings/examples/settings-cost.rs
@@ -27,13 +27,13 @@
     println!("accounts {accounts}, services {}", accounts * SERVICES);
     println!("document {} bytes", text.len());
     let before = resident_kib("VmRSS");
-    let mut holder = SettingsReplica::new();
-    holder
+    let mut replica = SettingsReplica::new();
+    replica
         .accept_snapshot(snapshot(&text))
         .expect("the tree holds");
-    let held = resident_kib("VmRSS");
-    println!("resident: {before} KiB before, {held} KiB with the tree in force");
-    follow(&mut holder);
+    let loaded = resident_kib("VmRSS");
+    println!("resident: {before} KiB before, {loaded} KiB with the tree in force");
+    time_changes(&mut replica);
     let (after, peak) = (resident_kib("VmRSS"), resident_kib("VmHWM"));
     println!("resident: {after} KiB after {ROUNDS} changes, {peak} KiB at the peak");
     let tree = timed("parse and check", || {
@@ -53,39 +53,39 @@
 }
 
 /// Times a holder that takes one change of one value after another.
-fn follow(holder: &mut SettingsReplica) {
+fn time_changes(replica: &mut SettingsReplica) {
     let mut times = Vec::new();
     let mut bytes = 0;
     for round in 0..ROUNDS {
-        let text = next_change(holder, round);
+        let text = next_change(replica, round);
         bytes = text.len();
         let start = Instant::now();
         let change: Change = serde_json::from_str(&text).expect("a change");
-        holder.accept_changes(&[change]).expect("the change fits");
-        black_box(holder.tree().compile(holder.revision()));
+        replica.accept_changes(&[change]).expect("the change fits");
+        black_box(replica.tree().compile(replica.revision()));
         times.push(start.elapsed().as_secs_f64() * 1000.0);
     }
     println!("one change of one value: {bytes} bytes");
-    show("accept one change and compile", times);
+    print_times("accept one change and compile", times);
 }
 
-fn next_change(holder: &SettingsReplica, round: usize) -> String {
+fn next_change(replica: &SettingsReplica, round: usize) -> String {
     let path = "accounts/account-7/services/service-1/queue_len".to_string();
-    let before = holder.tree().get(&TreePath::parse(&path).expect("a path"));
+    let before = replica.tree().get(&TreePath::parse(&path).expect("a path"));
     let edit = Edit {
         path,
         before,
         after: Some(json!(100 + round)),
         dropped: None,
     };
-    let after = holder.tree().edited(&[edit]).expect("the tree holds");
+    let after = replica.tree().edited(&[edit]).expect("the tree holds");
     let author = Author {
         command: "0123456789abcdef".into(),
         who: "Night shift".into(),
         key: "night".into(),
         at_ms: 1_796_238_123_000,
     };
-    let change = Change::between(holder.at(), holder.tree(), &after, author);
+    let change = Change::between(replica.at(), replica.tree(), &after, author);
     json!(change.expect("the value is new")).to_string()
 }
 
@@ -96,11 +96,11 @@
         black_box(run());
         times.push(start.elapsed().as_secs_f64() * 1000.0);
     }
-    show(what, times);
+    print_times(what, times);
     run()
 }
 
-fn show(what: &str, mut times: Vec<f64>) {
+fn print_times(what: &str, mut times: Vec<f64>) {
     times.sort_by(f64::total_cmp);
     let (least, median) = (times[0], times[times.len() / 2]);
     let most = times[times.len() - 1];
--- a/crates/settings/src/access.rs
+++ b/crates/settings/src/access.rs
@@ -75,13 +75,13 @@
     /// Gives [`Denied::UnknownKey`], the same for an unknown identifier and a wrong secret.
     pub fn authenticate(
         tree: &Tree,
-        first: Option<&BootstrapKey>,
+        bootstrap: Option<&BootstrapKey>,
         secret: &str,
     ) -> Result<Operator, Denied> {
         let id = secret_id(secret).context(UnknownKeySnafu)?;
         let from_tree = tree.model().operators.get(id);
-        let from_configuration = first.filter(|first| &*first.id == id);
-        let key = from_tree.or(from_configuration.map(|first| &first.key));
+        let from_config = bootstrap.filter(|bootstrap| &*bootstrap.id == id);
+        let key = from_tree.or(from_config.map(|bootstrap| &bootstrap.key));
         let key = key.filter(|key| key.matches(secret));
         Ok(Operator {
             id: id.into(),
@@ -143,16 +143,16 @@
         edits: &[Edit],
     ) -> Result<(), Denied> {
         for edit in edits {
-            self.may_edit(before, after, edit)?;
+            self.authorize_edit(before, after, edit)?;
         }
-        self.may_share_out(before, after)
+        self.authorize_share_changes(before, after)
     }
 
     // An account that could set its own share would take it from its neighbours, whose shares
     // come out of the same one; so the share, and whether the account exists, is for the branch
     // above to set.
-    fn may_share_out(&self, before: &Tree, after: &Tree) -> Result<(), Denied> {
-        let (before, after) = (own_shares(before), own_shares(after));
+    fn authorize_share_changes(&self, before: &Tree, after: &Tree) -> Result<(), Denied> {
+        let (before, after) = (configured_shares(before), configured_shares(after));
         let names = before.keys().chain(after.keys());
         let changed = names.filter(|name| before.get(*name) != after.get(*name));
         for name in changed {
@@ -163,7 +163,7 @@
         Ok(())
     }
 
-    fn may_edit(&self, before: &Tree, after: &Tree, edit: &Edit) -> Result<(), Denied> {
+    fn authorize_edit(&self, before: &Tree, after: &Tree, edit: &Edit) -> Result<(), Denied> {
         let (key, path) = (&*self.id, edit.path.as_str());
         let outside = OutsideBranchSnafu { key, path };
         let Ok(path) = edit.tree_path() else {
@@ -171,8 +171,8 @@
         };
         match path.part() {
             Part::Root => return outside.fail(),
-            Part::Operators(None) => self.may_edit_operators(before, after, None)?,
-            Part::Operators(Some(id)) => self.may_edit_operators(before, after, Some(&id))?,
+            Part::Operators(None) => self.authorize_operator_edit(before, after, None)?,
+            Part::Operators(Some(id)) => self.authorize_operator_edit(before, after, Some(&id))?,
             Part::Platform | Part::Defaults | Part::Account(_) => {
                 self.require_within(before, &path)?;
             }
@@ -181,7 +181,7 @@
     }
 
     fn require_right(&self, path: &TreePath) -> Result<(), Denied> {
-        if is_drain(path) && self.key.has(Right::Drain) {
+        if is_drain_setting(path) && self.key.has(Right::Drain) {
             return Ok(());
         }
         match path.part() {
@@ -192,7 +192,7 @@
 
     // A key that may change its branch could otherwise make itself another key for the branch
     // above, or for rights that it was not given.
-    fn may_edit_operators(
+    fn authorize_operator_edit(
         &self,
         before: &Tree,
         after: &Tree,
@@ -201,28 +201,28 @@
         let key = &*self.id;
         for tree in [before, after] {
             let operators = tree.model().operators.iter();
-            let mut touched =
+            let mut affected =
                 operators.filter(|(known, _)| id.is_none_or(|id| known.as_ref() == id));
-            let own = touched.all(|(_, touched)| self.contains(touched));
-            ensure!(own, BeyondOwnRightsSnafu { key });
+            let all_included = affected.all(|(_, affected)| self.includes(affected));
+            ensure!(all_included, BeyondOwnRightsSnafu { key });
         }
         Ok(())
     }
 
-    fn contains(&self, other: &OperatorKey) -> bool {
+    fn includes(&self, other: &OperatorKey) -> bool {
         self.key.covers(&other.branch) && other.rights.iter().all(|right| self.key.has(*right))
     }
 }
 
 /// Tells whether the path is a drain state. A service or region of that name isn't one.
-fn is_drain(path: &TreePath) -> bool {
+fn is_drain_setting(path: &TreePath) -> bool {
     let fields = path.parent().and_then(|parent| table_at(&parent));
     let mut keys = fields.into_iter().flatten().map(|field| field.key);
     DRAIN_KEYS.contains(&path.key()) && keys.any(|key| key == path.key())
 }
 
 /// Gives what each account sets as its share, by account path.
-fn own_shares(tree: &Tree) -> BTreeMap<String, Option<Value>> {
+fn configured_shares(tree: &Tree) -> BTreeMap<String, Option<Value>> {
     let nodes = account_nodes(tree.model());
     let shares = nodes.iter().map(|node| {
         let share = node.account.defaults.get(&Key::AccountShare);
--- a/crates/settings/src/audit.rs
+++ b/crates/settings/src/audit.rs
@@ -49,7 +49,7 @@
 pub fn entry_for(branch: &str, newest: &Tree, change: &Change) -> Option<AuditEntry> {
     let edits = change.edits.iter();
     let edits: Vec<Edit> = edits
-        .flat_map(|edit| visible(branch, newest, edit))
+        .flat_map(|edit| visible_edits(branch, newest, edit))
         .collect();
     (!edits.is_empty()).then(|| AuditEntry {
         revision: change.revision,
@@ -61,7 +61,7 @@
     })
 }
 
-fn visible(branch: &str, newest: &Tree, edit: &Edit) -> Vec<Edit> {
+fn visible_edits(branch: &str, newest: &Tree, edit: &Edit) -> Vec<Edit> {
     if branch.is_empty() {
         return vec![edit.clone()];
     }
@@ -70,24 +70,25 @@
     };
     match path.part() {
         Part::Account(_) => {
-            let part = part_of(&TreePath::of_account(branch), &path, edit);
+            let part = clip_to_branch(&TreePath::of_account(branch), &path, edit);
             part.into_iter().collect()
         }
         Part::Operators(Some(id)) => {
-            let bound = bound_branch(edit, newest, &id);
+            let bound = key_branch(edit, newest, &id);
             let own = bound.is_some_and(|bound| names::is_within(&bound, branch));
             own.then(|| edit.clone()).into_iter().collect()
         }
         Part::Operators(None) => {
-            let keys = each_child(&path, edit).into_iter();
-            keys.flat_map(|key| visible(branch, newest, &key)).collect()
+            let keys = split_by_child(&path, edit).into_iter();
+            keys.flat_map(|key| visible_edits(branch, newest, &key))
+                .collect()
         }
         _ => Vec::new(),
     }
 }
 
 /// Gives an edit of a whole object as one edit for each of its children.
-fn each_child(path: &TreePath, edit: &Edit) -> Vec<Edit> {
+fn split_by_child(path: &TreePath, edit: &Edit) -> Vec<Edit> {
     let empty = Json::Object(Map::new());
     let before = edit.before.as_ref().unwrap_or(&empty);
     let after = edit.after.as_ref().unwrap_or(&empty);
@@ -95,7 +96,7 @@
 }
 
 /// Gives the part of an edit that lies in the branch, where the edit is of a node above it.
-fn part_of(branch: &TreePath, path: &TreePath, edit: &Edit) -> Option<Edit> {
+fn clip_to_branch(branch: &TreePath, path: &TreePath, edit: &Edit) -> Option<Edit> {
     if path.is_within(branch) {
         return Some(edit.clone());
     }
@@ -110,7 +111,7 @@
     (part.before != part.after).then_some(part)
 }
 
-fn bound_branch(edit: &Edit, newest: &Tree, id: &str) -> Option<String> {
+fn key_branch(edit: &Edit, newest: &Tree, id: &str) -> Option<String> {
     let node = edit.after.as_ref().or(edit.before.as_ref());
     let named = node.and_then(|node| node.get("branch")?.as_str().map(str::to_string));
     named.or_else(|| {
@@ -122,16 +123,16 @@
 /// Gives what is kept of a change in a pack.
 #[must_use]
 pub fn compacted(change: &Change) -> Change {
-    let mut kept = change.clone();
-    for edit in &mut kept.edits {
-        if values_len(edit) > KEPT_VALUE_BYTES {
+    let mut compact = change.clone();
+    for edit in &mut compact.edits {
+        if values_bytes(edit) > KEPT_VALUE_BYTES {
             *edit = edit.without_values();
         }
     }
-    kept
+    compact
 }
 
-fn values_len(edit: &Edit) -> usize {
+fn values_bytes(edit: &Edit) -> usize {
     let values = [&edit.before, &edit.after].into_iter().flatten();
     values.map(|value| value.to_string().len()).sum()
 }
--- a/crates/settings/src/change.rs
+++ b/crates/settings/src/change.rs
@@ -146,21 +146,21 @@
     ///
     /// Gives [`SettingsError::Chain`] with the revision at fault.
     pub fn verify(&self, after: ChainPoint) -> Result<(), SettingsError> {
-        let broken = |problem: &'static str| ChainSnafu {
+        let chain_error = |problem: &'static str| ChainSnafu {
             revision: self.revision,
             problem,
         };
         ensure!(
             self.hash == self.computed_hash(),
-            broken("its hash doesn't fit its content")
+            chain_error("its hash doesn't fit its content")
         );
         ensure!(
             self.revision == after.revision.next(),
-            broken("it doesn't follow the revision before")
+            chain_error("it doesn't follow the revision before")
         );
         ensure!(
             self.previous == after.hash,
-            broken("it doesn't name the hash of the change before")
+            chain_error("it doesn't name the hash of the change before")
         );
         Ok(())
     }
--- a/crates/settings/src/compile.rs
+++ b/crates/settings/src/compile.rs
@@ -6,7 +6,7 @@
 use heatherknot_types::prelude::*;
 
 use crate::field::Value;
-use crate::inherit::{AccountNode, Lineage, account_nodes};
+use crate::inherit::{AccountNode, InheritanceChain, account_nodes};
 use crate::model::{Model, Quota, Service};
 use crate::table::Key;
 
@@ -16,9 +16,9 @@
     let mut services = BTreeMap::new();
     for node in &nodes {
         for (name, service) in &node.account.services {
-            let (lineage, _) = node.service(name, service);
+            let (chain, _) = node.service(name, service);
             let name = service_name(&node.name, name);
-            services.insert(name, self::service(node, &lineage, service));
+            services.insert(name, service_plan(node, &chain, service));
         }
     }
     Plan {
@@ -27,7 +27,7 @@
         domains: model.platform.domains.clone(),
         links: model.platform.links.clone(),
         places: model.platform.places.clone(),
-        accounts: accounts(model, &nodes),
+        accounts: account_plans(model, &nodes),
         services,
     }
 }
@@ -37,46 +37,50 @@
     ServiceName::from(format!("{account}:{service}"))
 }
 
-fn service(node: &AccountNode<'_>, lineage: &Lineage<'_>, service: &Service) -> ServicePlan {
+fn service_plan(
+    node: &AccountNode<'_>,
+    chain: &InheritanceChain<'_>,
+    service: &Service,
+) -> ServicePlan {
     ServicePlan {
         account: node.name.clone(),
         account_share_permille: node.own_share(),
-        class: class(lineage),
-        deadline: Millis(lineage.number(Key::Deadline)),
-        max_body: lineage.number(Key::MaxBody),
-        queue_len: lineage.number(Key::QueueLen),
-        retry_permille: lineage.number(Key::Retry),
-        lookup_ttl: Millis(lineage.number(Key::LookupTtl)),
-        latency_weight_permille: lineage.number(Key::LatencyWeight),
-        growth_permille: lineage.number(Key::Growth),
-        at_most_once: routes(lineage),
+        class: class(chain),
+        deadline: Millis(chain.number(Key::Deadline)),
+        max_body: chain.number(Key::MaxBody),
+        queue_len: chain.number(Key::QueueLen),
+        retry_permille: chain.number(Key::Retry),
+        lookup_ttl: Millis(chain.number(Key::LookupTtl)),
+        latency_weight_permille: chain.number(Key::LatencyWeight),
+        growth_permille: chain.number(Key::Growth),
+        at_most_once: at_most_once_routes(chain),
         upstreams: service.upstreams.clone(),
     }
 }
 
-fn class(lineage: &Lineage<'_>) -> Class {
-    match lineage.resolve(Key::Class).0 {
+fn class(chain: &InheritanceChain<'_>) -> Class {
+    match chain.resolve(Key::Class).0 {
         Value::Text(word) if &*word == Class::Bulk.as_str() => Class::Bulk,
         _ => Class::Interactive,
     }
 }
 
-fn routes(lineage: &Lineage<'_>) -> Vec<String> {
-    match lineage.resolve(Key::AtMostOnce).0 {
+fn at_most_once_routes(chain: &InheritanceChain<'_>) -> Vec<String> {
+    match chain.resolve(Key::AtMostOnce).0 {
         Value::List(items) => items.iter().map(|item| item.to_string()).collect(),
         _ => Vec::new(),
     }
 }
 
-fn accounts(model: &Model, nodes: &[AccountNode<'_>]) -> BTreeMap<AccountName, AccountPlan> {
-    let owning = nodes
+fn account_plans(model: &Model, nodes: &[AccountNode<'_>]) -> BTreeMap<AccountName, AccountPlan> {
+    let with_services = nodes
         .iter()
         .filter(|node| !node.account.services.is_empty());
-    let plans = owning.map(|node| {
-        let quota = model.platform.quotas.get(&node.holder);
+    let plans = with_services.map(|node| {
+        let quota = model.platform.quotas.get(&node.quota_owner);
         let plan = AccountPlan {
             share_permille: node.own_share(),
-            guaranteed_permille: quota.map_or(0, |quota| guaranteed(quota, node)),
+            guaranteed_permille: quota.map_or(0, |quota| guaranteed_permille(quota, node)),
         };
         (node.name.clone(), plan)
     });
@@ -85,7 +89,7 @@
 
 /// Gives the account's part of what its branch is guaranteed. It doesn't depend on the other
 /// accounts of the branch, whose own settings must not reach it.
-fn guaranteed(quota: &Quota, node: &AccountNode<'_>) -> u16 {
+fn guaranteed_permille(quota: &Quota, node: &AccountNode<'_>) -> u16 {
     let part = u32::from(quota.guaranteed_permille) * u32::from(node.own_share());
     u16::try_from(part / u32::from(quota.share_permille.max(1))).unwrap_or(0)
 }
--- a/crates/settings/src/document.rs
+++ b/crates/settings/src/document.rs
@@ -60,7 +60,7 @@
         for (key, part) in parts {
             let object = serde_json::from_str::<BTreeMap<String, &RawValue>>(part.get());
             match (key.as_str(), object) {
-                (ACCOUNTS, Ok(object)) => accounts = Some(canonical(object)?),
+                (ACCOUNTS, Ok(object)) => accounts = Some(canonical_texts(object)?),
                 _ => {
                     let part = serde_json::from_str(part.get()).context(JsonSnafu)?;
                     rest.insert(key, part);
@@ -95,9 +95,9 @@
     }
 
     /// Gives the whole, parsed.
-    pub fn whole(&self) -> Json {
+    pub fn to_json(&self) -> Json {
         let mut whole = self.rest.clone();
-        let accounts = self.accounts.as_ref().map(parsed);
+        let accounts = self.accounts.as_ref().map(parse_accounts);
         if let (Some(root), Some(accounts)) = (whole.as_object_mut(), accounts) {
             root.insert(ACCOUNTS.to_string(), Json::Object(accounts));
         }
@@ -108,10 +108,10 @@
     pub fn get(&self, path: &TreePath) -> Option<Json> {
         let segments = path.segments();
         match segments.first().map(|first| &**first) {
-            None => Some(self.whole()),
+            None => Some(self.to_json()),
             Some(ACCOUNTS) => match segments.get(1) {
-                None => Some(Json::Object(parsed(self.accounts.as_ref()?))),
-                Some(name) => edit::get(&self.account(name), path).cloned(),
+                None => Some(Json::Object(parse_accounts(self.accounts.as_ref()?))),
+                Some(name) => edit::get(&self.isolated_account(name), path).cloned(),
             },
             Some(_) => edit::get(&self.rest, path).cloned(),
         }
@@ -119,7 +119,7 @@
 
     /// Gives a document that holds one account alone; its `accounts` are empty where there is
     /// no such account.
-    fn account(&self, name: &str) -> Json {
+    fn isolated_account(&self, name: &str) -> Json {
         let text = self
             .accounts
             .as_ref()
@@ -146,7 +146,7 @@
             match (first, segments.get(1)) {
                 (Some(ACCOUNTS), Some(name)) => self.apply_to_account(name, edit)?,
                 (Some(ACCOUNTS), None) | (None, _) => {
-                    let mut whole = self.whole();
+                    let mut whole = self.to_json();
                     edit::apply(&mut whole, edit)?;
                     *self = Document::split(whole);
                 }
@@ -157,9 +157,9 @@
     }
 
     fn apply_to_account(&mut self, name: &Arc<str>, edit: &Edit) -> Result<(), SettingsError> {
-        let mut alone = self.account(name);
-        edit::apply(&mut alone, edit)?;
-        let account = alone[ACCOUNTS].get(&**name);
+        let mut isolated = self.isolated_account(name);
+        edit::apply(&mut isolated, edit)?;
+        let account = isolated[ACCOUNTS].get(&**name);
         let accounts = self.accounts.get_or_insert_default();
         match account {
             Some(account) => accounts.insert(name.clone(), account.to_string().into()),
@@ -175,9 +175,11 @@
             (Some(old), Some(new)) => self.diff_accounts(after, old, new),
             (old, new) => {
                 let parse = |texts: &Option<AccountTexts>| {
-                    texts.as_ref().map(|texts| Json::Object(parsed(texts)))
+                    texts
+                        .as_ref()
+                        .map(|texts| Json::Object(parse_accounts(texts)))
                 };
-                edit::between(&path, parse(old).as_ref(), parse(new).as_ref())
+                edit::diff_nodes(&path, parse(old).as_ref(), parse(new).as_ref())
             }
         };
         edits.extend(edit::diff(&self.rest, &after.rest));
@@ -193,7 +195,9 @@
         changed.sort();
         let edits = changed.into_iter();
         edits
-            .flat_map(|name| edit::diff(&self.account(name), &after.account(name)))
+            .flat_map(|name| {
+                edit::diff(&self.isolated_account(name), &after.isolated_account(name))
+            })
             .collect()
     }
 }
@@ -206,7 +210,7 @@
     }
 }
 
-fn canonical(object: BTreeMap<String, &RawValue>) -> Result<AccountTexts, SettingsError> {
+fn canonical_texts(object: BTreeMap<String, &RawValue>) -> Result<AccountTexts, SettingsError> {
     let mut texts = AccountTexts::new();
     for (name, account) in object {
         let account: Json = serde_json::from_str(account.get()).context(JsonSnafu)?;
@@ -215,7 +219,7 @@
     Ok(texts)
 }
 
-fn parsed(texts: &AccountTexts) -> Map<String, Json> {
+fn parse_accounts(texts: &AccountTexts) -> Map<String, Json> {
     let accounts = texts.iter();
     accounts
         .map(|(name, text)| (name.to_string(), parse(text)))
--- a/crates/settings/src/edit.rs
+++ b/crates/settings/src/edit.rs
@@ -139,14 +139,14 @@
 /// Gives the edits between two states of the node at a path, with paths from the root.
 pub fn diff_at(path: &TreePath, before: &Json, after: &Json) -> Vec<Edit> {
     let mut edits = Vec::new();
-    collect(path, before, after, &mut edits);
+    collect_edits(path, before, after, &mut edits);
     edits
 }
 
-fn collect(path: &TreePath, before: &Json, after: &Json, edits: &mut Vec<Edit>) {
+fn collect_edits(path: &TreePath, before: &Json, after: &Json, edits: &mut Vec<Edit>) {
     let (Json::Object(old), Json::Object(new)) = (before, after) else {
         if before != after {
-            edits.push(edit(path, Some(before), Some(after)));
+            edits.push(new_edit(path, Some(before), Some(after)));
         }
         return;
     };
@@ -155,20 +155,20 @@
     keys.sort();
     for key in keys {
         let path = path.child(key);
-        edits.extend(between(&path, old.get(key), new.get(key)));
+        edits.extend(diff_nodes(&path, old.get(key), new.get(key)));
     }
 }
 
 /// Gives the edits between two states of the node at a path, either of which may be no node.
-pub fn between(path: &TreePath, before: Option<&Json>, after: Option<&Json>) -> Vec<Edit> {
+pub fn diff_nodes(path: &TreePath, before: Option<&Json>, after: Option<&Json>) -> Vec<Edit> {
     match (before, after) {
         (None, None) => Vec::new(),
         (Some(before), Some(after)) => diff_at(path, before, after),
-        (before, after) => vec![edit(path, before, after)],
+        (before, after) => vec![new_edit(path, before, after)],
     }
 }
 
-fn edit(path: &TreePath, before: Option<&Json>, after: Option<&Json>) -> Edit {
+fn new_edit(path: &TreePath, before: Option<&Json>, after: Option<&Json>) -> Edit {
     Edit {
         path: path.to_string(),
         before: before.cloned(),
--- a/crates/settings/src/effective.rs
+++ b/crates/settings/src/effective.rs
@@ -6,7 +6,7 @@
 
 use crate::error::{MissingSnafu, SettingsError};
 use crate::field::{Field, Value};
-use crate::inherit::{AccountNode, BUILT_IN, Lineage, account_nodes};
+use crate::inherit::{AccountNode, BUILT_IN_ORIGIN, InheritanceChain, account_nodes};
 use crate::path::TreePath;
 use crate::table::{self, Key};
 use crate::tree::Tree;
@@ -54,7 +54,7 @@
         }
         let segments: Vec<&str> = path.segments().iter().map(|key| &**key).collect();
         if matches!(segments[..], [] | ["defaults"]) {
-            return Some(self.inherited(&Lineage::root(self.model())));
+            return Some(self.inherited(&InheritanceChain::root(self.model())));
         }
         let nodes = account_nodes(self.model());
         nodes
@@ -71,7 +71,7 @@
         let rest = path.segments().strip_prefix(account.segments())?;
         let rest: Vec<&str> = rest.iter().map(|key| &**key).collect();
         match rest[..] {
-            [] | ["defaults"] => Some(self.inherited(&node.lineage)),
+            [] | ["defaults"] => Some(self.inherited(&node.chain)),
             ["services", name] => {
                 let service = node.account.services.get(name)?;
                 Some(self.inherited(&node.service(name, service).0))
@@ -80,10 +80,10 @@
         }
     }
 
-    fn inherited(&self, lineage: &Lineage<'_>) -> Vec<EffectiveValue> {
+    fn inherited(&self, chain: &InheritanceChain<'_>) -> Vec<EffectiveValue> {
         let keys = Key::ALL.into_iter();
         let values = keys.map(|key| {
-            let (value, origin) = lineage.resolve(key);
+            let (value, origin) = chain.resolve(key);
             EffectiveValue {
                 key: key.field().key.to_string(),
                 value: to_json(&value),
@@ -122,7 +122,7 @@
             Some(value) => (Some(value.clone()), path.to_string()),
             None => (
                 field.default_value().map(|value| to_json(&value)),
-                BUILT_IN.to_string(),
+                BUILT_IN_ORIGIN.to_string(),
             ),
         };
         values.extend(value.map(|value| EffectiveValue {
--- a/crates/settings/src/field.rs
+++ b/crates/settings/src/field.rs
@@ -212,15 +212,15 @@
 
 fn is_address(text: &str) -> bool {
     text.parse::<SocketAddr>()
-        .is_ok_and(|address| address.port() != 0 && is_usable(address.ip()))
+        .is_ok_and(|address| address.port() != 0 && is_assignable(address.ip()))
 }
 
-fn is_usable(ip: IpAddr) -> bool {
+fn is_assignable(ip: IpAddr) -> bool {
     !ip.is_unspecified() && !ip.is_multicast()
 }
 
 const ROUTE_METHODS: [&str; 5] = ["DELETE", "OPTIONS", "PATCH", "POST", "PUT"];
-const MAX_ROUTE_PATH: usize = 256;
+const MAX_ROUTE_PATH_BYTES: usize = 256;
 
 fn is_route(text: &str) -> bool {
     let Some((method, path)) = text.split_once(' ') else {
@@ -229,7 +229,7 @@
     let plain = |b: u8| b.is_ascii_graphic() && !matches!(b, b'?' | b'#' | b'%' | b'\\');
     ROUTE_METHODS.contains(&method)
         && path.starts_with('/')
-        && path.len() <= MAX_ROUTE_PATH
+        && path.len() <= MAX_ROUTE_PATH_BYTES
         && path.bytes().all(plain)
         && !path
             .split('/')
--- a/crates/settings/src/inherit.rs
+++ b/crates/settings/src/inherit.rs
@@ -10,7 +10,7 @@
 use crate::table::Key;
 
 /// The origin of a value that no node sets.
-pub const BUILT_IN: &str = "built-in default";
+pub const BUILT_IN_ORIGIN: &str = "built-in default";
 
 /// One node that may set values.
 #[derive(Clone)]
@@ -23,19 +23,19 @@
 
 /// The nodes from the root down to one node.
 #[derive(Clone, Default)]
-pub struct Lineage<'a> {
+pub struct InheritanceChain<'a> {
     levels: Vec<Level<'a>>,
 }
 
-impl<'a> Lineage<'a> {
+impl<'a> InheritanceChain<'a> {
     /// Starts at the root.
     pub fn root(model: &'a Model) -> Self {
-        Lineage::default().under("defaults".to_string(), Cow::Borrowed(&model.defaults))
+        InheritanceChain::default().extended("defaults".to_string(), Cow::Borrowed(&model.defaults))
     }
 
-    /// Gives the lineage of a node below.
+    /// Gives the chain of a node below.
     #[must_use]
-    pub fn under(&self, path: String, values: Cow<'a, Overrides>) -> Self {
+    pub fn extended(&self, path: String, values: Cow<'a, Overrides>) -> Self {
         let mut levels = self.levels.clone();
         levels.push(Level { path, values });
         Self { levels }
@@ -51,7 +51,7 @@
         // Every inherited setting has a default, which a test of the table checks.
         (
             key.field().default_value().unwrap_or(Value::Number(0)),
-            BUILT_IN,
+            BUILT_IN_ORIGIN,
         )
     }
 
@@ -73,34 +73,34 @@
     /// What the account sets.
     pub account: &'a Account,
     /// The nodes above the account and its quota, if any.
-    pub above: Lineage<'a>,
+    pub parent_chain: InheritanceChain<'a>,
     /// All of that and the account's own defaults.
-    pub lineage: Lineage<'a>,
+    pub chain: InheritanceChain<'a>,
     /// The account that holds the quota under which this one lies; the topmost account where
     /// there is none.
-    pub holder: AccountName,
+    pub quota_owner: AccountName,
     /// What the accounts directly below take of the share together, but for those that have a
     /// quota of their own.
-    pub handed_on: u32,
+    pub delegated_permille: u32,
 }
 
 impl<'a> AccountNode<'a> {
-    /// Gives the lineage and the path of one of the account's services.
-    pub fn service(&self, name: &str, service: &'a Service) -> (Lineage<'a>, String) {
+    /// Gives the chain and the path of one of the account's services.
+    pub fn service(&self, name: &str, service: &'a Service) -> (InheritanceChain<'a>, String) {
         let path = join(&join(&self.path, "services"), name);
         let values = Cow::Borrowed(&service.overrides);
-        (self.lineage.under(path.clone(), values), path)
+        (self.chain.extended(path.clone(), values), path)
     }
 
     /// Gives the most that the account and the accounts below it may take together in each
     /// place, in thousandths.
     pub fn share(&self) -> u16 {
-        self.lineage.number(Key::AccountShare)
+        self.chain.number(Key::AccountShare)
     }
 
     /// Gives what is left of the share for the account's own services.
     pub fn own_share(&self) -> u16 {
-        let rest = u32::from(self.share()).saturating_sub(self.handed_on);
+        let rest = u32::from(self.share()).saturating_sub(self.delegated_permille);
         u16::try_from(rest).unwrap_or(0)
     }
 }
@@ -108,68 +108,84 @@
 /// Gives every account, those above before those below.
 pub fn account_nodes(model: &Model) -> Vec<AccountNode<'_>> {
     let mut nodes = Vec::new();
-    let root = Lineage::root(model);
+    let root = InheritanceChain::root(model);
     for (name, account) in &model.accounts {
         let path = join("accounts", name);
         let name = AccountName::new(name.clone());
-        collect(model, &root, name.clone(), path, account, name, &mut nodes);
+        collect_nodes(model, &root, name.clone(), path, account, name, &mut nodes);
     }
     nodes
 }
 
-fn collect<'a>(
+fn collect_nodes<'a>(
     model: &'a Model,
-    parent: &Lineage<'a>,
+    parent: &InheritanceChain<'a>,
     name: AccountName,
     path: String,
     account: &'a Account,
-    holder: AccountName,
+    quota_owner: AccountName,
     nodes: &mut Vec<AccountNode<'a>>,
 ) {
     let quota = model.platform.quotas.get(&name);
-    let above = quota.map_or_else(|| parent.clone(), |quota| with_quota(parent, &name, quota));
-    let holder = if quota.is_some() {
+    let parent_chain =
+        quota.map_or_else(|| parent.clone(), |quota| with_quota(parent, &name, quota));
+    let quota_owner = if quota.is_some() {
         name.clone()
     } else {
-        holder
+        quota_owner
     };
-    let lineage = above.under(join(&path, "defaults"), Cow::Borrowed(&account.defaults));
+    let chain = parent_chain.extended(join(&path, "defaults"), Cow::Borrowed(&account.defaults));
     nodes.push(AccountNode {
         name: name.clone(),
         path: path.clone(),
         account,
-        above,
-        lineage: lineage.clone(),
-        holder: holder.clone(),
-        handed_on: handed_on(model, &name, account, &lineage),
+        parent_chain,
+        chain: chain.clone(),
+        quota_owner: quota_owner.clone(),
+        delegated_permille: delegated_permille(model, &name, account, &chain),
     });
     for (child, below) in &account.accounts {
         let child_path = join(&join(&path, "accounts"), child);
         let child_name = AccountName::from(join(name.as_str(), child));
-        let holder = holder.clone();
-        collect(
-            model, &lineage, child_name, child_path, below, holder, nodes,
+        let quota_owner = quota_owner.clone();
+        collect_nodes(
+            model,
+            &chain,
+            child_name,
+            child_path,
+            below,
+            quota_owner,
+            nodes,
         );
     }
 }
 
-fn handed_on(model: &Model, name: &AccountName, account: &Account, own: &Lineage<'_>) -> u32 {
+fn delegated_permille(
+    model: &Model,
+    name: &AccountName,
+    account: &Account,
+    own: &InheritanceChain<'_>,
+) -> u32 {
     let inherited: u32 = own.number(Key::AccountShare);
-    let without_grant = account.accounts.iter().filter(|(child, _)| {
+    let without_quota = account.accounts.iter().filter(|(child, _)| {
         let child = join(name.as_str(), child);
         !model.platform.quotas.contains_key(child.as_str())
     });
-    let shares = without_grant.map(|(_, child)| match child.defaults.get(&Key::AccountShare) {
+    let shares = without_quota.map(|(_, child)| match child.defaults.get(&Key::AccountShare) {
         Some(Value::Number(share)) => u32::try_from(*share).unwrap_or(u32::MAX),
         _ => inherited,
     });
     shares.sum()
 }
 
-fn with_quota<'a>(parent: &Lineage<'a>, name: &AccountName, quota: &Quota) -> Lineage<'a> {
+fn with_quota<'a>(
+    parent: &InheritanceChain<'a>,
+    name: &AccountName,
+    quota: &Quota,
+) -> InheritanceChain<'a> {
     let path = join("platform/quotas", &name.as_str().replace('/', "."));
     let share = Value::Number(u64::from(quota.share_permille));
-    parent.under(
+    parent.extended(
         path,
         Cow::Owned(Overrides::from([(Key::AccountShare, share)])),
     )
--- a/crates/settings/src/names.rs
+++ b/crates/settings/src/names.rs
@@ -4,7 +4,7 @@
 pub const NAME_RULE: &str =
     "a name of 1 to 63 lower-case letters, digits and hyphens that begins with a letter or digit";
 
-const MAX_NAME: usize = 63;
+const MAX_NAME_BYTES: usize = 63;
 /// The most accounts that may lie one in another.
 pub const MAX_DEPTH: usize = 8;
 
@@ -12,7 +12,7 @@
 pub fn is_name(text: &str) -> bool {
     let allowed = |b: u8| b.is_ascii_lowercase() || b.is_ascii_digit() || b == b'-';
     !text.is_empty()
-        && text.len() <= MAX_NAME
+        && text.len() <= MAX_NAME_BYTES
         && !text.starts_with('-')
         && text.bytes().all(allowed)
 }
--- a/crates/settings/src/network.rs
+++ b/crates/settings/src/network.rs
@@ -6,7 +6,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Network {
     base: u128,
-    bits: u32,
+    prefix_len: u32,
     width: u32,
 }
 
@@ -14,33 +14,40 @@
     /// Reads a prefix such as `10.1.0.0/16`; `None` where it is none or has bits set after
     /// the prefix.
     pub fn parse(text: &str) -> Option<Network> {
-        let (ip, bits) = text.split_once('/')?;
-        let (base, width) = number(ip.parse().ok()?);
-        let bits: u32 = bits.parse().ok().filter(|bits| *bits <= width)?;
-        let network = Network { base, bits, width };
-        let whole = network
+        let (ip, prefix_len) = text.split_once('/')?;
+        let (base, width) = address_number(ip.parse().ok()?);
+        let prefix_len: u32 = prefix_len
+            .parse()
+            .ok()
+            .filter(|prefix_len| *prefix_len <= width)?;
+        let network = Network {
+            base,
+            prefix_len,
+            width,
+        };
+        let masked = network
             .prefix(base)
-            .checked_shl(network.rest())
+            .checked_shl(network.host_bits())
             .unwrap_or(0);
-        (whole == base).then_some(network)
+        (masked == base).then_some(network)
     }
 
     /// Tells whether the address lies in the prefix.
     pub fn contains(&self, ip: IpAddr) -> bool {
-        let (address, width) = number(ip);
+        let (address, width) = address_number(ip);
         width == self.width && self.prefix(address) == self.prefix(self.base)
     }
 
-    fn rest(&self) -> u32 {
-        self.width - self.bits
+    fn host_bits(&self) -> u32 {
+        self.width - self.prefix_len
     }
 
     fn prefix(&self, address: u128) -> u128 {
-        address.checked_shr(self.rest()).unwrap_or(0)
+        address.checked_shr(self.host_bits()).unwrap_or(0)
     }
 }
 
-fn number(ip: IpAddr) -> (u128, u32) {
+fn address_number(ip: IpAddr) -> (u128, u32) {
     match ip {
         IpAddr::V4(ip) => (u128::from(u32::from(ip)), 32),
         IpAddr::V6(ip) => (u128::from(ip), 128),
--- a/crates/settings/src/page.rs
+++ b/crates/settings/src/page.rs
@@ -20,15 +20,15 @@
          Schema version {SCHEMA}: the root object holds `schema`, `platform`, `defaults`, \
          `accounts` and `operators`."
     );
-    inherited(&mut page);
-    for (path, fields) in objects() {
+    write_inherited(&mut page);
+    for (path, fields) in object_tables() {
         let _ = writeln!(page, "\n## `{path}`\n");
-        rows(&mut page, fields.iter());
+        write_rows(&mut page, fields.iter());
     }
     page
 }
 
-fn objects() -> [(&'static str, &'static [Field]); 7] {
+fn object_tables() -> [(&'static str, &'static [Field]); 7] {
     [
         ("platform/regions/<region>", &table::REGION),
         ("platform/domains/<failure domain>", &table::DOMAIN),
@@ -43,21 +43,21 @@
     ]
 }
 
-fn inherited(page: &mut String) {
+fn write_inherited(page: &mut String) {
     let _ = writeln!(
         page,
         "\n## Inherited settings\n\nSet in `defaults` of the root or an account, or in \
          `services/<service>`; the nearest value on the way up holds. `platform/limits` takes the \
          number settings as keys: no branch may set more than the limit there.\n"
     );
-    rows(page, Key::ALL.iter().map(|key| key.field()));
+    write_rows(page, Key::ALL.iter().map(|key| key.field()));
     let _ = writeln!(
         page,
         "\n`account_share_permille` is set for accounts, not for services."
     );
 }
 
-fn rows<'a>(page: &mut String, fields: impl Iterator<Item = &'a Field>) {
+fn write_rows<'a>(page: &mut String, fields: impl Iterator<Item = &'a Field>) {
     let _ = writeln!(
         page,
         "| key | value | unit | default | meaning |\n|---|---|---|---|---|"
@@ -67,22 +67,22 @@
             page,
             "| `{}` | {} | {} | {} | {} |",
             field.key,
-            range(field),
+            value_range(field),
             field.unit,
-            fallback(field),
+            default_text(field),
             field.doc
         );
     }
 }
 
-fn range(field: &Field) -> String {
+fn value_range(field: &Field) -> String {
     match field.kind {
         Kind::Integer { min, max } => format!("{min} to {max}"),
         _ => field.expected(),
     }
 }
 
-fn fallback(field: &Field) -> String {
+fn default_text(field: &Field) -> String {
     match field.fallback {
         Fallback::Required => "required".to_string(),
         Fallback::Number(number) => number.to_string(),
--- a/crates/settings/src/parse.rs
+++ b/crates/settings/src/parse.rs
@@ -30,7 +30,7 @@
 /// Reads the root object without its accounts; the faults are in the reader.
 pub fn model(reader: &mut Reader, rest: &Json) -> Model {
     let Some(root) = rest.as_object() else {
-        reader.fault("", "", describe(rest), "an object");
+        reader.add_fault("", "", describe(rest), "an object");
         return Model::default();
     };
     reader.reject_unknown("", root, &ROOT_KEYS);
@@ -68,7 +68,9 @@
 
 fn regions(reader: &mut Reader, platform: &Object) -> BTreeMap<RegionName, RegionPlan> {
     let mut regions = BTreeMap::new();
-    for (name, path, object) in reader.named("platform", platform, "regions", names::is_name) {
+    for (name, path, object) in
+        reader.named_objects("platform", platform, "regions", names::is_name)
+    {
         let fields = reader.fields(&path, object, &table::REGION);
         let plan = RegionPlan {
             cap: cap(&fields),
@@ -81,7 +83,9 @@
 
 fn domains(reader: &mut Reader, platform: &Object) -> BTreeMap<DomainName, DomainPlan> {
     let mut domains = BTreeMap::new();
-    for (name, path, object) in reader.named("platform", platform, "domains", names::is_name) {
+    for (name, path, object) in
+        reader.named_objects("platform", platform, "domains", names::is_name)
+    {
         let fields = reader.fields(&path, object, &table::DOMAIN);
         let vms = fields.list("draining_vms").iter().cloned();
         let plan = DomainPlan {
@@ -95,7 +99,7 @@
 
 fn links(reader: &mut Reader, platform: &Object) -> Vec<LinkPlan> {
     let mut links = Vec::new();
-    for (from, path, ends) in reader.named("platform", platform, "links", names::is_name) {
+    for (from, path, ends) in reader.named_objects("platform", platform, "links", names::is_name) {
         for to in ends.keys() {
             let Some(object) = reader.object(&path, ends, to) else {
                 continue;
@@ -113,7 +117,8 @@
 
 fn places(reader: &mut Reader, platform: &Object) -> BTreeMap<PlaceName, PlacePlan> {
     let mut places = BTreeMap::new();
-    for (name, path, object) in reader.named("platform", platform, "places", names::is_name) {
+    for (name, path, object) in reader.named_objects("platform", platform, "places", names::is_name)
+    {
         let fields = reader.fields(&path, object, &table::PLACE);
         let plan = PlacePlan {
             domain: DomainName::new(fields.text("domain")),
@@ -148,7 +153,7 @@
 fn quotas(reader: &mut Reader, platform: &Object) -> BTreeMap<AccountName, Quota> {
     let is_path = |key: &str| !key.is_empty() && names::is_branch(&key.replace('.', "/"));
     let mut quotas = BTreeMap::new();
-    for (key, path, object) in reader.named("platform", platform, "quotas", is_path) {
+    for (key, path, object) in reader.named_objects("platform", platform, "quotas", is_path) {
         let fields = reader.fields(&path, object, &table::QUOTA);
         let networks = fields.list("networks").iter();
         let places = fields.list("places").iter().cloned();
@@ -176,7 +181,7 @@
 /// Reads an account directly under the root; none where its name or form is at fault.
 pub fn account(reader: &mut Reader, name: &str, json: &Json) -> Option<Account> {
     if !names::is_name(name) {
-        reader.bad_name(ACCOUNTS, name);
+        reader.add_name_fault(ACCOUNTS, name);
         return None;
     }
     let object = reader.as_object(ACCOUNTS, name, json)?;
@@ -199,10 +204,10 @@
     depth: usize,
 ) -> BTreeMap<Arc<str>, Account> {
     let mut accounts = BTreeMap::new();
-    for (name, path, object) in reader.named(path, node, ACCOUNTS, names::is_name) {
+    for (name, path, object) in reader.named_objects(path, node, ACCOUNTS, names::is_name) {
         if depth > MAX_DEPTH {
             let expected = format!("at most {MAX_DEPTH} accounts one in another");
-            reader.fault(&path, &name, format!("depth {depth}"), expected);
+            reader.add_fault(&path, &name, format!("depth {depth}"), expected);
             continue;
         }
         let account = account_object(reader, &path, object, depth);
@@ -214,7 +219,7 @@
 fn services(reader: &mut Reader, path: &str, account: &Object) -> BTreeMap<Arc<str>, Service> {
     let is_service = |name: &str| names::is_name(name) && !ACCOUNT_KEYS.contains(&name);
     let mut services = BTreeMap::new();
-    for (name, path, object) in reader.named(path, account, "services", is_service) {
+    for (name, path, object) in reader.named_objects(path, account, "services", is_service) {
         let own = Key::ALL.iter().filter(|key| key.is_per_service());
         let mut known: Vec<&str> = own.map(|key| key.field().key).collect();
         known.push(UPSTREAMS);
@@ -230,7 +235,7 @@
 
 fn upstreams(reader: &mut Reader, path: &str, service: &Object) -> Vec<UpstreamPlan> {
     let mut upstreams = Vec::new();
-    for (name, path, object) in reader.named(path, service, UPSTREAMS, names::is_name) {
+    for (name, path, object) in reader.named_objects(path, service, UPSTREAMS, names::is_name) {
         let fields = reader.fields(&path, object, &table::UPSTREAM);
         let Ok(address) = fields.text("address").parse::<SocketAddr>() else {
             continue;
@@ -249,7 +254,7 @@
 
 fn operators(reader: &mut Reader, root: &Object) -> BTreeMap<Arc<str>, OperatorKey> {
     let mut operators = BTreeMap::new();
-    for (id, path, object) in reader.named("", root, "operators", names::is_name) {
+    for (id, path, object) in reader.named_objects("", root, "operators", names::is_name) {
         let fields = reader.fields(&path, object, &table::OPERATOR);
         operators.insert(id, OperatorKey::from_fields(&fields));
     }
--- a/crates/settings/src/path.rs
+++ b/crates/settings/src/path.rs
@@ -11,7 +11,7 @@
 
 const MAX_SEGMENTS: usize = 32;
 // A quota is named by a whole account path.
-const MAX_SEGMENT: usize = 64 * names::MAX_DEPTH;
+const MAX_SEGMENT_BYTES: usize = 64 * names::MAX_DEPTH;
 
 /// The path of a node: the keys from the root down. The root's path is empty.
 ///
@@ -51,11 +51,11 @@
             return Ok(TreePath::default());
         }
         let long = match trimmed.split_once(':') {
-            Some((account, rest)) => expand(text, account, rest)?,
+            Some((account, rest)) => expand_account_path(text, account, rest)?,
             None => trimmed.to_string(),
         };
         let segments: Vec<Arc<str>> = long.split('/').map(Arc::from).collect();
-        check(text, &segments)?;
+        check_segments(text, &segments)?;
         Ok(TreePath { segments })
     }
 
@@ -143,7 +143,7 @@
     }
 }
 
-fn expand(path: &str, account: &str, rest: &str) -> Result<String, SettingsError> {
+fn expand_account_path(path: &str, account: &str, rest: &str) -> Result<String, SettingsError> {
     names::is_branch(account).then_some(()).context(PathSnafu {
         path,
         segment: account,
@@ -162,7 +162,7 @@
     Ok(format!("{base}/{services}{rest}"))
 }
 
-fn check(path: &str, segments: &[Arc<str>]) -> Result<(), SettingsError> {
+fn check_segments(path: &str, segments: &[Arc<str>]) -> Result<(), SettingsError> {
     let refuse = |segment: &str, expected: &str| {
         PathSnafu {
             path,
@@ -189,7 +189,7 @@
     let allowed =
         |b: u8| b.is_ascii_lowercase() || b.is_ascii_digit() || matches!(b, b'-' | b'_' | b'.');
     !segment.is_empty()
-        && segment.len() <= MAX_SEGMENT
+        && segment.len() <= MAX_SEGMENT_BYTES
         && segment.bytes().all(allowed)
         && !segment.starts_with('.')
         && !segment.ends_with('.')
--- a/crates/settings/src/reader.rs
+++ b/crates/settings/src/reader.rs
@@ -14,7 +14,7 @@
 /// The most faults that one check reports.
 const MAX_FAULTS: usize = 64;
 /// The longest excerpt of a value in an error, in characters.
-const MAX_EXCERPT: usize = 60;
+const MAX_EXCERPT_CHARS: usize = 60;
 
 /// Collects faults while a document is read.
 #[derive(Default)]
@@ -27,7 +27,7 @@
 
 impl Reader {
     /// Records a fault.
-    pub fn fault(&mut self, path: &str, key: &str, found: String, expected: impl Into<String>) {
+    pub fn add_fault(&mut self, path: &str, key: &str, found: String, expected: impl Into<String>) {
         if self.faults.len() < MAX_FAULTS {
             self.faults.push(Fault {
                 path: path.to_string(),
@@ -47,7 +47,7 @@
     pub fn reject_unknown(&mut self, path: &str, object: &Map<String, Json>, known: &[&str]) {
         for key in object.keys().filter(|key| !known.contains(&key.as_str())) {
             let expected = format!("one of the known keys {}", known.join(", "));
-            self.fault(path, key, "an unknown key".to_string(), expected);
+            self.add_fault(path, key, "an unknown key".to_string(), expected);
         }
     }
 
@@ -63,7 +63,7 @@
     }
 
     /// Gives the named objects at a key, with the path of each.
-    pub fn named<'a>(
+    pub fn named_objects<'a>(
         &mut self,
         path: &str,
         parent: &'a Map<String, Json>,
@@ -77,7 +77,7 @@
         let path = join(path, key);
         for (name, json) in objects {
             if !is_name(name) {
-                self.bad_name(&path, name);
+                self.add_name_fault(&path, name);
             } else if let Some(object) = self.as_object(&path, name, json) {
                 found.push((Arc::from(name.as_str()), join(&path, name), object));
             }
@@ -86,8 +86,8 @@
     }
 
     /// Records that a key is no name.
-    pub fn bad_name(&mut self, path: &str, name: &str) {
-        self.fault(path, name, format!("`{}`", excerpt(name)), names::NAME_RULE);
+    pub fn add_name_fault(&mut self, path: &str, name: &str) {
+        self.add_fault(path, name, format!("`{}`", excerpt(name)), names::NAME_RULE);
     }
 
     /// Gives the value as an object, and records a fault where it is none.
@@ -98,7 +98,7 @@
         json: &'a Json,
     ) -> Option<&'a Map<String, Json>> {
         if json.as_object().is_none() {
-            self.fault(path, key, describe(json), "an object");
+            self.add_fault(path, key, describe(json), "an object");
         }
         json.as_object()
     }
@@ -109,29 +109,34 @@
         self.reject_unknown(path, object, &known);
         let mut values = BTreeMap::new();
         for field in table {
-            if let Some(value) = self.field(path, object, field) {
+            if let Some(value) = self.read_field(path, object, field) {
                 values.insert(field.key, value);
             }
         }
         Fields(values)
     }
 
-    fn field(&mut self, path: &str, object: &Map<String, Json>, field: &Field) -> Option<Value> {
+    fn read_field(
+        &mut self,
+        path: &str,
+        object: &Map<String, Json>,
+        field: &Field,
+    ) -> Option<Value> {
         let Some(json) = object.get(field.key) else {
             let value = field.default_value();
             if value.is_none() {
-                self.fault(path, field.key, "nothing".to_string(), field.expected());
+                self.add_fault(path, field.key, "nothing".to_string(), field.expected());
             }
             return value;
         };
-        self.value(path, field, json)
+        self.read_value(path, field, json)
     }
 
-    fn value(&mut self, path: &str, field: &Field, json: &Json) -> Option<Value> {
+    fn read_value(&mut self, path: &str, field: &Field, json: &Json) -> Option<Value> {
         match field.read(json) {
             Ok(value) => Some(value),
             Err(expected) => {
-                self.fault(path, field.key, describe(json), expected);
+                self.add_fault(path, field.key, describe(json), expected);
                 None
             }
         }
@@ -145,7 +150,7 @@
             let Some(json) = object.get(key.field().key) else {
                 continue;
             };
-            if let Some(value) = self.value(path, key.field(), json) {
+            if let Some(value) = self.read_value(path, key.field(), json) {
                 overrides.insert(key, value);
             }
         }
@@ -209,9 +214,9 @@
 }
 
 fn excerpt(text: &str) -> String {
-    if text.chars().count() <= MAX_EXCERPT {
+    if text.chars().count() <= MAX_EXCERPT_CHARS {
         return text.to_string();
     }
-    let start: String = text.chars().take(MAX_EXCERPT).collect();
+    let start: String = text.chars().take(MAX_EXCERPT_CHARS).collect();
     format!("{start}...")
 }
--- a/crates/settings/src/replica.rs
+++ b/crates/settings/src/replica.rs
@@ -215,7 +215,7 @@
         let digest = newer.last().map(|change| change.tree);
         let revision = last.revision;
         ensure!(digest == Some(tree.digest()), DamagedSnafu { revision });
-        self.put(last, tree);
+        self.install(last, tree);
         Ok(true)
     }
 
@@ -233,11 +233,11 @@
             return Ok(false);
         }
         let text = snapshot.document.get();
-        let fits = Digest::of_bytes(text.as_bytes()) == snapshot.digest;
-        ensure!(fits, DamagedSnafu { revision });
+        let digest_matches = Digest::of_bytes(text.as_bytes()) == snapshot.digest;
+        ensure!(digest_matches, DamagedSnafu { revision });
         let tree = Tree::parse(text);
-        let tree = tree.map_err(|source| self.cannot_read(revision, source))?;
-        self.put(snapshot.at, tree);
+        let tree = tree.map_err(|source| self.record_unreadable(revision, source))?;
+        self.install(snapshot.at, tree);
         Ok(true)
     }
 
@@ -246,8 +246,8 @@
     fn accept_one_by_one(&mut self, changes: &[Change]) -> Result<bool, AcceptError> {
         for change in changes {
             let tree = change.apply(&self.tree);
-            let tree = tree.map_err(|source| self.cannot_read(change.revision, source))?;
-            self.put(change.point(), tree);
+            let tree = tree.map_err(|source| self.record_unreadable(change.revision, source))?;
+            self.install(change.point(), tree);
         }
         Ok(true)
     }
@@ -262,14 +262,14 @@
         Ok(())
     }
 
-    fn put(&mut self, at: ChainPoint, tree: Tree) {
+    fn install(&mut self, at: ChainPoint, tree: Tree) {
         self.at = at;
         self.tree = Rc::new(tree);
         self.unreadable
             .take_if(|unreadable| unreadable.revision <= at.revision);
     }
 
-    fn cannot_read(&mut self, revision: Revision, source: SettingsError) -> AcceptError {
+    fn record_unreadable(&mut self, revision: Revision, source: SettingsError) -> AcceptError {
         let known = self.unreadable.as_ref();
         if known.is_none_or(|known| known.revision < revision) {
             self.unreadable = Some(Unreadable {
--- a/crates/settings/src/shares.rs
+++ b/crates/settings/src/shares.rs
@@ -11,20 +11,20 @@
 use crate::table::Key;
 
 /// The whole of a place's cap, in thousandths.
-const WHOLE: u64 = 1000;
+const FULL_PERMILLE: u64 = 1000;
 
 /// Checks each account's part against the places that it uses, and the sums of the parts.
 pub fn check(reader: &mut Reader, platform: &Platform, nodes: &[AccountNode<'_>]) {
     for node in nodes {
-        within_branch(reader, node);
-        for place in places(node) {
-            usable(reader, platform, node, place);
+        check_delegated_share(reader, node);
+        for place in used_places(node) {
+            check_usable_share(reader, platform, node, place);
         }
     }
-    guaranteed(reader, platform);
+    check_guarantees(reader, platform);
 }
 
-fn places<'a>(node: &AccountNode<'a>) -> Vec<&'a PlaceName> {
+fn used_places<'a>(node: &AccountNode<'a>) -> Vec<&'a PlaceName> {
     let services = node.account.services.values();
     let upstreams = services.flat_map(|service| &service.upstreams);
     let mut places: Vec<&PlaceName> = upstreams.map(|upstream| &upstream.place).collect();
@@ -33,40 +33,45 @@
     places
 }
 
-fn within_branch(reader: &mut Reader, node: &AccountNode<'_>) {
-    let (handed_on, share) = (node.handed_on, node.share());
+fn check_delegated_share(reader: &mut Reader, node: &AccountNode<'_>) {
+    let (handed_on, share) = (node.delegated_permille, node.share());
     if handed_on > u32::from(share) {
         let found = format!("{handed_on} thousandths for the accounts below together");
         let expected = format!("together at most {share}, the share of the account");
-        fault(reader, node, found, expected);
+        report_fault(reader, node, found, expected);
     }
 }
 
-fn usable(reader: &mut Reader, platform: &Platform, node: &AccountNode<'_>, place: &PlaceName) {
+fn check_usable_share(
+    reader: &mut Reader,
+    platform: &Platform,
+    node: &AccountNode<'_>,
+    place: &PlaceName,
+) {
     let Some(plan) = platform.places.get(place) else {
         return;
     };
     let (share, cap) = (node.own_share(), plan.cap.in_flight);
-    if u64::from(share) * u64::from(cap) < WHOLE {
+    if u64::from(share) * u64::from(cap) < FULL_PERMILLE {
         let found = format!("{share} thousandths of {cap} requests in place {place}");
         let expected = "room for one request of the account's own services";
-        fault(reader, node, found, expected.to_string());
+        report_fault(reader, node, found, expected.to_string());
     }
 }
 
-fn fault(reader: &mut Reader, node: &AccountNode<'_>, found: String, expected: String) {
+fn report_fault(reader: &mut Reader, node: &AccountNode<'_>, found: String, expected: String) {
     let path = join(&node.path, "defaults");
-    reader.fault(&path, Key::AccountShare.field().key, found, expected);
+    reader.add_fault(&path, Key::AccountShare.field().key, found, expected);
 }
 
-fn guaranteed(reader: &mut Reader, platform: &Platform) {
+fn check_guarantees(reader: &mut Reader, platform: &Platform) {
     for place in platform.places.keys() {
         let quotas = platform.quotas.values();
         let here = quotas.filter(|quota| quota.allows_place(place));
         let total: u64 = here.map(|quota| u64::from(quota.guaranteed_permille)).sum();
-        if total > WHOLE {
+        if total > FULL_PERMILLE {
             let found = format!("{total} thousandths of place {place} over all quotas");
-            reader.fault(
+            reader.add_fault(
                 "platform/quotas",
                 "guaranteed_permille",
                 found,
--- a/crates/settings/src/tree.rs
+++ b/crates/settings/src/tree.rs
@@ -58,7 +58,7 @@
     /// Gives [`SettingsError::Json`], [`SettingsError::Schema`] or [`SettingsError::Invalid`]
     /// with every fault found.
     pub fn parse(text: &str) -> Result<Tree, SettingsError> {
-        checked(Document::read(text)?, None)
+        check_document(Document::read(text)?, None)
     }
 
     /// Checks a document.
@@ -67,7 +67,7 @@
     ///
     /// Gives [`SettingsError::Schema`] or [`SettingsError::Invalid`] with every fault found.
     pub fn from_document(document: Json) -> Result<Tree, SettingsError> {
-        checked(Document::split(document), None)
+        check_document(Document::split(document), None)
     }
 
     /// Applies edits and checks the outcome. Accounts that no edit touches aren't read again.
@@ -79,7 +79,7 @@
     pub fn edited(&self, edits: &[Edit]) -> Result<Tree, SettingsError> {
         let mut document = self.document.clone();
         document.apply(edits)?;
-        checked(document, Some(self))
+        check_document(document, Some(self))
     }
 
     /// Gives the edits that lead to another tree, in the order of their paths.
@@ -94,7 +94,7 @@
 
     /// Gives the whole document, parsed. It takes many times the memory of the tree itself.
     pub fn document(&self) -> Json {
-        self.document.whole()
+        self.document.to_json()
     }
 
     /// Gives the whole document as canonical text: no spaces, keys in the order of their bytes.
@@ -118,28 +118,28 @@
     }
 }
 
-fn checked(document: Document, known: Option<&Tree>) -> Result<Tree, SettingsError> {
+fn check_document(document: Document, previous: Option<&Tree>) -> Result<Tree, SettingsError> {
     let mut reader = Reader::default();
     check_schema(&mut reader, &document.rest)?;
     let mut model = parse::model(&mut reader, &document.rest);
     if let Some(texts) = &document.accounts {
-        model.accounts = accounts(&mut reader, texts, known);
+        model.accounts = parse_accounts(&mut reader, texts, previous);
     }
-    check::whole(&mut reader, &model);
+    check::check_model(&mut reader, &model);
     let faults = Faults(reader.into_faults());
     ensure!(faults.0.is_empty(), InvalidSnafu { faults });
     Ok(Tree { document, model })
 }
 
-fn accounts(
+fn parse_accounts(
     reader: &mut Reader,
     texts: &AccountTexts,
-    known: Option<&Tree>,
+    previous: Option<&Tree>,
 ) -> BTreeMap<Arc<str>, Arc<Account>> {
     let mut accounts = BTreeMap::new();
     for (name, text) in texts {
-        let same = known.and_then(|known| known.same_account(name, text));
-        let account = same.or_else(|| {
+        let reused = previous.and_then(|previous| previous.reusable_account(name, text));
+        let account = reused.or_else(|| {
             let account = parse::account(reader, name, &document::parse(text));
             account.map(Arc::new)
         });
@@ -151,10 +151,10 @@
 }
 
 impl Tree {
-    fn same_account(&self, name: &str, text: &str) -> Option<Arc<Account>> {
-        let known = self.document.accounts.as_ref()?.get(name)?;
+    fn reusable_account(&self, name: &str, text: &str) -> Option<Arc<Account>> {
+        let previous = self.document.accounts.as_ref()?.get(name)?;
         let account = self.model.accounts.get(name)?;
-        (**known == *text).then(|| account.clone())
+        (**previous == *text).then(|| account.clone())
     }
 }
 
@@ -165,10 +165,10 @@
         Some(json) => match json.as_u64() {
             Some(SCHEMA) => {}
             Some(found) => return SchemaSnafu { found }.fail(),
-            None => reader.fault("", "schema", describe(json), "the number 1"),
+            None => reader.add_fault("", "schema", describe(json), "the number 1"),
         },
         None if root.is_object() => {
-            reader.fault("", "schema", "nothing".to_string(), "the number 1");
+            reader.add_fault("", "schema", "nothing".to_string(), "the number 1");
         }
         None => {}
     }
--- a/crates/settings/tests/access.rs
+++ b/crates/settings/tests/access.rs
@@ -7,7 +7,7 @@
 };
 use heatherknot_types::prelude::*;
 use serde_json::{Value as Json, json};
-use support::Draw;
+use support::RandomEdit;
 
 const BRANCH: &str = "training";
 
@@ -31,7 +31,7 @@
 }
 
 fn try_change(operator: &Operator, before: &Tree, path: &str, value: Json) -> Result<(), Denied> {
-    let after = support::with(before, path, value);
+    let after = support::with_value(before, path, value);
     let edits = before.diff(&after);
     operator.authorize_change(before, &after, &edits)
 }
@@ -39,7 +39,7 @@
 #[test]
 fn only_the_right_secret_is_known() {
     let (secret, json) = key_json("night", BRANCH, &["read"]);
-    let tree = support::with(&support::tree(), "operators/night", json);
+    let tree = support::with_value(&support::tree(), "operators/night", json);
     let (altered, _) = secret.split_at(secret.len() - 1);
 
     let known = Operator::authenticate(&tree, None, &secret).unwrap();
@@ -57,7 +57,7 @@
 fn neither_the_document_nor_a_debug_print_holds_the_secret() {
     let (secret, json) = key_json("night", BRANCH, &["read"]);
     let random = secret.split_once('.').unwrap().1;
-    let tree = support::with(&support::tree(), "operators/night", json);
+    let tree = support::with_value(&support::tree(), "operators/night", json);
 
     let text = format!("{:?} {:?}", tree, tree.model().operators);
 
@@ -163,22 +163,22 @@
 fn a_key_gives_no_more_than_it_has() {
     let tree = support::tree();
     let operator = operator("tutor", BRANCH, &["read", "change"]);
-    let give = |branch: &str, rights: &[&str]| {
+    let grant = |branch: &str, rights: &[&str]| {
         let (_, json) = key_json("new", branch, rights);
         try_change(&operator, &tree, "operators/new", json)
     };
 
-    assert!(give(BRANCH, &["read", "change"]).is_ok());
+    assert!(grant(BRANCH, &["read", "change"]).is_ok());
     assert!(matches!(
-        give(BRANCH, &["drain"]),
+        grant(BRANCH, &["drain"]),
         Err(Denied::BeyondOwnRights { .. })
     ));
     assert!(matches!(
-        give("", &["read"]),
+        grant("", &["read"]),
         Err(Denied::BeyondOwnRights { .. })
     ));
     assert!(matches!(
-        give("utilities", &["read"]),
+        grant("utilities", &["read"]),
         Err(Denied::BeyondOwnRights { .. })
     ));
 }
@@ -186,7 +186,7 @@
 #[test]
 fn a_key_takes_no_key_of_another_branch_away() {
     let (_, json) = key_json("root", "", &["read"]);
-    let tree = support::with(&support::tree(), "operators/root", json);
+    let tree = support::with_value(&support::tree(), "operators/root", json);
     let (_, own) = key_json("root", BRANCH, &["read"]);
     let operator = operator("tutor", BRANCH, &["read", "change"]);
 
@@ -201,14 +201,14 @@
 fn nothing_that_a_branch_key_may_change_reaches_another_branch() {
     let operator = operator("tutor", BRANCH, &["read", "change", "drain", "audit"]);
     heatherknot_test_support::property::check()
-        .with_type::<Vec<Draw>>()
+        .with_type::<Vec<RandomEdit>>()
         .with_iterations(300)
-        .for_each(|draws| {
+        .for_each(|random_edits| {
             let before = support::tree();
             let mut document = before.document();
-            draws
+            random_edits
                 .iter()
-                .for_each(|draw| support::apply_draw(&mut document, *draw));
+                .for_each(|random_edit| support::apply_random_edit(&mut document, *random_edit));
             let Ok(after) = Tree::from_document(document) else {
                 return;
             };
--- a/crates/settings/tests/audit.rs
+++ b/crates/settings/tests/audit.rs
@@ -5,19 +5,19 @@
 use heatherknot_settings::audit::{compacted, entry_for};
 use heatherknot_settings::change::verify_chain;
 use serde_json::json;
-use support::{first_change, set};
+use support::{change_value, first_change};
 
 #[test]
 fn a_branch_sees_the_part_of_a_change_that_lies_in_it() {
     let tree = support::tree();
     let first = first_change();
-    let (elsewhere, tree) = set(
+    let (elsewhere, tree) = change_value(
         first.point(),
         &tree,
         "utilities/port-louis:gallery/queue_len",
         json!(9),
     );
-    let (inside, tree) = set(
+    let (inside, tree) = change_value(
         elsewhere.point(),
         &tree,
         "training:gallery/queue_len",
@@ -51,7 +51,7 @@
     let routes: Vec<String> = (0..40)
         .map(|n| format!("POST /{n}{}", "x".repeat(200)))
         .collect();
-    let (second, _) = set(first.point(), &support::tree(), long, json!(routes));
+    let (second, _) = change_value(first.point(), &support::tree(), long, json!(routes));
 
     let (short, compacted) = (compacted(&first), compacted(&second));
 
--- a/crates/settings/tests/checks.rs
+++ b/crates/settings/tests/checks.rs
@@ -7,21 +7,25 @@
 
 struct Case {
     /// The path that is set in a document that holds.
-    set: &'static str,
+    path: &'static str,
     value: Json,
     /// The text that the error must contain.
-    says: &'static str,
+    expected_error: &'static str,
 }
 
-fn case(set: &'static str, value: Json, says: &'static str) -> Case {
-    Case { set, value, says }
+fn case(path: &'static str, value: Json, expected_error: &'static str) -> Case {
+    Case {
+        path,
+        value,
+        expected_error,
+    }
 }
 
 fn error_of(case: &Case) -> String {
     let mut document = support::document();
     edit::set(
         &mut document,
-        &TreePath::parse(case.set).unwrap(),
+        &TreePath::parse(case.path).unwrap(),
         case.value.clone(),
     )
     .unwrap();
@@ -35,7 +39,11 @@
     for case in cases {
         let error = error_of(&case);
 
-        assert!(error.contains(case.says), "{}: {error}", case.set);
+        assert!(
+            error.contains(case.expected_error),
+            "{}: {error}",
+            case.path
+        );
     }
 }
 
@@ -354,8 +362,8 @@
     ];
     heatherknot_test_support::property::check()
         .with_type::<Vec<(u8, bool)>>()
-        .for_each(|draws| {
-            let pieces = draws.iter().map(|(piece, slash)| {
+        .for_each(|choices| {
+            let pieces = choices.iter().map(|(piece, slash)| {
                 let piece = PIECES[usize::from(*piece) % PIECES.len()];
                 format!("{piece}{}", if *slash { "/" } else { "" })
             });
--- a/crates/settings/tests/properties.rs
+++ b/crates/settings/tests/properties.rs
@@ -5,20 +5,20 @@
 use heatherknot_settings::change::{rewind, verify_chain};
 use heatherknot_settings::{ChainPoint, Change, Digest, Tree, edit};
 use heatherknot_types::prelude::*;
-use support::{Draw, accepted_trees, chain};
+use support::{RandomEdit, accepted_trees, chain};
 
 const ROUNDS: usize = 300;
 
 #[test]
 fn a_diff_leads_from_one_document_to_the_other_and_back() {
     heatherknot_test_support::property::check()
-        .with_type::<Vec<Draw>>()
+        .with_type::<Vec<RandomEdit>>()
         .with_iterations(ROUNDS)
-        .for_each(|draws| {
+        .for_each(|random_edits| {
             let before = support::document();
             let mut after = before.clone();
-            for draw in draws {
-                support::apply_draw(&mut after, *draw);
+            for random_edit in random_edits {
+                support::apply_random_edit(&mut after, *random_edit);
             }
 
             let edits = edit::diff(&before, &after);
@@ -38,10 +38,10 @@
 #[test]
 fn changes_lead_to_the_last_tree_and_rewind_to_the_first() {
     heatherknot_test_support::property::check()
-        .with_type::<Vec<Draw>>()
+        .with_type::<Vec<RandomEdit>>()
         .with_iterations(ROUNDS)
-        .for_each(|draws| {
-            let trees = accepted_trees(draws);
+        .for_each(|random_edits| {
+            let trees = accepted_trees(random_edits);
             let (first, last) = (&trees[0], &trees[trees.len() - 1]);
 
             let changes = chain(ChainPoint::default(), &trees);
@@ -63,10 +63,10 @@
 #[test]
 fn undoing_the_last_change_gives_the_tree_before_it() {
     heatherknot_test_support::property::check()
-        .with_type::<Vec<Draw>>()
+        .with_type::<Vec<RandomEdit>>()
         .with_iterations(ROUNDS)
-        .for_each(|draws| {
-            let trees = accepted_trees(draws);
+        .for_each(|random_edits| {
+            let trees = accepted_trees(random_edits);
             let changes = chain(ChainPoint::default(), &trees);
             let Some(last) = changes.last() else { return };
 
@@ -79,10 +79,10 @@
 #[test]
 fn every_altered_entry_of_the_chain_is_found() {
     heatherknot_test_support::property::check()
-        .with_type::<(Vec<Draw>, u8, u8)>()
+        .with_type::<(Vec<RandomEdit>, u8, u8)>()
         .with_iterations(ROUNDS)
-        .for_each(|(draws, which, how)| {
-            let trees = accepted_trees(draws);
+        .for_each(|(random_edits, which, how)| {
+            let trees = accepted_trees(random_edits);
             let mut changes = chain(ChainPoint::default(), &trees);
             if changes.is_empty() {
                 return;
@@ -116,10 +116,10 @@
 #[test]
 fn an_entry_whose_values_were_dropped_keeps_its_hash() {
     heatherknot_test_support::property::check()
-        .with_type::<Vec<Draw>>()
+        .with_type::<Vec<RandomEdit>>()
         .with_iterations(ROUNDS)
-        .for_each(|draws| {
-            let mut changes = chain(ChainPoint::default(), &accepted_trees(draws));
+        .for_each(|random_edits| {
+            let mut changes = chain(ChainPoint::default(), &accepted_trees(random_edits));
 
             for change in &mut changes {
                 change.edits = change.edits.iter().map(|e| e.without_values()).collect();
@@ -132,10 +132,10 @@
 #[test]
 fn a_tree_in_parts_is_the_same_as_its_whole_document() {
     heatherknot_test_support::property::check()
-        .with_type::<Vec<Draw>>()
+        .with_type::<Vec<RandomEdit>>()
         .with_iterations(ROUNDS)
-        .for_each(|draws| {
-            let trees = accepted_trees(draws);
+        .for_each(|random_edits| {
+            let trees = accepted_trees(random_edits);
             let (first, last) = (&trees[0], &trees[trees.len() - 1]);
 
             let edits = first.diff(last);
--- a/crates/settings/tests/holder.rs
+++ b/crates/settings/tests/replica.rs
@@ -6,91 +6,91 @@
 use heatherknot_settings::{ChainPoint, Change, Digest, SettingsReplica, Snapshot};
 use heatherknot_types::prelude::*;
 use serde_json::json;
-use support::{Draw, accepted_trees, chain, first_change, set};
+use support::{RandomEdit, accepted_trees, chain, change_value, first_change};
 
 fn three_changes() -> Vec<Change> {
     let first = first_change();
     let tree = support::tree();
-    let (second, tree) = set(first.point(), &tree, "defaults/deadline_ms", json!(5000));
-    let (third, _) = set(second.point(), &tree, "defaults/deadline_ms", json!(6000));
+    let (second, tree) = change_value(first.point(), &tree, "defaults/deadline_ms", json!(5000));
+    let (third, _) = change_value(second.point(), &tree, "defaults/deadline_ms", json!(6000));
     vec![first, second, third]
 }
 
-fn holder_at(changes: &[Change]) -> SettingsReplica {
-    let mut holder = SettingsReplica::new();
-    holder.accept_changes(changes).unwrap();
-    holder
+fn replica_at(changes: &[Change]) -> SettingsReplica {
+    let mut replica = SettingsReplica::new();
+    replica.accept_changes(changes).unwrap();
+    replica
 }
 
 #[test]
 fn changes_bring_their_revisions_in_force_in_order() {
     let changes = three_changes();
-    let mut holder = SettingsReplica::new();
+    let mut replica = SettingsReplica::new();
 
-    let first = holder.accept_changes(&changes[..1]).unwrap();
-    let rest = holder.accept_changes(&changes).unwrap();
+    let first = replica.accept_changes(&changes[..1]).unwrap();
+    let rest = replica.accept_changes(&changes).unwrap();
 
     assert!(first && rest);
-    assert_eq!(holder.revision(), Revision(3));
-    assert_eq!(holder.tree().document()["defaults"]["deadline_ms"], 6000);
+    assert_eq!(replica.revision(), Revision(3));
+    assert_eq!(replica.tree().document()["defaults"]["deadline_ms"], 6000);
 }
 
 // Operators shorten a deadline; minutes later some callers get the old one again. A domain
-// that was cut off came back, and its daemons sent what they held to their peers. The holder
+// that was cut off came back, and its daemons sent what they held to their peers. The replica
 // must keep the newer settings whatever it is sent.
 #[test]
 fn older_settings_never_replace_newer_ones() {
     let changes = three_changes();
-    let mut holder = holder_at(&changes);
-    let old = holder_at(&changes[..2]).snapshot();
+    let mut replica = replica_at(&changes);
+    let old = replica_at(&changes[..2]).snapshot();
 
-    let by_snapshot = holder.accept_snapshot(old).unwrap();
-    let by_changes = holder.accept_changes(&changes[..2]).unwrap();
+    let by_snapshot = replica.accept_snapshot(old).unwrap();
+    let by_changes = replica.accept_changes(&changes[..2]).unwrap();
 
     assert!(!by_snapshot && !by_changes);
-    assert_eq!(holder.revision(), Revision(3));
-    assert_eq!(holder.tree().document()["defaults"]["deadline_ms"], 6000);
+    assert_eq!(replica.revision(), Revision(3));
+    assert_eq!(replica.tree().document()["defaults"]["deadline_ms"], 6000);
 }
 
 #[test]
 fn any_order_of_deliveries_only_moves_forward_and_ends_at_the_newest() {
     heatherknot_test_support::property::check()
-        .with_type::<(Vec<Draw>, Vec<(u8, u8, bool)>)>()
+        .with_type::<(Vec<RandomEdit>, Vec<(u8, u8, bool)>)>()
         .with_iterations(200)
-        .for_each(|(draws, deliveries)| {
-            let trees = accepted_trees(draws);
+        .for_each(|(random_edits, deliveries)| {
+            let trees = accepted_trees(random_edits);
             let base = Snapshot::new(first_change().point(), &trees[0].document());
             let changes = chain(base.at, &trees);
-            let mut holder = SettingsReplica::new();
-            holder.accept_snapshot(base.clone()).unwrap();
+            let mut replica = SettingsReplica::new();
+            replica.accept_snapshot(base.clone()).unwrap();
 
             for (from, len, whole) in deliveries {
-                let before = holder.revision();
+                let before = replica.revision();
                 let from = usize::from(*from) % (changes.len() + 1);
                 let to = (from + usize::from(*len)).min(changes.len());
                 if *whole {
                     let at = from.checked_sub(1).map_or(base.at, |i| changes[i].point());
                     let snapshot = Snapshot::new(at, &trees[from].document());
-                    holder.accept_snapshot(snapshot).unwrap();
+                    replica.accept_snapshot(snapshot).unwrap();
                 } else {
-                    let _ = holder.accept_changes(&changes[from..to]);
+                    let _ = replica.accept_changes(&changes[from..to]);
                 }
-                assert!(holder.revision() >= before);
+                assert!(replica.revision() >= before);
             }
-            holder.accept_changes(&changes).unwrap();
+            replica.accept_changes(&changes).unwrap();
 
-            assert_eq!(**holder.tree(), trees[trees.len() - 1]);
+            assert_eq!(**replica.tree(), trees[trees.len() - 1]);
         });
 }
 
 #[test]
 fn missing_changes_ask_for_a_snapshot() {
     let changes = three_changes();
-    let mut holder = holder_at(&changes[..1]);
+    let mut replica = replica_at(&changes[..1]);
 
-    let refused = holder.accept_changes(&changes[2..]);
-    let taken = holder
-        .accept_snapshot(holder_at(&changes).snapshot())
+    let refused = replica.accept_changes(&changes[2..]);
+    let taken = replica
+        .accept_snapshot(replica_at(&changes).snapshot())
         .unwrap();
 
     let gap = matches!(
@@ -101,7 +101,7 @@
         })
     );
     assert!(gap && taken);
-    assert_eq!(holder.revision(), Revision(3));
+    assert_eq!(replica.revision(), Revision(3));
 }
 
 // A daemon of the old release holds revision 3 when an operator with the new release's client
@@ -110,18 +110,18 @@
 #[test]
 fn a_newer_schema_keeps_the_last_good_revision_and_is_reported() {
     let changes = three_changes();
-    let mut holder = holder_at(&changes);
-    let good = holder.tree().document();
+    let mut replica = replica_at(&changes);
+    let good = replica.tree().document();
     let newer = snapshot_of(4, &json!({ "schema": 2, "future": {} }));
 
-    let refused = holder.accept_snapshot(newer);
+    let refused = replica.accept_snapshot(newer);
 
     assert!(matches!(refused, Err(AcceptError::CannotRead { .. })));
-    assert_eq!(holder.revision(), Revision(3));
-    assert_eq!(holder.unreadable().unwrap().revision, Revision(4));
+    assert_eq!(replica.revision(), Revision(3));
+    assert_eq!(replica.unreadable().unwrap().revision, Revision(4));
     let undone = snapshot_of(5, &good);
-    assert!(holder.accept_snapshot(undone).unwrap());
-    assert_eq!(holder.unreadable(), None);
+    assert!(replica.accept_snapshot(undone).unwrap());
+    assert_eq!(replica.unreadable(), None);
 }
 
 fn snapshot_of(revision: u64, document: &serde_json::Value) -> Snapshot {
@@ -137,13 +137,13 @@
     let mut changes = three_changes();
     let edit = &mut changes[2].edits[0];
     edit.after = Some(json!("6 s"));
-    let mut document = holder_at(&three_changes()).tree().document();
+    let mut document = replica_at(&three_changes()).tree().document();
     document["defaults"]["deadline_ms"] = json!("6 s");
     changes[2].tree = Digest::of(&document);
     changes[2].hash = changes[2].computed_hash();
-    let mut holder = SettingsReplica::new();
+    let mut replica = SettingsReplica::new();
 
-    let refused = holder.accept_changes(&changes);
+    let refused = replica.accept_changes(&changes);
 
     assert!(matches!(
         refused,
@@ -152,17 +152,17 @@
             ..
         })
     ));
-    assert_eq!(holder.revision(), Revision(2));
+    assert_eq!(replica.revision(), Revision(2));
 }
 
 #[test]
 fn another_change_of_the_same_number_is_reported() {
     let changes = three_changes();
-    let mut holder = holder_at(&changes);
+    let mut replica = replica_at(&changes);
     let tree = support::tree();
-    let (other, _) = set(changes[1].point(), &tree, "defaults/queue_len", json!(1));
+    let (other, _) = change_value(changes[1].point(), &tree, "defaults/queue_len", json!(1));
 
-    let refused = holder.accept_changes(&[other]);
+    let refused = replica.accept_changes(&[other]);
 
     assert!(matches!(
         refused,
@@ -175,33 +175,33 @@
 #[test]
 fn altered_changes_and_snapshots_are_refused() {
     let mut changes = three_changes();
-    let good = holder_at(&changes);
+    let good = replica_at(&changes);
     let mut altered = good.tree().document();
     altered["defaults"]["deadline_ms"] = json!(1);
     let mut snapshot = Snapshot::new(good.at(), &altered);
     snapshot.digest = good.tree().digest();
     changes[1].edits[0].after = Some(json!(1));
-    let mut holder = SettingsReplica::new();
+    let mut replica = SettingsReplica::new();
 
-    let by_changes = holder.accept_changes(&changes);
-    let by_snapshot = holder.accept_snapshot(snapshot);
+    let by_changes = replica.accept_changes(&changes);
+    let by_snapshot = replica.accept_snapshot(snapshot);
 
     assert!(matches!(by_changes, Err(AcceptError::Broken { .. })));
     assert!(matches!(by_snapshot, Err(AcceptError::Damaged { .. })));
-    assert_eq!(holder.revision(), Revision::NONE);
+    assert_eq!(replica.revision(), Revision::NONE);
 }
 
 #[test]
 fn a_snapshot_survives_its_written_form() {
     let changes = three_changes();
-    let good = holder_at(&changes);
+    let good = replica_at(&changes);
 
     let text = serde_json::to_string(&good.snapshot()).unwrap();
-    let mut holder = SettingsReplica::new();
-    let taken = holder.accept_snapshot(serde_json::from_str(&text).unwrap());
+    let mut replica = SettingsReplica::new();
+    let taken = replica.accept_snapshot(serde_json::from_str(&text).unwrap());
 
     assert!(taken.unwrap());
-    assert_eq!((holder.at(), holder.tree()), (good.at(), good.tree()));
+    assert_eq!((replica.at(), replica.tree()), (good.at(), good.tree()));
 }
 
 #[test]
--- a/crates/settings/tests/support/mod.rs
+++ b/crates/settings/tests/support/mod.rs
@@ -55,15 +55,15 @@
 }
 
 /// Gives the tree with one value set.
-pub fn with(tree: &Tree, path: &str, value: Json) -> Tree {
+pub fn with_value(tree: &Tree, path: &str, value: Json) -> Tree {
     let mut document = tree.document();
     edit::set(&mut document, &TreePath::parse(path).unwrap(), value).unwrap();
     Tree::from_document(document).unwrap()
 }
 
 /// Gives the change that sets one value, and the tree after it.
-pub fn set(at: ChainPoint, tree: &Tree, path: &str, value: Json) -> (Change, Tree) {
-    let after = with(tree, path, value);
+pub fn change_value(at: ChainPoint, tree: &Tree, path: &str, value: Json) -> (Change, Tree) {
+    let after = with_value(tree, path, value);
     let change = Change::between(at, tree, &after, author(path)).unwrap();
     (change, after)
 }
@@ -75,7 +75,7 @@
 }
 
 /// One random edit: which path, and which value or none.
-pub type Draw = (u8, u8, u16);
+pub type RandomEdit = (u8, u8, u16);
 
 const PATHS: [&str; 12] = [
     "defaults/deadline_ms",
@@ -93,14 +93,14 @@
 ];
 
 /// Applies a random edit to the document; whether the outcome holds is for the check to say.
-pub fn apply_draw(document: &mut Json, draw: Draw) {
-    let path = TreePath::parse(PATHS[usize::from(draw.0) % PATHS.len()]).unwrap();
-    let value = match draw.1 % 6 {
+pub fn apply_random_edit(document: &mut Json, random_edit: RandomEdit) {
+    let path = TreePath::parse(PATHS[usize::from(random_edit.0) % PATHS.len()]).unwrap();
+    let value = match random_edit.1 % 6 {
         0 => None,
-        1 => Some(json!(draw.2.is_multiple_of(2))),
+        1 => Some(json!(random_edit.2.is_multiple_of(2))),
         2 => Some(json!({})),
-        3 => Some(json!({ "defaults": { "queue_len": draw.2 % 100 } })),
-        _ => Some(json!(draw.2 % 700)),
+        3 => Some(json!({ "defaults": { "queue_len": random_edit.2 % 100 } })),
+        _ => Some(json!(random_edit.2 % 700)),
     };
     let _ = match value {
         None => edit::unset(document, &path),
@@ -109,12 +109,12 @@
 }
 
 /// Gives the trees that come of the random edits, one for each that the check accepts.
-pub fn accepted_trees(draws: &[Draw]) -> Vec<Tree> {
+pub fn accepted_trees(random_edits: &[RandomEdit]) -> Vec<Tree> {
     let mut trees = vec![tree()];
-    for draw in draws {
+    for random_edit in random_edits {
         let last = &trees[trees.len() - 1];
         let mut document = last.document();
-        apply_draw(&mut document, *draw);
+        apply_random_edit(&mut document, *random_edit);
         if let Ok(next) = Tree::from_document(document)
             && next != *last
         {
