--- a/crates/settings/examples/settings-cost.rs
+++ b/crates/settings/examples/settings-cost.rs
@@ -1,5 +1,5 @@
-//! Measures what the settings cost one daemon: size, memory and processor time, for a tree of
-//! a given number of accounts over 7 regions, 16 failure domains and 110 places.
+//! Measures the document size, memory and CPU time that the settings take in one daemon, for a
+//! given number of accounts, 7 regions, 16 failure domains and 110 places.
 //!
 //! Run with `cargo run --release -p heatherknot-settings --example settings-cost [ACCOUNTS]`.
 
@@ -30,19 +30,19 @@
     let mut replica = SettingsReplica::new();
     replica
         .accept_snapshot(snapshot(&text))
-        .expect("the tree holds");
+        .expect("the tree is valid");
     let loaded = resident_kib("VmRSS");
     println!("resident: {before} KiB before, {loaded} KiB with the tree in force");
     time_changes(&mut replica);
     let (after, peak) = (resident_kib("VmRSS"), resident_kib("VmHWM"));
     println!("resident: {after} KiB after {ROUNDS} changes, {peak} KiB at the peak");
     let tree = timed("parse and check", || {
-        Tree::parse(&text).expect("the tree holds")
+        Tree::parse(&text).expect("the tree is valid")
     });
     timed("compile", || tree.compile(Revision(1)));
 }
 
-/// Gives the snapshot as it comes over the wire.
+/// Returns the snapshot, deserialized from its wire format.
 fn snapshot(text: &str) -> Snapshot {
     let (hash, digest) = (
         Digest::of_bytes(b"first"),
@@ -52,7 +52,7 @@
     serde_json::from_str(&text).expect("a snapshot")
 }
 
-/// Times a holder that takes one change of one value after another.
+/// Measures how long the replica takes to accept and compile a change of a single value.
 fn time_changes(replica: &mut SettingsReplica) {
     let mut times = Vec::new();
     let mut bytes = 0;
@@ -61,7 +61,9 @@
         bytes = text.len();
         let start = Instant::now();
         let change: Change = serde_json::from_str(&text).expect("a change");
-        replica.accept_changes(&[change]).expect("the change fits");
+        replica
+            .accept_changes(&[change])
+            .expect("the change applies");
         black_box(replica.tree().compile(replica.revision()));
         times.push(start.elapsed().as_secs_f64() * 1000.0);
     }
@@ -78,7 +80,7 @@
         after: Some(json!(100 + round)),
         dropped: None,
     };
-    let after = replica.tree().edited(&[edit]).expect("the tree holds");
+    let after = replica.tree().edited(&[edit]).expect("the tree is valid");
     let author = Author {
         command: "0123456789abcdef".into(),
         who: "Night shift".into(),
@@ -119,7 +121,7 @@
     number.unwrap_or(0)
 }
 
-/// Writes the document as text, so that building it takes no memory that stays resident.
+/// Builds the document as text, so that building it doesn't affect the resident memory measured.
 fn document(accounts: usize) -> String {
     let list = |count: usize, entry: &dyn Fn(usize) -> String| {
         let entries: Vec<String> = (0..count).map(entry).collect();
--- a/crates/settings/examples/settings-page.rs
+++ b/crates/settings/examples/settings-page.rs
@@ -1,4 +1,4 @@
-//! Writes the page of every setting to standard output.
+//! Writes the settings reference page to standard output.
 
 fn main() {
     print!("{}", heatherknot_settings::page::settings_page());
--- a/crates/settings/src/access.rs
+++ b/crates/settings/src/access.rs
@@ -1,4 +1,4 @@
-//! What an operator's key may see and change.
+//! Authentication of operators and authorization of their reads and changes.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -15,10 +15,11 @@
 use crate::table::Key;
 use crate::tree::Tree;
 
-/// Why an operator was refused. The words tell nothing about other branches.
+/// The reason that an operator's request was denied. The messages reveal nothing about other
+/// branches.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 pub enum Denied {
-    /// The secret is none that the deployment knows.
+    /// The secret doesn't belong to a known key.
     #[snafu(display("check operator's key: not a known key"))]
     UnknownKey,
     /// The key lacks a right.
@@ -26,7 +27,7 @@
     NoRight {
         /// The identifier of the key.
         key: Arc<str>,
-        /// The right that is needed.
+        /// The required right.
         right: Right,
     },
     /// The path lies outside the branch of the key.
@@ -34,10 +35,10 @@
     OutsideBranch {
         /// The identifier of the key.
         key: Arc<str>,
-        /// The path asked for.
+        /// The requested path.
         path: String,
     },
-    /// The key would hand out rights or a branch that it doesn't have itself.
+    /// The change adds, changes or removes a key with rights or a branch beyond those of this key.
     #[snafu(display("check operator's key: key {key} may not give or take rights beyond its own"))]
     BeyondOwnRights {
         /// The identifier of the key.
@@ -45,34 +46,35 @@
     },
 }
 
-/// An operator whose key has been checked.
+/// An authenticated operator.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Operator {
     /// The identifier of the key.
     pub id: Arc<str>,
-    /// What the key is bound to.
+    /// The branch and rights of the key.
     pub key: OperatorKey,
 }
 
-/// The first operator's key, which a daemon reads from its own configuration. With it the
-/// platform's owners fill the empty tree.
+/// The bootstrap operator key, which a daemon reads from its own configuration. The platform's
+/// owners use it to write the first settings into an empty tree.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct BootstrapKey {
     /// The identifier of the key.
     pub id: Arc<str>,
-    /// What it may do.
+    /// The branch and rights of the key.
     pub key: OperatorKey,
 }
 
-/// The drain states that one right covers.
+/// The drain settings, which [`Right::Drain`] is sufficient to change.
 const DRAIN_KEYS: [&str; 2] = ["draining", "draining_vms"];
 
 impl Operator {
-    /// Finds the operator whose secret this is, in the tree and in the daemon's configuration.
+    /// Authenticates an operator by secret. A key in the tree takes precedence over a bootstrap key
+    /// with the same identifier.
     ///
     /// # Errors
     ///
-    /// Gives [`Denied::UnknownKey`], the same for an unknown identifier and a wrong secret.
+    /// Returns [`Denied::UnknownKey`] for both an unknown identifier and a wrong secret.
     pub fn authenticate(
         tree: &Tree,
         bootstrap: Option<&BootstrapKey>,
@@ -89,22 +91,22 @@
         })
     }
 
-    /// Checks that the key holds a right.
+    /// Checks that the key has a right.
     ///
     /// # Errors
     ///
-    /// Gives [`Denied::NoRight`].
+    /// Returns [`Denied::NoRight`] if it doesn't.
     pub fn require(&self, right: Right) -> Result<(), Denied> {
         let key = &self.id;
         ensure!(self.key.has(right), NoRightSnafu { key: &**key, right });
         Ok(())
     }
 
-    /// Checks that the node lies in the key's branch.
+    /// Checks that the node lies within the key's branch.
     ///
     /// # Errors
     ///
-    /// Gives [`Denied::OutsideBranch`], whether or not the node exists.
+    /// Returns [`Denied::OutsideBranch`] if it doesn't, whether or not the node exists.
     pub fn require_within(&self, tree: &Tree, path: &TreePath) -> Result<(), Denied> {
         let within = match path.part() {
             Part::Root | Part::Defaults | Part::Platform | Part::Operators(None) => {
@@ -121,21 +123,21 @@
         Ok(())
     }
 
-    /// Checks that the key may see the node.
+    /// Checks that the key may read the node.
     ///
     /// # Errors
     ///
-    /// Gives [`Denied::NoRight`] or [`Denied::OutsideBranch`].
+    /// Returns [`Denied::NoRight`] or [`Denied::OutsideBranch`].
     pub fn authorize_read(&self, tree: &Tree, path: &TreePath) -> Result<(), Denied> {
         self.require(Right::Read)?;
         self.require_within(tree, path)
     }
 
-    /// Checks that the key may make every one of the edits that lead from one tree to another.
+    /// Checks that the key may make all the edits that turn one tree into another.
     ///
     /// # Errors
     ///
-    /// Gives [`Denied`] for the first edit that the key may not make.
+    /// Returns [`Denied`] for the first edit that the key may not make.
     pub fn authorize_change(
         &self,
         before: &Tree,
@@ -148,9 +150,9 @@
         self.authorize_share_changes(before, after)
     }
 
-    // An account that could set its own share would take it from its neighbours, whose shares
-    // come out of the same one; so the share, and whether the account exists, is for the branch
-    // above to set.
+    // Sibling accounts divide the share of their parent, so an account that could set its own share
+    // would take capacity from its siblings. Only keys of the parent branch may therefore set an
+    // account's share or add and remove the account.
     fn authorize_share_changes(&self, before: &Tree, after: &Tree) -> Result<(), Denied> {
         let (before, after) = (configured_shares(before), configured_shares(after));
         let names = before.keys().chain(after.keys());
@@ -190,8 +192,8 @@
         }
     }
 
-    // A key that may change its branch could otherwise make itself another key for the branch
-    // above, or for rights that it was not given.
+    // Prevents privilege escalation: a key that may change its branch could otherwise create a key
+    // for a parent branch, or with rights that it doesn't have.
     fn authorize_operator_edit(
         &self,
         before: &Tree,
@@ -214,14 +216,14 @@
     }
 }
 
-/// Tells whether the path is a drain state. A service or region of that name isn't one.
+/// Returns whether the path is a drain setting. A service or region with such a name isn't one.
 fn is_drain_setting(path: &TreePath) -> bool {
     let fields = path.parent().and_then(|parent| table_at(&parent));
     let mut keys = fields.into_iter().flatten().map(|field| field.key);
     DRAIN_KEYS.contains(&path.key()) && keys.any(|key| key == path.key())
 }
 
-/// Gives what each account sets as its share, by account path.
+/// Returns the share that each account sets explicitly, by account path.
 fn configured_shares(tree: &Tree) -> BTreeMap<String, Option<Value>> {
     let nodes = account_nodes(tree.model());
     let shares = nodes.iter().map(|node| {
@@ -231,16 +233,16 @@
     shares.collect()
 }
 
-/// What an operator may do, as the interface shows it.
+/// A summary of an operator's key for the operators' API.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OperatorSummary {
     /// The identifier of the key.
     pub key: String,
-    /// Who holds it.
+    /// The holder of the key.
     pub holder: String,
-    /// The branch that it is bound to.
+    /// The branch that the key is limited to.
     pub branch: String,
-    /// What it may do there.
+    /// The rights of the key in that branch.
     pub rights: Vec<String>,
 }
 
--- a/crates/settings/src/audit.rs
+++ b/crates/settings/src/audit.rs
@@ -1,13 +1,13 @@
-//! The audit trail: what each branch may see of it, and what is kept of old entries.
+//! The audit trail: the entries visible to each branch, and compaction of old entries.
 //!
-//! The rule of compaction:
+//! Compaction rules:
 //!
-//! 1. The newest changes stay single values, so that a daemon a little behind is brought up to
-//!    date with them. Older ones move, in their order, into packs below a megabyte.
-//! 2. On its way into a pack a change loses the values of each edit whose values take more than
-//!    [`KEPT_VALUE_BYTES`] bytes. Who, key, when, path, revision and command stay, and so does
-//!    the hash of the values, by which the hash of the whole entry goes on holding.
-//! 3. No entry is ever deleted.
+//! 1. The newest changes are stored individually, so that a daemon that is slightly behind can
+//!    catch up with them. Older changes are moved, in order, into packs smaller than one megabyte.
+//! 2. A packed change drops the values of each edit whose values exceed [`KEPT_VALUE_BYTES`] bytes.
+//!    It keeps the author, key, time, path, revision and command, and also the hash of the values,
+//!    so that the hash of the whole entry remains valid.
+//! 3. Entries are never deleted.
 
 use std::sync::Arc;
 
@@ -21,31 +21,31 @@
 use crate::path::{Part, TreePath};
 use crate::tree::Tree;
 
-/// The most bytes that the values of one edit take, before and after together as JSON, in an
-/// entry that has been packed.
+/// Maximum size of the values of one edit in a packed entry, in bytes: the JSON before and after
+/// together.
 pub const KEPT_VALUE_BYTES: usize = 4096;
 
-/// One change as a reader of one branch sees it.
+/// The part of a change that is visible to one branch.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct AuditEntry {
-    /// The revision that the change made.
+    /// The revision that the change created.
     pub revision: Revision,
-    /// Wall-clock time, in milliseconds since 1970.
+    /// Wall-clock time, in milliseconds since the Unix epoch.
     pub at_ms: u64,
-    /// Who held the key.
+    /// The holder of the operator key at the time of the change.
     pub who: Arc<str>,
-    /// The identifier of the key.
+    /// The identifier of the operator key.
     pub key: Arc<str>,
     /// The identifier of the command.
     pub command: Arc<str>,
-    /// What was changed in the branch.
+    /// The edits within the branch.
     pub edits: Vec<Edit>,
 }
 
-/// Gives what the readers of a branch may see of a change; none where it left the branch alone.
+/// Returns the part of a change that is visible to a branch, or `None` if the change doesn't affect
+/// the branch.
 ///
-/// The newest tree tells which branch an operator's key belongs to where the edit itself
-/// doesn't.
+/// The newest tree is used to look up the branch of an operator key if the edit doesn't contain it.
 pub fn entry_for(branch: &str, newest: &Tree, change: &Change) -> Option<AuditEntry> {
     let edits = change.edits.iter();
     let edits: Vec<Edit> = edits
@@ -87,7 +87,7 @@
     }
 }
 
-/// Gives an edit of a whole object as one edit for each of its children.
+/// Splits an edit of an object into one edit for each of its children.
 fn split_by_child(path: &TreePath, edit: &Edit) -> Vec<Edit> {
     let empty = Json::Object(Map::new());
     let before = edit.before.as_ref().unwrap_or(&empty);
@@ -95,7 +95,8 @@
     edit::diff_at(path, before, after)
 }
 
-/// Gives the part of an edit that lies in the branch, where the edit is of a node above it.
+/// Restricts an edit to a branch. An edit of an ancestor of the branch is reduced to the node of
+/// the branch; an edit outside the branch gives `None`.
 fn clip_to_branch(branch: &TreePath, path: &TreePath, edit: &Edit) -> Option<Edit> {
     if path.is_within(branch) {
         return Some(edit.clone());
@@ -120,7 +121,7 @@
     })
 }
 
-/// Gives what is kept of a change in a pack.
+/// Returns the change as it is stored in a pack, without the values that are too large.
 #[must_use]
 pub fn compacted(change: &Change) -> Change {
     let mut compact = change.clone();
--- a/crates/settings/src/change.rs
+++ b/crates/settings/src/change.rs
@@ -1,4 +1,5 @@
-//! Accepted changes: what was edited, by whom, and the hash that chains each to the one before.
+//! Accepted changes: the edits, their author, and the hash that links each change to its
+//! predecessor.
 
 use std::sync::Arc;
 
@@ -12,74 +13,73 @@
 use crate::error::{ChainSnafu, SettingsError, TooLargeSnafu, UnchangedSnafu};
 use crate::tree::Tree;
 
-/// The most bytes that one change takes as JSON. The platform's service holds values below a
-/// megabyte, and a change shares its value with a few bytes of wrapping.
+/// Maximum size of a change as JSON, in bytes. The platform's store limits a value to less than one
+/// megabyte, which must also hold the few bytes of the envelope around the change.
 pub const MAX_CHANGE_BYTES: usize = 900_000;
 
-/// Who asks for a change, and how the change can be found again.
+/// The author of a change and the identifier of the command that requested it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Author {
-    /// The identifier of the command: the same command run again has the same one.
+    /// The identifier of the command, which stays the same when the command is run again.
     pub command: Arc<str>,
-    /// Who holds the key.
+    /// The holder of the operator key.
     pub who: Arc<str>,
-    /// The identifier of the key.
+    /// The identifier of the operator key.
     pub key: Arc<str>,
-    /// Wall-clock time, in milliseconds since 1970.
+    /// Wall-clock time, in milliseconds since the Unix epoch.
     pub at_ms: u64,
 }
 
-/// One accepted change. Its fields have short names as JSON, since it goes to every daemon.
+/// One accepted change. Its JSON field names are short because every daemon receives it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Change {
-    /// The revision that the change made.
+    /// The revision that the change created.
     #[serde(rename = "r")]
     pub revision: Revision,
-    /// The hash of the change before, or [`Digest::NONE`] for the first.
+    /// The hash of the preceding change, or [`Digest::NONE`] for the first.
     #[serde(rename = "q")]
     pub previous: Digest,
     /// The identifier of the command.
     #[serde(rename = "c")]
     pub command: Arc<str>,
-    /// Who held the key.
+    /// The holder of the operator key at the time of the change.
     #[serde(rename = "w")]
     pub who: Arc<str>,
-    /// The identifier of the key.
+    /// The identifier of the operator key.
     #[serde(rename = "k")]
     pub key: Arc<str>,
-    /// Wall-clock time, in milliseconds since 1970.
+    /// Wall-clock time, in milliseconds since the Unix epoch.
     #[serde(rename = "t")]
     pub at_ms: u64,
-    /// What was changed, in the order of the paths.
+    /// The edits, ordered by path.
     #[serde(rename = "e")]
     pub edits: Vec<Edit>,
     /// The hash of the whole tree after the change.
     #[serde(rename = "d")]
     pub tree: Digest,
-    /// The hash of all of the above.
+    /// The hash of all the fields above.
     #[serde(rename = "h")]
     pub hash: Digest,
 }
 
-/// A point in the chain of changes: a revision and the hash of the change that made it.
+/// A position in the hash chain: a revision and the hash of the change that created it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ChainPoint {
     /// The revision.
     #[serde(rename = "r")]
     pub revision: Revision,
-    /// The hash of the change that made it.
+    /// The hash of the change that created it.
     #[serde(rename = "h")]
     pub hash: Digest,
 }
 
 impl Change {
-    /// Makes the change that leads from one tree to another.
+    /// Creates the change that turns one tree into another.
     ///
     /// # Errors
     ///
-    /// Gives [`SettingsError::Unchanged`] where the trees are the same and
-    /// [`SettingsError::TooLarge`] where the change doesn't fit a value of the platform's
-    /// service.
+    /// Returns [`SettingsError::Unchanged`] if the trees are equal and
+    /// [`SettingsError::TooLarge`] if the change exceeds [`MAX_CHANGE_BYTES`].
     pub fn between(
         at: ChainPoint,
         before: &Tree,
@@ -111,10 +111,10 @@
         Ok(change)
     }
 
-    /// Computes the hash of everything but the hash itself.
+    /// Computes the hash of every field except `hash`.
     ///
-    /// The values of an edit enter by their own hash, so that the hash of an old entry holds
-    /// after the audit trail has dropped its values.
+    /// The values of an edit are included through their own hash, so that the hash of an old entry
+    /// remains valid after the audit trail has dropped its values.
     pub fn computed_hash(&self) -> Digest {
         let edits = self.edits.iter();
         let edits: Vec<_> = edits
@@ -132,7 +132,7 @@
         ]))
     }
 
-    /// Gives the point in the chain that this change leads to.
+    /// Returns the chain position after this change.
     pub fn point(&self) -> ChainPoint {
         ChainPoint {
             revision: self.revision,
@@ -140,11 +140,11 @@
         }
     }
 
-    /// Checks that this change is unaltered and follows the given point.
+    /// Checks that this change is unaltered and directly follows the given chain position.
     ///
     /// # Errors
     ///
-    /// Gives [`SettingsError::Chain`] with the revision at fault.
+    /// Returns [`SettingsError::Chain`] with the invalid revision.
     pub fn verify(&self, after: ChainPoint) -> Result<(), SettingsError> {
         let chain_error = |problem: &'static str| ChainSnafu {
             revision: self.revision,
@@ -152,25 +152,25 @@
         };
         ensure!(
             self.hash == self.computed_hash(),
-            chain_error("its hash doesn't fit its content")
+            chain_error("its hash doesn't match its content")
         );
         ensure!(
             self.revision == after.revision.next(),
-            chain_error("it doesn't follow the revision before")
+            chain_error("it doesn't follow the preceding revision")
         );
         ensure!(
             self.previous == after.hash,
-            chain_error("it doesn't name the hash of the change before")
+            chain_error("it doesn't refer to the hash of the preceding change")
         );
         Ok(())
     }
 
-    /// Applies the change to the tree that it was made from.
+    /// Applies the change to the tree that it was created from.
     ///
     /// # Errors
     ///
-    /// Gives [`SettingsError::Conflict`] where the tree isn't the one that the change was made
-    /// from, [`SettingsError::Chain`] where the outcome isn't the one that the change names,
+    /// Returns [`SettingsError::Conflict`] if the tree isn't the one that the change was created
+    /// from, [`SettingsError::Chain`] if the hash of the resulting tree isn't the recorded one,
     /// and the errors of [`Tree::from_document`].
     pub fn apply(&self, tree: &Tree) -> Result<Tree, SettingsError> {
         let after = tree.edited(&self.edits)?;
@@ -185,11 +185,11 @@
         Ok(after)
     }
 
-    /// Gives the tree in which this change is taken back and everything else kept.
+    /// Returns the given tree with this change reverted and every other change kept.
     ///
     /// # Errors
     ///
-    /// Gives [`SettingsError::Conflict`] where a later change has changed the same node, and
+    /// Returns [`SettingsError::Conflict`] if a later change modified the same node, and
     /// the errors of [`Tree::from_document`].
     pub fn reverted(&self, tree: &Tree) -> Result<Tree, SettingsError> {
         let edits = self.edits.iter().rev();
@@ -198,11 +198,11 @@
     }
 }
 
-/// Checks a run of changes, each against the one before.
+/// Checks a sequence of changes, each against its predecessor.
 ///
 /// # Errors
 ///
-/// Gives [`SettingsError::Chain`] for the first change at fault.
+/// Returns [`SettingsError::Chain`] for the first invalid change.
 pub fn verify_chain(from: ChainPoint, changes: &[Change]) -> Result<ChainPoint, SettingsError> {
     let mut at = from;
     for change in changes {
@@ -212,12 +212,12 @@
     Ok(at)
 }
 
-/// Gives the document as it was before a run of changes that leads to the given one.
+/// Returns the document as it was before a sequence of changes that ends with the given document.
 ///
 /// # Errors
 ///
-/// Gives [`SettingsError::Conflict`] where the changes don't lead to the document, or have
-/// lost their values.
+/// Returns [`SettingsError::Conflict`] if the changes don't produce the document, and
+/// [`SettingsError::Dropped`] if their values have been dropped.
 pub fn rewind(document: &Json, changes: &[Change]) -> Result<Json, SettingsError> {
     let mut document = document.clone();
     for change in changes.iter().rev() {
--- a/crates/settings/src/check.rs
+++ b/crates/settings/src/check.rs
@@ -1,4 +1,4 @@
-//! Checks of references and limits over the whole tree.
+//! Validation of references and limits across the whole tree.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -14,7 +14,7 @@
 use crate::shares;
 use crate::table::Key;
 
-/// Checks what the reading of single values can't see.
+/// Checks the rules that involve more than one value.
 pub fn check_model(reader: &mut Reader, model: &Model) {
     let nodes = account_nodes(model);
     let names: BTreeSet<&str> = nodes.iter().map(|node| node.name.as_str()).collect();
@@ -177,8 +177,8 @@
     }
 }
 
-/// What is wrong with one key of an upstream. A tree has tens of thousands of upstreams, so the
-/// path of one is written only where there is a fault to report.
+/// A validation error of one key of an upstream. A tree has tens of thousands of upstreams, so the
+/// path of an upstream is formatted only if there is an error to report.
 struct UpstreamFault {
     key: &'static str,
     found: String,
@@ -202,7 +202,7 @@
                 expected: format!("another address than that of upstream {other}"),
             });
         }
-        check_upstream(&mut faults, platform, upstream);
+        self::check_upstream(&mut faults, platform, upstream);
         check_granted_quota(&mut faults, platform, node, upstream);
         for fault in faults.drain(..) {
             let path = join(&join(path, "upstreams"), upstream.name.as_str());
@@ -237,8 +237,8 @@
     }
 }
 
-// Without this an account could name another account's backend server, or a server of the
-// platform, as its own upstream, and have the entry VMs send requests to it.
+// Without this check an account could list another account's backend server, or a server of the
+// platform, as its own upstream and make the entry VMs send requests to it.
 fn check_granted_quota(
     faults: &mut Vec<UpstreamFault>,
     platform: &Platform,
--- a/crates/settings/src/compile.rs
+++ b/crates/settings/src/compile.rs
@@ -1,4 +1,4 @@
-//! From the checked tree to the plan that daemons read.
+//! Compilation of a validated tree into the plan that daemons read.
 
 use std::collections::BTreeMap;
 
@@ -18,7 +18,7 @@
         for (name, service) in &node.account.services {
             let (chain, _) = node.service(name, service);
             let name = service_name(&node.name, name);
-            services.insert(name, service_plan(node, &chain, service));
+            services.insert(name, self::service_plan(node, &chain, service));
         }
     }
     Plan {
@@ -32,7 +32,7 @@
     }
 }
 
-/// Gives the name of a service that is unique in the deployment.
+/// Returns the service name qualified by its account, which is unique in the deployment.
 pub fn service_name(account: &AccountName, service: &str) -> ServiceName {
     ServiceName::from(format!("{account}:{service}"))
 }
@@ -87,8 +87,8 @@
     plans.collect()
 }
 
-/// Gives the account's part of what its branch is guaranteed. It doesn't depend on the other
-/// accounts of the branch, whose own settings must not reach it.
+/// Returns the account's portion of the guarantee of its branch. The result doesn't depend on the
+/// branch's other accounts, because their settings must not affect this account.
 fn guaranteed_permille(quota: &Quota, node: &AccountNode<'_>) -> u16 {
     let part = u32::from(quota.guaranteed_permille) * u32::from(node.own_share());
     u16::try_from(part / u32::from(quota.share_permille.max(1))).unwrap_or(0)
--- a/crates/settings/src/digest.rs
+++ b/crates/settings/src/digest.rs
@@ -14,12 +14,12 @@
 pub struct Digest([u8; HASH_BYTES]);
 
 impl Digest {
-    /// Stands before the first change.
+    /// The predecessor hash of the first change.
     pub const NONE: Digest = Digest([0; HASH_BYTES]);
 
-    /// Hashes a document in its canonical form: no spaces, keys in the order of their bytes.
+    /// Hashes a document in its canonical form: no whitespace, keys in byte order.
     pub fn of(document: &Json) -> Digest {
-        // A `Json` object keeps its keys sorted, so its text is the canonical form.
+        // `serde_json` keeps object keys sorted, so the serialized text is the canonical form.
         Digest::of_bytes(document.to_string().as_bytes())
     }
 
--- a/crates/settings/src/document.rs
+++ b/crates/settings/src/document.rs
@@ -1,8 +1,8 @@
-//! The document of a tree in parts: one text for each account directly under the root, and the
-//! rest as parsed JSON.
+//! Storage of a settings document: the JSON text of each account directly under the root, and
+//! everything else as parsed JSON.
 //!
-//! A parsed JSON tree takes more than ten times the memory of its text, and a change touches one
-//! account of hundreds. So an account is parsed only while it is read or changed.
+//! A parsed JSON tree takes more than ten times the memory of its text, and a change usually
+//! touches one account out of hundreds, so an account is parsed only while it is read or changed.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -17,21 +17,21 @@
 
 const ACCOUNTS: &str = "accounts";
 
-/// The texts of the accounts directly under the root, by name.
+/// The JSON texts of the accounts directly under the root, by account name.
 pub type AccountTexts = BTreeMap<Arc<str>, Arc<str>>;
 
-/// A document in parts.
+/// A settings document whose accounts are kept as JSON text.
 #[derive(Clone, PartialEq)]
 pub struct Document {
     /// The root object without its accounts.
     pub rest: Json,
-    /// The canonical texts of the accounts; none where the root has no such key.
+    /// The canonical texts of the accounts; `None` if the root has no `accounts` key.
     pub accounts: Option<AccountTexts>,
 }
 
 impl Document {
-    /// Takes a document apart. Accounts that are no object stay in the rest, where the check
-    /// finds them.
+    /// Splits a parsed document. An `accounts` value that is not an object stays in `rest`, where
+    /// validation reports it.
     pub fn split(mut whole: Json) -> Document {
         let accounts = whole.as_object_mut().and_then(take_accounts);
         Document {
@@ -45,11 +45,11 @@
         }
     }
 
-    /// Reads a document part by part, so that it is never held parsed as a whole.
+    /// Parses a document one account at a time, so that the whole parsed tree is never in memory.
     ///
     /// # Errors
     ///
-    /// Gives [`SettingsError::Json`] where the text is no JSON.
+    /// Returns [`SettingsError::Json`] if the text is not valid JSON.
     pub fn read(text: &str) -> Result<Document, SettingsError> {
         let Ok(parts) = serde_json::from_str::<BTreeMap<String, &RawValue>>(text) else {
             let whole: Json = serde_json::from_str(text).context(JsonSnafu)?;
@@ -73,7 +73,7 @@
         })
     }
 
-    /// Gives the canonical text of the whole.
+    /// Returns the canonical JSON text of the whole document.
     pub fn text(&self) -> String {
         let mut text = String::from("{");
         if let Some(accounts) = &self.accounts {
@@ -86,15 +86,15 @@
             }
             text.push('}');
         }
-        // `accounts` comes before every other key of the root in the order of bytes, and a
-        // checked root has `schema` at least.
+        // `accounts` sorts before every other root key, and a validated root has at least the
+        // `schema` key, so the separating comma is always needed.
         let rest = self.rest.to_string();
         text.push_str(if self.accounts.is_some() { "," } else { "" });
         text.push_str(rest.strip_prefix('{').unwrap_or(&rest));
         text
     }
 
-    /// Gives the whole, parsed.
+    /// Parses and returns the whole document.
     pub fn to_json(&self) -> Json {
         let mut whole = self.rest.clone();
         let accounts = self.accounts.as_ref().map(parse_accounts);
@@ -104,7 +104,7 @@
         whole
     }
 
-    /// Gives the node at a path, and parses no more than the account that it lies in.
+    /// Returns the node at a path. Parses only the account that contains it.
     pub fn get(&self, path: &TreePath) -> Option<Json> {
         let segments = path.segments();
         match segments.first().map(|first| &**first) {
@@ -117,8 +117,8 @@
         }
     }
 
-    /// Gives a document that holds one account alone; its `accounts` are empty where there is
-    /// no such account.
+    /// Returns a document that contains only the given account. Its `accounts` object is empty if
+    /// the account does not exist.
     fn isolated_account(&self, name: &str) -> Json {
         let text = self
             .accounts
@@ -137,7 +137,8 @@
     ///
     /// # Errors
     ///
-    /// Gives what [`edit::apply`] gives; the document is then unfinished and of no use.
+    /// Returns the errors of [`edit::apply`]. The document may then be partially edited and must be
+    /// discarded.
     pub fn apply(&mut self, edits: &[Edit]) -> Result<(), SettingsError> {
         for edit in edits {
             let path = edit.tree_path()?;
@@ -168,7 +169,7 @@
         Ok(())
     }
 
-    /// Gives the edits that lead to another document, in the order of their paths.
+    /// Returns the edits that turn this document into `after`, ordered by path.
     pub fn diff(&self, after: &Document) -> Vec<Edit> {
         let path = TreePath::default().child(ACCOUNTS);
         let mut edits = match (&self.accounts, &after.accounts) {
@@ -226,7 +227,7 @@
         .collect()
 }
 
-/// Parses a text that this module wrote.
+/// Parses JSON text that this module has serialized.
 pub fn parse(text: &str) -> Json {
     serde_json::from_str(text).unwrap_or(Json::Null)
 }
--- a/crates/settings/src/edit.rs
+++ b/crates/settings/src/edit.rs
@@ -1,4 +1,4 @@
-//! Edits of a document: one path with what was there before and after.
+//! Edits of a document: a path with the values before and after.
 
 use serde::{Deserialize, Serialize};
 use serde_json::{Map, Value as Json, json};
@@ -8,7 +8,7 @@
 use crate::error::{ConflictSnafu, DroppedSnafu, MissingSnafu, SettingsError};
 use crate::path::TreePath;
 
-/// One edit. `None` stands for a node that doesn't exist; no node of a tree is null.
+/// One edit. `None` stands for a node that doesn't exist, since no node of a tree is null.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Edit {
     /// The path of the node, with slashes.
@@ -20,19 +20,19 @@
     /// The node after the edit.
     #[serde(rename = "a", default, skip_serializing_if = "Option::is_none")]
     pub after: Option<Json>,
-    /// The hash of both values where an old entry of the audit trail no longer has them.
+    /// The hash of both values, set when the audit trail has dropped the values of an old entry.
     #[serde(rename = "x", default, skip_serializing_if = "Option::is_none")]
     pub dropped: Option<Digest>,
 }
 
 impl Edit {
-    /// Gives the hash of both values, the same whether they were dropped or not.
+    /// Returns the hash of both values, which is the same before and after they are dropped.
     pub fn values_digest(&self) -> Digest {
         let values = || Digest::of(&json!([self.before, self.after]));
         self.dropped.unwrap_or_else(values)
     }
 
-    /// Gives the edit without its values.
+    /// Returns the edit with its values replaced by their hash.
     #[must_use]
     pub fn without_values(&self) -> Edit {
         Edit {
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Gives the edit that takes this one back.
+    /// Returns the edit that reverts this one.
     #[must_use]
     pub fn inverse(&self) -> Edit {
         Edit {
@@ -54,17 +54,17 @@
         }
     }
 
-    /// Reads the path.
+    /// Parses the path.
     ///
     /// # Errors
     ///
-    /// Gives [`SettingsError::Path`].
+    /// Returns [`SettingsError::Path`] if the path is malformed.
     pub fn tree_path(&self) -> Result<TreePath, SettingsError> {
         TreePath::parse(&self.path)
     }
 }
 
-/// Gives the node at a path.
+/// Returns the node at a path.
 pub fn get<'a>(document: &'a Json, path: &TreePath) -> Option<&'a Json> {
     let mut node = document;
     for key in path.segments() {
@@ -73,11 +73,11 @@
     Some(node)
 }
 
-/// Puts a node at a path, making the objects above it that don't exist.
+/// Sets the node at a path, creating missing parent objects.
 ///
 /// # Errors
 ///
-/// Gives [`SettingsError::Missing`] where the path goes through a value that is no object.
+/// Returns [`SettingsError::Missing`] if a parent on the path is not an object.
 pub fn set(document: &mut Json, path: &TreePath, value: Json) -> Result<(), SettingsError> {
     let mut node = document;
     for key in path.segments() {
@@ -96,7 +96,7 @@
 ///
 /// # Errors
 ///
-/// Gives [`SettingsError::Missing`] where there is none, and for the root.
+/// Returns [`SettingsError::Missing`] if the node doesn't exist or is the root.
 pub fn unset(document: &mut Json, path: &TreePath) -> Result<(), SettingsError> {
     let missing = MissingSnafu {
         path: path.to_string(),
@@ -116,8 +116,8 @@
 ///
 /// # Errors
 ///
-/// Gives [`SettingsError::Conflict`] where the document doesn't have the edit's `before` at
-/// its path, and [`SettingsError::Dropped`] where the audit trail has dropped the values.
+/// Returns [`SettingsError::Conflict`] if the node isn't equal to the edit's `before`, and
+/// [`SettingsError::Dropped`] if the audit trail has dropped the values.
 pub fn apply(document: &mut Json, edit: &Edit) -> Result<(), SettingsError> {
     let path = edit.tree_path()?;
     let path_text = &edit.path;
@@ -131,12 +131,12 @@
     }
 }
 
-/// Gives the edits that lead from one document to another, in the order of their paths.
+/// Returns the edits that turn one document into another, ordered by path.
 pub fn diff(before: &Json, after: &Json) -> Vec<Edit> {
     diff_at(&TreePath::default(), before, after)
 }
 
-/// Gives the edits between two states of the node at a path, with paths from the root.
+/// Returns the edits between two states of the node at `path`. Their paths start at the root.
 pub fn diff_at(path: &TreePath, before: &Json, after: &Json) -> Vec<Edit> {
     let mut edits = Vec::new();
     collect_edits(path, before, after, &mut edits);
@@ -159,7 +159,7 @@
     }
 }
 
-/// Gives the edits between two states of the node at a path, either of which may be no node.
+/// Returns the edits between two states of the node at `path`, where `None` is a missing node.
 pub fn diff_nodes(path: &TreePath, before: Option<&Json>, after: Option<&Json>) -> Vec<Edit> {
     match (before, after) {
         (None, None) => Vec::new(),
@@ -177,11 +177,11 @@
     }
 }
 
-/// Tells whether two sets of edits touch the same node or a node above or below one another.
+/// Returns whether two sets of edits touch the same node, or a node and one of its ancestors.
 ///
 /// # Errors
 ///
-/// Gives [`SettingsError::Path`] for a malformed path.
+/// Returns [`SettingsError::Path`] if a path is malformed.
 pub fn overlap(ours: &[Edit], theirs: &[Edit]) -> Result<bool, SettingsError> {
     for our in ours {
         let our = our.tree_path()?;
--- a/crates/settings/src/effective.rs
+++ b/crates/settings/src/effective.rs
@@ -1,4 +1,4 @@
-//! The settings in force at one node, with the origin of each value.
+//! The effective settings of a node, with the origin of each value.
 
 use serde::{Deserialize, Serialize};
 use serde_json::{Map, Value as Json, json};
@@ -11,29 +11,29 @@
 use crate::table::{self, Key};
 use crate::tree::Tree;
 
-/// One setting in force at a node.
+/// One effective setting of a node.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EffectiveValue {
     /// The key.
     pub key: String,
-    /// The value in force.
+    /// The effective value.
     pub value: Json,
     /// The unit.
     pub unit: String,
     /// The path of the object that sets the value, or `built-in default`.
     pub origin: String,
-    /// The greatest value that the platform's owners allow here.
+    /// The maximum value set in `platform/limits`, if any.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub limit: Option<u64>,
 }
 
 impl Tree {
-    /// Gives every setting in force at a node, or the one setting that the path names.
+    /// Returns the effective settings of a node, or a single setting if the path names one.
     ///
     /// # Errors
     ///
-    /// Gives [`SettingsError::Missing`] where the path names neither a node that has settings
-    /// nor one setting of such a node.
+    /// Returns [`SettingsError::Missing`] if the path names neither a node with settings
+    /// nor a setting of such a node.
     pub fn effective(&self, path: &TreePath) -> Result<Vec<EffectiveValue>, SettingsError> {
         if let Some(values) = self.node_values(path) {
             return Ok(values);
@@ -96,7 +96,8 @@
     }
 }
 
-/// Gives the settings of the object at a path, where it is one that inherits nothing.
+/// Returns the settings table of the object at a path, or `None` if the object inherits settings or
+/// has none.
 pub fn table_at(path: &TreePath) -> Option<&'static [Field]> {
     let segments: Vec<&str> = path.segments().iter().map(|key| &**key).collect();
     match segments[..] {
@@ -136,7 +137,7 @@
     values
 }
 
-/// Writes a value as it stands in a document.
+/// Converts a value to its JSON form in the document.
 pub fn to_json(value: &Value) -> Json {
     match value {
         Value::Number(number) => json!(number),
--- a/crates/settings/src/error.rs
+++ b/crates/settings/src/error.rs
@@ -5,16 +5,16 @@
 use heatherknot_types::prelude::*;
 use snafu::Snafu;
 
-/// One thing that a check found wrong in a document.
+/// One validation error in a document.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Fault {
     /// The path of the object that holds the key; empty for the root.
     pub path: String,
-    /// The key at fault.
+    /// The invalid key.
     pub key: String,
-    /// What the document has there.
+    /// What the document contains there.
     pub found: String,
-    /// What the schema or another setting asks for.
+    /// What the schema or another setting requires.
     pub expected: String,
 }
 
@@ -38,7 +38,7 @@
     }
 }
 
-/// Every fault of one document, in the order of the document.
+/// The validation errors of one document, in the order in which they were found.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Faults(pub Vec<Fault>);
 
@@ -52,26 +52,26 @@
     }
 }
 
-/// Why settings or an edit of them were refused. Nothing has changed in any of the cases.
+/// The reason that settings or an edit were rejected. In every case the settings are unchanged.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum SettingsError {
-    /// The text is no JSON document.
+    /// The text is not valid JSON.
     #[snafu(display("parse settings: not JSON: {source}"))]
     Json {
-        /// What the JSON parser reported, with line and column.
+        /// The JSON parser's error, with line and column.
         source: serde_json::Error,
     },
-    /// The document is of a schema that this program doesn't know.
+    /// The schema version of the document is not supported.
     #[snafu(display("parse settings: at the root, key `schema`: found {found}, expected 1"))]
     Schema {
-        /// The number in the document.
+        /// The schema version in the document.
         found: u64,
     },
-    /// The document breaks one or more rules.
+    /// The document fails validation.
     #[snafu(display("check settings: {faults}"))]
     Invalid {
-        /// Every fault found.
+        /// The validation errors.
         faults: Faults,
     },
     /// A path is malformed.
@@ -79,9 +79,9 @@
     Path {
         /// The path as given.
         path: String,
-        /// The first segment at fault.
+        /// The first invalid segment.
         segment: String,
-        /// What a segment may be.
+        /// The expected form of the segment.
         expected: String,
     },
     /// An edit addresses a node that doesn't exist.
@@ -90,35 +90,35 @@
         /// The path as given.
         path: String,
     },
-    /// The node isn't as the edit expects it.
+    /// The node doesn't have the value that the edit expects.
     #[snafu(display("edit settings: `{path}` has changed since"))]
     Conflict {
         /// The path of the node.
         path: String,
     },
-    /// The audit trail no longer has the values of an old edit.
+    /// The audit trail has dropped the values of an old edit.
     #[snafu(display("edit settings: the values of `{path}` are no longer kept"))]
     Dropped {
         /// The path of the node.
         path: String,
     },
     /// An edit changes nothing.
-    #[snafu(display("edit settings: the tree already is as asked"))]
+    #[snafu(display("edit settings: the edit changes nothing"))]
     Unchanged,
-    /// A change doesn't fit a value of the platform's service.
-    #[snafu(display("edit settings: a change of {bytes} bytes, expected at most {limit}"))]
+    /// A change is larger than a value in the platform's store may be.
+    #[snafu(display("edit settings: the change has {bytes} bytes, expected at most {limit}"))]
     TooLarge {
-        /// The size as JSON.
+        /// The size as JSON, in bytes.
         bytes: usize,
-        /// The most that is allowed.
+        /// The maximum size, in bytes.
         limit: usize,
     },
-    /// The chain of changes is broken.
+    /// The hash chain of changes is broken.
     #[snafu(display("verify changes: {revision}: {problem}"))]
     Chain {
-        /// The revision at fault.
+        /// The revision of the inconsistent change.
         revision: Revision,
-        /// What doesn't fit.
+        /// The inconsistency found.
         problem: &'static str,
     },
 }
--- a/crates/settings/src/field.rs
+++ b/crates/settings/src/field.rs
@@ -1,4 +1,4 @@
-//! The description of one setting, and the reading of its value by that description.
+//! Descriptors of settings, and parsing of values against them.
 
 use std::net::{IpAddr, SocketAddr};
 use std::sync::Arc;
@@ -8,56 +8,56 @@
 use crate::names;
 use crate::network::Network;
 
-/// What a setting's value may be.
+/// The type and valid range of a setting.
 #[derive(Clone, Copy, Debug)]
 pub enum Kind {
-    /// A whole number between two bounds, both included.
+    /// A whole number within an inclusive range.
     Integer {
-        /// The least value.
+        /// Minimum value.
         min: u64,
-        /// The greatest value.
+        /// Maximum value.
         max: u64,
     },
     /// `true` or `false`.
     Flag,
-    /// One of several words.
+    /// One of a fixed set of words.
     Choice(&'static [&'static str]),
-    /// One text.
+    /// A string.
     Text(Text),
-    /// A list of texts without duplicates.
+    /// A list of strings without duplicates.
     List {
-        /// What each item may be.
+        /// The format of each item.
         item: Text,
-        /// The most items.
+        /// Maximum number of items.
         max: usize,
     },
 }
 
-/// The form of a text.
+/// The format of a string.
 #[derive(Clone, Copy, Debug)]
 pub enum Text {
-    /// A name of one segment.
+    /// A single-segment name.
     Name,
-    /// A short text for people.
+    /// A short human-readable label.
     Label,
-    /// The path of a client account, or nothing for the root.
+    /// The path of a client account, or an empty string for the root.
     Branch,
-    /// An IP number and a port.
+    /// An IP address and a port.
     Address,
     /// An IP prefix such as `10.1.0.0/16`.
     Network,
     /// A method and a path prefix, such as `POST /submissions`.
     Route,
-    /// Bytes as hexadecimal digits, with the number of bytes.
+    /// Hexadecimal digits that encode the given number of bytes.
     Hex(usize),
-    /// One of several words.
+    /// One of a fixed set of words.
     Word(&'static [&'static str]),
 }
 
-/// What holds where a document leaves a setting out.
+/// The value of a setting that a document omits.
 #[derive(Clone, Copy, Debug)]
 pub enum Fallback {
-    /// The setting must be given.
+    /// No default; the setting is required.
     Required,
     /// This number.
     Number(u64),
@@ -69,16 +69,16 @@
     List(&'static [&'static str]),
 }
 
-/// One setting: the entry from which its check, its default and its documentation come.
+/// The descriptor of one setting: its validation rule, default and documentation.
 #[derive(Clone, Copy, Debug)]
 pub struct Field {
-    /// The key in the document, with the unit as its suffix.
+    /// The key in the document, which ends with the unit if there is one.
     pub key: &'static str,
-    /// What the value may be.
+    /// The type and valid range of the value.
     pub kind: Kind,
     /// The unit, for the settings page.
     pub unit: &'static str,
-    /// What holds where the key is left out.
+    /// The value if the key is omitted.
     pub fallback: Fallback,
     /// One sentence for the settings page.
     pub doc: &'static str,
@@ -91,15 +91,15 @@
     Number(u64),
     /// A flag.
     Flag(bool),
-    /// A word or another text.
+    /// A string.
     Text(Arc<str>),
-    /// A list of texts.
+    /// A list of strings.
     List(Vec<Arc<str>>),
 }
 
 impl Field {
-    /// Gives the value that holds where the document leaves the setting out, or `None` where
-    /// it must be given.
+    /// Returns the value used if the document omits the setting, or `None` if the setting is
+    /// required.
     pub fn default_value(&self) -> Option<Value> {
         match self.fallback {
             Fallback::Required => None,
@@ -112,11 +112,11 @@
         }
     }
 
-    /// Reads a value of this setting.
+    /// Parses a value of this setting.
     ///
     /// # Errors
     ///
-    /// Gives what was expected where the value doesn't fit the description.
+    /// Returns a description of the expected value if the value is invalid.
     pub fn read(&self, json: &Json) -> Result<Value, String> {
         self.try_read(json).ok_or_else(|| self.expected())
     }
@@ -140,7 +140,7 @@
         }
     }
 
-    /// Describes what the value may be, with range and unit.
+    /// Describes the expected value, including range and unit.
     pub fn expected(&self) -> String {
         match self.kind {
             Kind::Integer { min, max } => {
--- a/crates/settings/src/inherit.rs
+++ b/crates/settings/src/inherit.rs
@@ -1,4 +1,4 @@
-//! Inheritance: which node a value comes from.
+//! Inheritance: resolves each value and the node that sets it.
 
 use std::borrow::Cow;
 
@@ -9,31 +9,31 @@
 use crate::reader::join;
 use crate::table::Key;
 
-/// The origin of a value that no node sets.
+/// The origin reported for a value that no node sets.
 pub const BUILT_IN_ORIGIN: &str = "built-in default";
 
-/// One node that may set values.
+/// One level of an inheritance chain.
 #[derive(Clone)]
 pub struct Level<'a> {
-    /// The path of the object that holds the keys.
+    /// The path of the object that sets the values.
     pub path: String,
     /// The values that it sets.
     pub values: Cow<'a, Overrides>,
 }
 
-/// The nodes from the root down to one node.
+/// The levels from which a node inherits, from the root down to the node itself.
 #[derive(Clone, Default)]
 pub struct InheritanceChain<'a> {
     levels: Vec<Level<'a>>,
 }
 
 impl<'a> InheritanceChain<'a> {
-    /// Starts at the root.
+    /// Creates the chain of the root.
     pub fn root(model: &'a Model) -> Self {
         InheritanceChain::default().extended("defaults".to_string(), Cow::Borrowed(&model.defaults))
     }
 
-    /// Gives the chain of a node below.
+    /// Returns the chain extended by the level of a child node.
     #[must_use]
     pub fn extended(&self, path: String, values: Cow<'a, Overrides>) -> Self {
         let mut levels = self.levels.clone();
@@ -41,21 +41,22 @@
         Self { levels }
     }
 
-    /// Gives the value in force and the path of the object that sets it.
+    /// Returns the effective value and the path of the object that sets it.
     pub fn resolve(&self, key: Key) -> (Value, &str) {
         for level in self.levels.iter().rev() {
             if let Some(value) = level.values.get(&key) {
                 return (value.clone(), &level.path);
             }
         }
-        // Every inherited setting has a default, which a test of the table checks.
+        // Every inherited setting has a default; a test of the table checks this.
         (
             key.field().default_value().unwrap_or(Value::Number(0)),
             BUILT_IN_ORIGIN,
         )
     }
 
-    /// Gives a number as the type that the plan holds; zero for a setting of another kind.
+    /// Returns the effective number as the type used in the plan, or zero if the setting isn't
+    /// numeric.
     pub fn number<T: TryFrom<u64> + Default>(&self, key: Key) -> T {
         match self.resolve(key).0 {
             Value::Number(number) => T::try_from(number).unwrap_or_default(),
@@ -64,48 +65,48 @@
     }
 }
 
-/// An account with its place in the tree.
+/// An account with its position in the tree.
 pub struct AccountNode<'a> {
-    /// The account's path from account to account.
+    /// The account path, from the topmost account down.
     pub name: AccountName,
-    /// The path of its object in the document.
+    /// The path of the account's object in the document.
     pub path: String,
-    /// What the account sets.
+    /// The account's own settings.
     pub account: &'a Account,
-    /// The nodes above the account and its quota, if any.
+    /// The inheritance chain without the account's own defaults, but with its quota if it has one.
     pub parent_chain: InheritanceChain<'a>,
-    /// All of that and the account's own defaults.
+    /// The inheritance chain, including the account's own defaults.
     pub chain: InheritanceChain<'a>,
-    /// The account that holds the quota under which this one lies; the topmost account where
-    /// there is none.
+    /// The nearest account, this one included, that has a quota. If there is none, the topmost
+    /// account.
     pub quota_owner: AccountName,
-    /// What the accounts directly below take of the share together, but for those that have a
-    /// quota of their own.
+    /// Sum of the shares of the directly nested accounts, in thousandths. Accounts with their own
+    /// quota are excluded.
     pub delegated_permille: u32,
 }
 
 impl<'a> AccountNode<'a> {
-    /// Gives the chain and the path of one of the account's services.
+    /// Returns the chain and the path of one of the account's services.
     pub fn service(&self, name: &str, service: &'a Service) -> (InheritanceChain<'a>, String) {
         let path = join(&join(&self.path, "services"), name);
         let values = Cow::Borrowed(&service.overrides);
         (self.chain.extended(path.clone(), values), path)
     }
 
-    /// Gives the most that the account and the accounts below it may take together in each
-    /// place, in thousandths.
+    /// Returns the maximum share of each place for the account and its nested accounts together, in
+    /// thousandths of the place's cap.
     pub fn share(&self) -> u16 {
         self.chain.number(Key::AccountShare)
     }
 
-    /// Gives what is left of the share for the account's own services.
+    /// Returns the share that remains for the account's own services, in thousandths.
     pub fn own_share(&self) -> u16 {
         let rest = u32::from(self.share()).saturating_sub(self.delegated_permille);
         u16::try_from(rest).unwrap_or(0)
     }
 }
 
-/// Gives every account, those above before those below.
+/// Returns all accounts, each before its nested accounts.
 pub fn account_nodes(model: &Model) -> Vec<AccountNode<'_>> {
     let mut nodes = Vec::new();
     let root = InheritanceChain::root(model);
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,7 +1,7 @@
-//! The tree of settings: inheritance, checks, revisions, operators' keys and the audit trail.
+//! The settings tree: inheritance, validation, revisions, operator keys and the audit trail.
 //!
-//! Nothing here performs input or output. A [`Tree`] is a JSON document that has passed every
-//! check; [`Tree::compile`] gives the settings in force that daemons read.
+//! This crate performs no I/O. A [`Tree`] is a validated JSON document; [`Tree::compile`] turns it
+//! into the plan that daemons read.
 
 pub mod access;
 pub mod audit;
--- a/crates/settings/src/model.rs
+++ b/crates/settings/src/model.rs
@@ -1,4 +1,4 @@
-//! The tree of settings as typed data, before inheritance.
+//! Typed representation of the settings tree before inheritance is resolved.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -11,54 +11,54 @@
 use crate::operator_key::OperatorKey;
 use crate::table::Key;
 
-/// The values that one node sets; it inherits the rest.
+/// The values that one node sets itself, as opposed to those that it inherits.
 pub type Overrides = BTreeMap<Key, Value>;
 
 /// The whole tree.
 #[derive(Clone, Debug, Default)]
 pub struct Model {
-    /// What the platform's owners set.
+    /// The settings under `platform`, which only the platform's owners can change.
     pub platform: Platform,
     /// The values that every account inherits.
     pub defaults: Overrides,
     /// The accounts directly under the root, shared between trees that differ elsewhere.
     pub accounts: BTreeMap<Arc<str>, Arc<Account>>,
-    /// The operators' keys by their identifiers.
+    /// The operator keys, by identifier.
     pub operators: BTreeMap<Arc<str>, OperatorKey>,
 }
 
-/// What the platform's owners set.
+/// The settings under `platform`, which only the platform's owners can change.
 #[derive(Clone, Debug, Default)]
 pub struct Platform {
     /// The regions.
     pub regions: BTreeMap<RegionName, RegionPlan>,
     /// The failure domains.
     pub domains: BTreeMap<DomainName, DomainPlan>,
-    /// The capped links.
+    /// The links between regions that have a cap.
     pub links: Vec<LinkPlan>,
     /// The places.
     pub places: BTreeMap<PlaceName, PlacePlan>,
-    /// The greatest values that branches may set.
+    /// Maximum values that branches may set.
     pub limits: BTreeMap<Key, u64>,
-    /// What branches of accounts may take.
+    /// The quotas, by the account at the top of the branch.
     pub quotas: BTreeMap<AccountName, Quota>,
 }
 
-/// What the platform's owners allow a branch of accounts.
+/// The capacity, places and networks granted to a branch of accounts.
 #[derive(Clone, Debug)]
 pub struct Quota {
-    /// The most that the branch may take in each place, in thousandths of the place's cap.
+    /// Maximum share of each place for the branch, in thousandths of the place's cap.
     pub share_permille: u16,
-    /// What the branch gets in each place whatever others ask for, in thousandths.
+    /// Guaranteed share of each place whatever the other demand, in thousandths of the place's cap.
     pub guaranteed_permille: u16,
     /// The places that the branch may use; empty for every place.
     pub places: Vec<PlaceName>,
-    /// Where the branch's backend servers may lie.
+    /// The IP prefixes allowed for the branch's backend servers.
     pub networks: Vec<Network>,
 }
 
 impl Quota {
-    /// Tells whether the branch may use the place.
+    /// Returns whether the branch may use the place.
     pub fn allows_place(&self, place: &PlaceName) -> bool {
         self.places.is_empty() || self.places.contains(place)
     }
@@ -67,15 +67,15 @@
 /// A client account.
 #[derive(Clone, Debug, Default)]
 pub struct Account {
-    /// The values that the account's services and accounts inherit.
+    /// The values inherited by the account's services and nested accounts.
     pub defaults: Overrides,
-    /// The accounts under this one.
+    /// The accounts nested directly in this one.
     pub accounts: BTreeMap<Arc<str>, Account>,
     /// The services of the account.
     pub services: BTreeMap<Arc<str>, Service>,
 }
 
-/// A service.
+/// A service of a client account, with its backend servers.
 #[derive(Clone, Debug, Default)]
 pub struct Service {
     /// The values that the service sets itself.
--- a/crates/settings/src/names.rs
+++ b/crates/settings/src/names.rs
@@ -1,14 +1,14 @@
-//! The rules for names in the tree.
+//! Validation of names and account paths.
 
-/// The rule for names in words, for error messages.
+/// Description of a valid name, for error messages.
 pub const NAME_RULE: &str =
     "a name of 1 to 63 lower-case letters, digits and hyphens that begins with a letter or digit";
 
 const MAX_NAME_BYTES: usize = 63;
-/// The most accounts that may lie one in another.
+/// Maximum nesting depth of accounts.
 pub const MAX_DEPTH: usize = 8;
 
-/// Tells whether the text is a name of one segment.
+/// Returns whether the text is a valid single-segment name.
 pub fn is_name(text: &str) -> bool {
     let allowed = |b: u8| b.is_ascii_lowercase() || b.is_ascii_digit() || b == b'-';
     !text.is_empty()
@@ -17,12 +17,12 @@
         && text.bytes().all(allowed)
 }
 
-/// Tells whether the text is the path of an account, or empty for the root.
+/// Returns whether the text is a valid account path, or empty for the root.
 pub fn is_branch(text: &str) -> bool {
     text.is_empty() || (text.split('/').all(is_name) && text.split('/').count() <= MAX_DEPTH)
 }
 
-/// Tells whether `branch` is `above` or lies under it.
+/// Returns whether `branch` is equal to `above` or nested in it.
 pub fn is_within(branch: &str, above: &str) -> bool {
     above.is_empty()
         || branch
--- a/crates/settings/src/network.rs
+++ b/crates/settings/src/network.rs
@@ -1,4 +1,4 @@
-//! IP prefixes that an account's backend servers may lie in.
+//! IP prefixes that restrict the addresses of an account's backend servers.
 
 use std::net::IpAddr;
 
@@ -11,8 +11,8 @@
 }
 
 impl Network {
-    /// Reads a prefix such as `10.1.0.0/16`; `None` where it is none or has bits set after
-    /// the prefix.
+    /// Parses a prefix such as `10.1.0.0/16`. Returns `None` if the text is malformed or has host
+    /// bits set.
     pub fn parse(text: &str) -> Option<Network> {
         let (ip, prefix_len) = text.split_once('/')?;
         let (base, width) = address_number(ip.parse().ok()?);
@@ -32,7 +32,7 @@
         (masked == base).then_some(network)
     }
 
-    /// Tells whether the address lies in the prefix.
+    /// Returns whether the prefix contains the address.
     pub fn contains(&self, ip: IpAddr) -> bool {
         let (address, width) = address_number(ip);
         width == self.width && self.prefix(address) == self.prefix(self.base)
--- a/crates/settings/src/operator_key.rs
+++ b/crates/settings/src/operator_key.rs
@@ -1,4 +1,4 @@
-//! Operators' keys: what each may do, and the salted hash by which its secret is known.
+//! Operator keys: the rights of each, and the salted hash that verifies its secret.
 
 use std::fmt;
 use std::sync::Arc;
@@ -12,18 +12,18 @@
 use crate::reader::{Fields, Reader, join};
 use crate::table::{HASH_BYTES, OPERATOR, SALT_BYTES};
 
-/// What an operator's key may do in its branch.
+/// A right that an operator key grants within its branch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Right {
-    /// See settings, status and explanations.
+    /// Read settings, status and explanations.
     Read,
     /// Change settings.
     Change,
     /// Start and end drains.
     Drain,
-    /// See the audit trail.
+    /// Read the audit trail.
     Audit,
-    /// Change what the platform's owners set; only for keys of the root.
+    /// Change the settings under `platform`; only for keys of the root.
     Platform,
 }
 
@@ -37,7 +37,7 @@
         Right::Platform,
     ];
 
-    /// Gives the word in the document.
+    /// Returns the name used in the document.
     pub fn as_str(self) -> &'static str {
         match self {
             Right::Read => "read",
@@ -48,7 +48,7 @@
         }
     }
 
-    /// Finds a right by its word.
+    /// Returns the right with the given name.
     pub fn find(word: &str) -> Option<Right> {
         Right::ALL.into_iter().find(|right| right.as_str() == word)
     }
@@ -60,14 +60,14 @@
     }
 }
 
-/// An operator's key as the tree holds it; the secret isn't in it.
+/// An operator key as stored in the tree, which contains no secret.
 #[derive(Clone, PartialEq, Eq)]
 pub struct OperatorKey {
-    /// Who holds the key.
+    /// The holder of the key.
     pub holder: Arc<str>,
-    /// The branch that the key is bound to, as an account path; empty for the root.
+    /// The account path of the branch that the key is limited to; empty for the root.
     pub branch: Arc<str>,
-    /// What the key may do there.
+    /// The rights of the key in that branch.
     pub rights: Vec<Right>,
     salt: [u8; SALT_BYTES],
     hash: [u8; HASH_BYTES],
@@ -84,7 +84,7 @@
 }
 
 impl OperatorKey {
-    /// Makes a key from the values of the document, which the reader has checked.
+    /// Creates a key from the values of its object, which the reader has validated.
     pub(crate) fn from_fields(fields: &Fields) -> Self {
         let rights = fields.list("rights").iter();
         Self {
@@ -96,12 +96,12 @@
         }
     }
 
-    /// Reads a key from its object, as it stands under `operators`; a daemon reads the key of
-    /// its first operator so, from its own configuration.
+    /// Parses a key object in the format used under `operators`. Daemons also use it for the
+    /// bootstrap key in their own configuration.
     ///
     /// # Errors
     ///
-    /// Gives [`SettingsError::Invalid`] with every fault found.
+    /// Returns [`SettingsError::Invalid`] with all validation errors.
     pub fn read(id: &str, object: &Map<String, Json>) -> Result<Self, SettingsError> {
         let mut reader = Reader::default();
         let fields = reader.fields(&join("operators", id), object, &OPERATOR);
@@ -110,11 +110,11 @@
         Ok(Self::from_fields(&fields))
     }
 
-    /// Tells whether the secret is the one that the hash was made of.
+    /// Returns whether the secret matches the stored hash.
     pub fn matches(&self, secret: &str) -> bool {
         let given = hash(&self.salt, secret);
-        // The time taken must not tell an attacker how many bytes were right, so every byte
-        // is compared whatever the ones before it were.
+        // Constant-time comparison: the time must not reveal to an attacker how many leading bytes
+        // match.
         let differing = given
             .iter()
             .zip(&self.hash)
@@ -122,20 +122,20 @@
         differing == 0
     }
 
-    /// Tells whether the key holds the right.
+    /// Returns whether the key holds the right.
     pub fn has(&self, right: Right) -> bool {
         self.rights.contains(&right)
     }
 
-    /// Tells whether the branch of the key contains the given one.
+    /// Returns whether the given branch is the key's branch or lies below it.
     pub fn covers(&self, branch: &str) -> bool {
         names::is_within(branch, &self.branch)
     }
 }
 
-/// A new key: its secret, shown once to its holder, and what goes into the tree.
+/// A newly generated key: the secret, shown once to the holder, and the values stored in the tree.
 pub struct NewKey {
-    /// The secret as it is sent in requests: the identifier, a dot and 64 digits.
+    /// The secret as sent in requests: the identifier, a dot and 64 hexadecimal digits.
     pub secret: String,
     /// The salt, in hexadecimal digits.
     pub salt: String,
@@ -143,16 +143,16 @@
     pub hash: String,
 }
 
-/// The random bytes of a secret. With so many, a fast hash is enough: guesses are hopeless
-/// however many are made a second.
+/// Number of random bytes in a secret. 256 bits can't be guessed by brute force, so a fast hash is
+/// sufficient.
 const SECRET_BYTES: usize = 32;
 
 impl NewKey {
-    /// Draws a new key with the given identifier.
+    /// Generates a key with the given identifier.
     ///
     /// # Errors
     ///
-    /// Gives the operating system's error where it has no randomness to give.
+    /// Returns the operating system's error if it can't provide random bytes.
     pub fn generate(id: &str) -> Result<NewKey, getrandom::Error> {
         let mut salt = [0; SALT_BYTES];
         let mut random = [0; SECRET_BYTES];
@@ -161,7 +161,7 @@
         Ok(NewKey::from_bytes(id, salt, random))
     }
 
-    /// Makes a key of the given bytes.
+    /// Creates a key from the given salt and random bytes.
     pub fn from_bytes(id: &str, salt: [u8; SALT_BYTES], random: [u8; SECRET_BYTES]) -> NewKey {
         let secret = format!("{id}.{}", to_hex(&random));
         NewKey {
@@ -172,7 +172,7 @@
     }
 }
 
-/// Gives the identifier in a secret, which is no secret itself.
+/// Returns the key identifier contained in a secret. The identifier itself is not secret.
 pub fn secret_id(secret: &str) -> Option<&str> {
     let (id, _) = secret.split_once('.')?;
     names::is_name(id).then_some(id)
@@ -185,7 +185,7 @@
     hasher.finalize().into()
 }
 
-/// Writes bytes as lower-case hexadecimal digits.
+/// Encodes bytes as lower-case hexadecimal digits.
 pub(crate) fn to_hex(bytes: &[u8]) -> String {
     let mut text = String::with_capacity(2 * bytes.len());
     for byte in bytes {
@@ -195,7 +195,7 @@
     text
 }
 
-/// Reads exactly `N` bytes of hexadecimal digits.
+/// Decodes exactly `N` bytes from hexadecimal digits.
 pub(crate) fn from_hex<const N: usize>(text: &str) -> Option<[u8; N]> {
     if text.len() != 2 * N || !text.is_ascii() {
         return None;
--- a/crates/settings/src/page.rs
+++ b/crates/settings/src/page.rs
@@ -1,4 +1,4 @@
-//! The page of every setting, written from the tables.
+//! The settings reference page, generated from the setting tables.
 
 use std::fmt::Write as _;
 
@@ -6,14 +6,14 @@
 use crate::table::{self, Key};
 use crate::tree::SCHEMA;
 
-/// The command that writes the page anew.
+/// The command that regenerates the page.
 pub const COMMAND: &str =
     "cargo run -q -p heatherknot-settings --example settings-page > docs/SETTINGS.md";
 
-/// Gives the page as Markdown.
+/// Returns the settings reference as Markdown.
 pub fn settings_page() -> String {
     let mut page = String::new();
-    // Writing to a text can't fail.
+    // Writing to a `String` can't fail.
     let _ = writeln!(
         page,
         "# Settings\n\nGenerated from the setting tables by `{COMMAND}`; a test compares the two. \
--- a/crates/settings/src/parse.rs
+++ b/crates/settings/src/parse.rs
@@ -1,4 +1,4 @@
-//! From a JSON document to the typed tree.
+//! Parsing of a JSON document into the typed model.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -27,14 +27,14 @@
 const ACCOUNTS: &str = "accounts";
 const UPSTREAMS: &str = "upstreams";
 
-/// Reads the root object without its accounts; the faults are in the reader.
+/// Parses the root object without its accounts. Errors are collected in the reader.
 pub fn model(reader: &mut Reader, rest: &Json) -> Model {
     let Some(root) = rest.as_object() else {
         reader.add_fault("", "", describe(rest), "an object");
         return Model::default();
     };
     reader.reject_unknown("", root, &ROOT_KEYS);
-    // Accounts stand here only where they are no object.
+    // `accounts` is still present here only if it is not an object, which is reported as an error.
     reader.object("", root, ACCOUNTS);
     Model {
         platform: platform(reader, root),
@@ -144,7 +144,7 @@
     numbers.collect()
 }
 
-/// Gives the inherited settings that are numbers.
+/// Returns the inherited settings with numeric values.
 pub fn numeric_keys() -> impl Iterator<Item = Key> {
     let is_number = |key: &Key| matches!(key.field().kind, crate::field::Kind::Integer { .. });
     Key::ALL.into_iter().filter(is_number)
@@ -178,7 +178,8 @@
     reader.overrides(&path, object)
 }
 
-/// Reads an account directly under the root; none where its name or form is at fault.
+/// Parses an account directly under the root. Returns `None` if its name is invalid or it is not an
+/// object.
 pub fn account(reader: &mut Reader, name: &str, json: &Json) -> Option<Account> {
     if !names::is_name(name) {
         reader.add_name_fault(ACCOUNTS, name);
--- a/crates/settings/src/path.rs
+++ b/crates/settings/src/path.rs
@@ -1,4 +1,4 @@
-//! Paths of nodes in the tree, and the part of the tree that each lies in.
+//! Paths of nodes in the tree, and the part of the tree that a path belongs to.
 
 use std::fmt;
 use std::sync::Arc;
@@ -10,41 +10,41 @@
 use crate::parse::{ACCOUNT_KEYS, ROOT_KEYS};
 
 const MAX_SEGMENTS: usize = 32;
-// A quota is named by a whole account path.
+// The key of a quota is a complete account path.
 const MAX_SEGMENT_BYTES: usize = 64 * names::MAX_DEPTH;
 
-/// The path of a node: the keys from the root down. The root's path is empty.
+/// The path of a node: the keys from the root to the node. The root's path is empty.
 ///
-/// A path is written with slashes, as in
-/// `accounts/utilities/accounts/port-louis/services/gallery/deadline_ms`, or with the account
-/// path, a colon and the rest, as in `utilities/port-louis:gallery/deadline_ms`.
+/// The long form separates all keys with slashes, as in
+/// `accounts/utilities/accounts/port-louis/services/gallery/deadline_ms`. The short form is the
+/// account path, a colon and the remainder, as in `utilities/port-louis:gallery/deadline_ms`.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TreePath {
     segments: Vec<Arc<str>>,
 }
 
-/// The part of the tree that a path lies in, which decides who may read and change it.
+/// The part of the tree that a path belongs to, which determines who may read and change it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Part {
-    /// The whole tree, or its schema version.
+    /// The root object or its schema version.
     Root,
-    /// The values that every account inherits.
+    /// The defaults that every account inherits.
     Defaults,
-    /// What the platform's owners set.
+    /// The settings under `platform`.
     Platform,
-    /// All operators' keys, or one of them.
+    /// All operator keys, or a single one.
     Operators(Option<Arc<str>>),
-    /// The branch of one account, as its account path.
+    /// The branch of an account, given by its account path.
     Account(Arc<str>),
 }
 
 impl TreePath {
-    /// Reads a path in either of its written forms.
+    /// Parses a path in its long or short form.
     ///
     /// # Errors
     ///
-    /// Gives [`SettingsError::Path`] with the segment at fault. `.` and `..` are no segments,
-    /// so that no path climbs out of the branch that it begins in.
+    /// Returns [`SettingsError::Path`] with the invalid segment. `.` and `..` are not valid
+    /// segments, so that a path can't leave the branch that it starts in.
     pub fn parse(text: &str) -> Result<TreePath, SettingsError> {
         let trimmed = text.strip_prefix('/').unwrap_or(text);
         if trimmed.is_empty() {
@@ -59,7 +59,7 @@
         Ok(TreePath { segments })
     }
 
-    /// Gives the path of an account's object.
+    /// Returns the path of an account's object.
     pub fn of_account(account: &str) -> TreePath {
         let mut segments = Vec::new();
         for name in account.split('/').filter(|name| !name.is_empty()) {
@@ -69,7 +69,7 @@
         TreePath { segments }
     }
 
-    /// Gives the path of a child.
+    /// Returns the path of the child with the given key.
     #[must_use]
     pub fn child(&self, key: &str) -> TreePath {
         let mut segments = self.segments.clone();
@@ -77,7 +77,7 @@
         TreePath { segments }
     }
 
-    /// Gives the path of the node above; none for the root.
+    /// Returns the path of the parent, or `None` for the root.
     pub fn parent(&self) -> Option<TreePath> {
         let (_, above) = self.segments.split_last()?;
         Some(TreePath {
@@ -85,7 +85,7 @@
         })
     }
 
-    /// Gives the way from the node at `above` down to this one; none where this isn't below.
+    /// Returns the path relative to `above`, or `None` if this path isn't within it.
     pub fn below(&self, above: &TreePath) -> Option<TreePath> {
         let rest = self.segments.strip_prefix(&above.segments[..])?;
         Some(TreePath {
@@ -93,22 +93,22 @@
         })
     }
 
-    /// Gives the keys from the root down.
+    /// Returns the keys from the root to the node.
     pub fn segments(&self) -> &[Arc<str>] {
         &self.segments
     }
 
-    /// Gives the last key.
+    /// Returns the last key, or an empty string for the root.
     pub fn key(&self) -> &str {
         self.segments.last().map_or("", |key| key)
     }
 
-    /// Tells whether this is the node at `above` or lies under it.
+    /// Returns whether this path is equal to `above` or below it.
     pub fn is_within(&self, above: &TreePath) -> bool {
         self.segments.starts_with(&above.segments)
     }
 
-    /// Gives the part of the tree that the path lies in.
+    /// Returns the part of the tree that the path belongs to.
     pub fn part(&self) -> Part {
         let Some(first) = self.segments.first() else {
             return Part::Root;
@@ -122,7 +122,7 @@
         }
     }
 
-    /// Gives the account path of the deepest account that the path goes through.
+    /// Returns the account path of the innermost account on the path.
     fn account(&self) -> String {
         let pairs = self.segments.chunks(2);
         let names = pairs.map_while(|pair| match pair {
--- a/crates/settings/src/reader.rs
+++ b/crates/settings/src/reader.rs
@@ -1,4 +1,5 @@
-//! Reading of JSON objects by the setting tables, with every fault collected.
+//! Parsing of JSON objects against the setting tables, which collects errors instead of stopping at
+//! the first.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -11,22 +12,22 @@
 use crate::names;
 use crate::table::Key;
 
-/// The most faults that one check reports.
+/// Maximum number of errors reported for one document.
 const MAX_FAULTS: usize = 64;
-/// The longest excerpt of a value in an error, in characters.
+/// Maximum length of a value's excerpt in an error message, in characters.
 const MAX_EXCERPT_CHARS: usize = 60;
 
-/// Collects faults while a document is read.
+/// Collects validation errors while a document is parsed.
 #[derive(Default)]
 pub struct Reader {
     faults: Vec<Fault>,
 }
 
-/// The values of one object, every default filled in.
+/// The values of one object, including defaults.
 pub struct Fields(BTreeMap<&'static str, Value>);
 
 impl Reader {
-    /// Records a fault.
+    /// Records an error, unless [`MAX_FAULTS`] have been recorded already.
     pub fn add_fault(&mut self, path: &str, key: &str, found: String, expected: impl Into<String>) {
         if self.faults.len() < MAX_FAULTS {
             self.faults.push(Fault {
@@ -38,12 +39,12 @@
         }
     }
 
-    /// Gives all faults recorded.
+    /// Returns the recorded errors.
     pub fn into_faults(self) -> Vec<Fault> {
         self.faults
     }
 
-    /// Reports every key of the object that is none of `known`.
+    /// Records an error for each key of the object that isn't in `known`.
     pub fn reject_unknown(&mut self, path: &str, object: &Map<String, Json>, known: &[&str]) {
         for key in object.keys().filter(|key| !known.contains(&key.as_str())) {
             let expected = format!("one of the known keys {}", known.join(", "));
@@ -51,7 +52,7 @@
         }
     }
 
-    /// Gives the object at a key; none where the key is left out or holds something else.
+    /// Returns the object at a key, or `None` if the key is missing or its value is not an object.
     pub fn object<'a>(
         &mut self,
         path: &str,
@@ -62,7 +63,7 @@
         self.as_object(path, key, json)
     }
 
-    /// Gives the named objects at a key, with the path of each.
+    /// Returns the valid entries of the object at a key: the name, path and object of each.
     pub fn named_objects<'a>(
         &mut self,
         path: &str,
@@ -85,12 +86,12 @@
         found
     }
 
-    /// Records that a key is no name.
+    /// Records that a key is not a valid name.
     pub fn add_name_fault(&mut self, path: &str, name: &str) {
         self.add_fault(path, name, format!("`{}`", excerpt(name)), names::NAME_RULE);
     }
 
-    /// Gives the value as an object, and records a fault where it is none.
+    /// Returns the value as an object, or records an error if it isn't one.
     pub fn as_object<'a>(
         &mut self,
         path: &str,
@@ -103,7 +104,7 @@
         json.as_object()
     }
 
-    /// Reads an object that holds exactly the settings of a table.
+    /// Parses an object whose keys must all be in the given table.
     pub fn fields(&mut self, path: &str, object: &Map<String, Json>, table: &[Field]) -> Fields {
         let known: Vec<&str> = table.iter().map(|field| field.key).collect();
         self.reject_unknown(path, object, &known);
@@ -142,8 +143,7 @@
         }
     }
 
-    /// Reads the inherited settings that an object sets itself; other keys of the object are
-    /// passed over.
+    /// Parses the inherited settings that an object sets. Other keys are ignored.
     pub fn overrides(&mut self, path: &str, object: &Map<String, Json>) -> Overrides {
         let mut overrides = Overrides::new();
         for key in Key::ALL {
@@ -158,10 +158,10 @@
     }
 }
 
-// A setting that was at fault is absent here. The reading functions then give an empty value,
-// which nobody sees: a document with a fault gives no tree.
+// An invalid setting is absent here, so its getter returns an empty value. That value is never
+// used, because a document with errors is rejected.
 impl Fields {
-    /// Gives a number as the type that the plan holds.
+    /// Returns a number as the type used in the plan.
     pub fn number<T: TryFrom<u64> + Default>(&self, key: &str) -> T {
         match self.0.get(key) {
             Some(Value::Number(number)) => T::try_from(*number).unwrap_or_default(),
@@ -169,12 +169,12 @@
         }
     }
 
-    /// Gives a flag.
+    /// Returns a flag.
     pub fn flag(&self, key: &str) -> bool {
         matches!(self.0.get(key), Some(Value::Flag(true)))
     }
 
-    /// Gives a text.
+    /// Returns a string.
     pub fn text(&self, key: &str) -> Arc<str> {
         match self.0.get(key) {
             Some(Value::Text(text)) => text.clone(),
@@ -182,7 +182,7 @@
         }
     }
 
-    /// Gives a list of texts.
+    /// Returns a list of strings.
     pub fn list(&self, key: &str) -> &[Arc<str>] {
         match self.0.get(key) {
             Some(Value::List(items)) => items,
@@ -200,7 +200,7 @@
     }
 }
 
-/// Describes a JSON value for an error, cut short where it is long.
+/// Describes a JSON value for an error message, truncating long values.
 pub fn describe(json: &Json) -> String {
     let kind = match json {
         Json::Null => return "null".to_string(),
--- a/crates/settings/src/replica.rs
+++ b/crates/settings/src/replica.rs
@@ -1,4 +1,5 @@
-//! The revision gate of one daemon: it only moves forward and keeps the last good settings.
+//! A daemon's copy of the settings, which only moves to newer revisions and keeps the last valid
+//! one.
 
 use std::rc::Rc;
 
@@ -14,11 +15,11 @@
 use crate::error::SettingsError;
 use crate::tree::Tree;
 
-/// A whole tree at one revision.
+/// A complete settings document at one revision.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(from = "SnapshotText", into = "SnapshotText")]
 pub struct Snapshot {
-    /// The revision and the hash of the change that made it.
+    /// The revision and the hash of the change that created it.
     pub at: ChainPoint,
     /// The hash of the document.
     pub digest: Digest,
@@ -26,7 +27,7 @@
     pub document: Box<RawValue>,
 }
 
-/// A snapshot as it is written. The document is passed on as text, since parsed it would take
+/// The serialized form of a snapshot. The document is kept as text because parsed JSON would take
 /// many times the memory.
 #[derive(Serialize, Deserialize)]
 struct SnapshotText {
@@ -65,7 +66,7 @@
 }
 
 impl Snapshot {
-    /// Makes the snapshot of a document, which nobody has checked.
+    /// Creates a snapshot of a document without validating it.
     pub fn new(at: ChainPoint, document: &Json) -> Snapshot {
         Snapshot::of_text(at, document.to_string())
     }
@@ -79,7 +80,7 @@
     }
 }
 
-/// A revision that this daemon was given and can't read.
+/// A revision that this daemon has received and can't read.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Unreadable {
     /// The revision.
@@ -88,42 +89,45 @@
     pub reason: String,
 }
 
-/// Why a holder refused what it was given. It keeps what it holds in each of the cases.
+/// The reason that a replica rejected changes or a snapshot. The replica stays at its current
+/// revision, or at the last valid revision before an unreadable change.
 #[derive(Debug, Snafu)]
 pub enum AcceptError {
-    /// Changes between the held revision and the first one given are missing: the giver must
-    /// send them, or a whole snapshot.
-    #[snafu(display("hold settings: holds {held}, was given {given} without those between"))]
+    /// Changes between the current revision and the first one received are missing. The sender must
+    /// send them or a snapshot.
+    #[snafu(display(
+        "accept settings: changes between the current {held} and the received {given} are missing"
+    ))]
     Gap {
-        /// The revision held.
+        /// The current revision.
         held: Revision,
-        /// The first newer revision given.
+        /// The first newer revision received.
         given: Revision,
     },
-    /// Another change of the same number as the one held.
-    #[snafu(display("hold settings: was given another {revision} than the one held"))]
+    /// A different change with the revision number of the current one.
+    #[snafu(display("accept settings: received a {revision} that differs from the current one"))]
     Fork {
         /// The revision.
         revision: Revision,
     },
-    /// The document given doesn't have the hash given with it.
-    #[snafu(display("hold settings: the snapshot of {revision} doesn't fit its hash"))]
+    /// The document doesn't match the hash that was sent with it.
+    #[snafu(display("accept settings: the document of {revision} doesn't match its hash"))]
     Damaged {
         /// The revision.
         revision: Revision,
     },
-    /// The changes don't fit together or don't fit the held tree.
-    #[snafu(display("hold settings: {source}"))]
+    /// The changes are inconsistent or can't be applied to the current tree.
+    #[snafu(display("accept settings: {source}"))]
     Broken {
-        /// What doesn't fit.
+        /// The inconsistency found.
         source: SettingsError,
     },
-    /// The revision is of a newer schema, or breaks a rule that this program knows.
-    #[snafu(display("hold settings: can't read {revision}, keeps {held}: {source}"))]
+    /// The revision has an unsupported schema version or fails validation.
+    #[snafu(display("accept settings: can't read {revision}, keeping {held}: {source}"))]
     CannotRead {
-        /// The revision held on to.
+        /// The revision that stays in force.
         held: Revision,
-        /// The revision given.
+        /// The revision received.
         revision: Revision,
         /// Why it can't be read.
         source: SettingsError,
@@ -132,9 +136,9 @@
 
 /// The settings in force in one daemon.
 ///
-/// A restarted peer, a domain that was cut off and a stale read of the store all bring older
-/// settings, in any order and at any time. The holder takes only a higher revision than the
-/// one that it holds, so that none of them can put older settings back in force.
+/// A restarted peer, a failure domain that was partitioned and a stale read of the store can all
+/// deliver older settings, in any order and at any time. The replica accepts only revisions newer
+/// than its own, so that none of them can put older settings back in force.
 #[derive(Clone, Debug)]
 pub struct SettingsReplica {
     at: ChainPoint,
@@ -149,7 +153,7 @@
 }
 
 impl SettingsReplica {
-    /// Makes a holder of the empty tree at no revision.
+    /// Creates a replica with an empty tree and no revision.
     pub fn new() -> SettingsReplica {
         SettingsReplica {
             at: ChainPoint::default(),
@@ -158,39 +162,39 @@
         }
     }
 
-    /// Gives the revision in force.
+    /// Returns the revision in force.
     pub fn revision(&self) -> Revision {
         self.at.revision
     }
 
-    /// Gives the revision in force and the hash of the change that made it.
+    /// Returns the revision in force and the hash of the change that created it.
     pub fn at(&self) -> ChainPoint {
         self.at
     }
 
-    /// Gives the tree in force.
+    /// Returns the tree in force.
     pub fn tree(&self) -> &Rc<Tree> {
         &self.tree
     }
 
-    /// Gives the newest revision that the holder was given and can't read, while it is newer
-    /// than the one in force.
+    /// Returns the newest received revision that can't be read, as long as it is newer than the
+    /// revision in force.
     pub fn unreadable(&self) -> Option<&Unreadable> {
         self.unreadable.as_ref()
     }
 
-    /// Gives the whole tree for a holder that is too far behind for changes.
+    /// Returns the complete settings, for a replica too far behind to be updated by changes.
     pub fn snapshot(&self) -> Snapshot {
         Snapshot::of_text(self.at, self.tree.text())
     }
 
-    /// Takes changes in order of revision; those that it holds already are passed over. Gives
-    /// whether the revision in force is a new one.
+    /// Applies changes, which must be ordered by revision, and skips those already applied. Returns
+    /// whether the revision in force has changed.
     ///
     /// # Errors
     ///
-    /// Gives the [`AcceptError`] for what it refused. Good revisions before an unreadable one
-    /// are in force afterwards.
+    /// Returns the [`AcceptError`] for the rejected changes. Valid revisions before an unreadable
+    /// one are in force afterwards.
     pub fn accept_changes(&mut self, changes: &[Change]) -> Result<bool, AcceptError> {
         let same = |change: &&Change| change.revision == self.at.revision;
         if let Some(change) = changes.iter().find(same) {
@@ -219,11 +223,11 @@
         Ok(true)
     }
 
-    /// Takes a whole tree where it is newer than the one in force. Gives whether it was.
+    /// Installs a snapshot if it is newer than the revision in force. Returns whether it was.
     ///
     /// # Errors
     ///
-    /// Gives [`AcceptError::Fork`], [`AcceptError::Damaged`] or [`AcceptError::CannotRead`].
+    /// Returns [`AcceptError::Fork`], [`AcceptError::Damaged`] or [`AcceptError::CannotRead`].
     pub fn accept_snapshot(&mut self, snapshot: Snapshot) -> Result<bool, AcceptError> {
         let revision = snapshot.at.revision;
         if revision <= self.at.revision {
@@ -241,8 +245,8 @@
         Ok(true)
     }
 
-    // Only a run with an unreadable end comes here, to bring the good revisions before that
-    // end in force.
+    // Used only if a change in the sequence is unreadable, to bring the valid revisions before it
+    // in force.
     fn accept_one_by_one(&mut self, changes: &[Change]) -> Result<bool, AcceptError> {
         for change in changes {
             let tree = change.apply(&self.tree);
--- a/crates/settings/src/shares.rs
+++ b/crates/settings/src/shares.rs
@@ -1,7 +1,7 @@
-//! Checks that the accounts' parts of the places hold together.
+//! Validation of the shares and guarantees of accounts.
 //!
-//! Each check looks only at what the platform's owners and the branch above have set, never at
-//! what a neighbouring account does, so that no account can make another's change fail.
+//! Each check depends only on the settings of the platform's owners and of the parent branch, never
+//! on those of a sibling account, so that no account can make another's change fail.
 
 use heatherknot_types::prelude::*;
 
@@ -10,10 +10,11 @@
 use crate::reader::{Reader, join};
 use crate::table::Key;
 
-/// The whole of a place's cap, in thousandths.
+/// The full cap of a place, in thousandths.
 const FULL_PERMILLE: u64 = 1000;
 
-/// Checks each account's part against the places that it uses, and the sums of the parts.
+/// Checks the share of each account against the places that it uses, and the sums of shares and
+/// guarantees.
 pub fn check(reader: &mut Reader, platform: &Platform, nodes: &[AccountNode<'_>]) {
     for node in nodes {
         check_delegated_share(reader, node);
--- a/crates/settings/src/table.rs
+++ b/crates/settings/src/table.rs
@@ -1,30 +1,29 @@
-//! Every setting: one entry each, from which checks, defaults, inheritance and the settings
-//! page come.
+//! The setting tables. Each entry defines the validation, default and documentation of one setting.
 
 use crate::field::{Fallback, Field, Kind, Text};
 
 /// A setting that accounts and services inherit and override.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Key {
-    /// What callers get where they name no class.
+    /// Class of requests that name none.
     Class,
     /// Time allowed for a request that names no deadline.
     Deadline,
     /// Largest request body.
     MaxBody,
-    /// Requests that may wait.
+    /// Maximum number of requests in a queue.
     QueueLen,
-    /// Retries for each thousand first tries.
+    /// Retries allowed per thousand first attempts.
     Retry,
-    /// How long a caller may keep a look-up answer.
+    /// How long a caller may cache a look-up answer.
     LookupTtl,
-    /// Latency against headroom.
+    /// Weight of latency relative to headroom.
     LatencyWeight,
-    /// Growth of traffic onto a place.
+    /// Maximum growth rate of traffic to a place.
     Growth,
-    /// Requests that run at most once.
+    /// Routes whose requests run at most once.
     AtMostOnce,
-    /// The account's part of each place.
+    /// The account's share of each place.
     AccountShare,
 }
 
@@ -43,18 +42,17 @@
         Key::AccountShare,
     ];
 
-    /// Gives the entry of the setting.
+    /// Returns the descriptor of the setting.
     pub fn field(self) -> &'static Field {
         &INHERITED[self as usize]
     }
 
-    /// Finds a setting by its key in the document.
+    /// Returns the setting with the given key in the document.
     pub fn find(key: &str) -> Option<Key> {
         Key::ALL.into_iter().find(|k| k.field().key == key)
     }
 
-    /// Tells whether a service may override the setting; the others hold for an account as a
-    /// whole.
+    /// Returns whether a service may override the setting. The others apply to a whole account.
     pub fn is_per_service(self) -> bool {
         self != Key::AccountShare
     }
@@ -245,12 +243,12 @@
     },
 ];
 
-/// The words for rights in `operators/<key id>`.
+/// The names of rights in `operators/<key id>`.
 pub const RIGHTS: [&str; 5] = ["read", "change", "drain", "audit", "platform"];
 
-/// The bytes of a salt.
+/// Length of a salt, in bytes.
 pub const SALT_BYTES: usize = 16;
-/// The bytes of a SHA-256 hash.
+/// Length of a SHA-256 hash, in bytes.
 pub const HASH_BYTES: usize = 32;
 
 /// The settings of `operators/<key id>`.
--- a/crates/settings/src/tree.rs
+++ b/crates/settings/src/tree.rs
@@ -1,4 +1,4 @@
-//! The settings tree: one checked document of one schema version.
+//! The settings tree: a validated document of one schema version.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -20,10 +20,10 @@
 use crate::path::TreePath;
 use crate::reader::{Reader, describe};
 
-/// The schema version that this program reads and writes.
+/// The supported schema version.
 pub const SCHEMA: u64 = 1;
 
-/// A tree that has passed every check. Accounts that two trees have in common take memory once.
+/// A validated settings tree. Trees derived by edits share the parsed accounts that are unchanged.
 #[derive(Clone)]
 pub struct Tree {
     document: Document,
@@ -43,7 +43,7 @@
 }
 
 impl Tree {
-    /// Gives the tree that holds nothing yet.
+    /// Returns the tree without settings.
     pub fn empty() -> Tree {
         Tree {
             document: Document::split(json!({ "schema": SCHEMA })),
@@ -51,30 +51,32 @@
         }
     }
 
-    /// Reads and checks a document.
+    /// Parses and validates a document.
     ///
     /// # Errors
     ///
-    /// Gives [`SettingsError::Json`], [`SettingsError::Schema`] or [`SettingsError::Invalid`]
-    /// with every fault found.
+    /// Returns [`SettingsError::Json`], [`SettingsError::Schema`] or [`SettingsError::Invalid`]
+    /// with all validation errors.
     pub fn parse(text: &str) -> Result<Tree, SettingsError> {
         check_document(Document::read(text)?, None)
     }
 
-    /// Checks a document.
+    /// Validates a document.
     ///
     /// # Errors
     ///
-    /// Gives [`SettingsError::Schema`] or [`SettingsError::Invalid`] with every fault found.
+    /// Returns [`SettingsError::Schema`] or [`SettingsError::Invalid`] with all validation
+    /// errors.
     pub fn from_document(document: Json) -> Result<Tree, SettingsError> {
         check_document(Document::split(document), None)
     }
 
-    /// Applies edits and checks the outcome. Accounts that no edit touches aren't read again.
+    /// Applies edits and validates the result. Accounts without edits aren't parsed again.
     ///
     /// # Errors
     ///
-    /// Gives [`SettingsError::Conflict`] where a node isn't as its edit expects it, and the
+    /// Returns [`SettingsError::Conflict`] if a node doesn't have the value that its edit
+    /// expects, and the
     /// errors of [`from_document`](Self::from_document).
     pub fn edited(&self, edits: &[Edit]) -> Result<Tree, SettingsError> {
         let mut document = self.document.clone();
@@ -82,37 +84,37 @@
         check_document(document, Some(self))
     }
 
-    /// Gives the edits that lead to another tree, in the order of their paths.
+    /// Returns the edits that turn this tree into `after`, ordered by path.
     pub fn diff(&self, after: &Tree) -> Vec<Edit> {
         self.document.diff(&after.document)
     }
 
-    /// Compiles the settings in force.
+    /// Compiles the plan that daemons read.
     pub fn compile(&self, revision: Revision) -> Plan {
         compile::plan(&self.model, revision)
     }
 
-    /// Gives the whole document, parsed. It takes many times the memory of the tree itself.
+    /// Returns the whole document as parsed JSON, which takes many times the memory of the tree.
     pub fn document(&self) -> Json {
         self.document.to_json()
     }
 
-    /// Gives the whole document as canonical text: no spaces, keys in the order of their bytes.
+    /// Returns the whole document as canonical text: no whitespace, keys in byte order.
     pub fn text(&self) -> String {
         self.document.text()
     }
 
-    /// Gives the node at a path.
+    /// Returns the node at a path.
     pub fn get(&self, path: &TreePath) -> Option<Json> {
         self.document.get(path)
     }
 
-    /// Gives the typed tree.
+    /// Returns the typed model.
     pub fn model(&self) -> &Model {
         &self.model
     }
 
-    /// Gives the hash of the document, by which two holders know that they hold the same.
+    /// Returns the hash of the document. Replicas with equal hashes have equal settings.
     pub fn digest(&self) -> Digest {
         Digest::of_bytes(self.text().as_bytes())
     }
@@ -158,8 +160,7 @@
     }
 }
 
-// A document of a newer schema may break any other rule of this one, so that only its number
-// is reported.
+// A document of a newer schema may violate any rule of this one, so only its version is reported.
 fn check_schema(reader: &mut Reader, root: &Json) -> Result<(), SettingsError> {
     match root.get("schema") {
         Some(json) => match json.as_u64() {
--- a/crates/settings/tests/access.rs
+++ b/crates/settings/tests/access.rs
@@ -1,4 +1,4 @@
-//! Operators' keys: who is known, and what each key may see and change.
+//! Operator keys: authentication, and authorization of reads and changes.
 
 mod support;
 
@@ -36,8 +36,9 @@
     operator.authorize_change(before, &after, &edits)
 }
 
+// A wrong secret and an unknown identifier must be denied alike.
 #[test]
-fn only_the_right_secret_is_known() {
+fn only_the_correct_secret_authenticates() {
     let (secret, json) = key_json("night", BRANCH, &["read"]);
     let tree = support::with_value(&support::tree(), "operators/night", json);
     let (altered, _) = secret.split_at(secret.len() - 1);
@@ -53,8 +54,9 @@
     assert_eq!(none, Err(Denied::UnknownKey));
 }
 
+// The secret must not leak through the document or a log line.
 #[test]
-fn neither_the_document_nor_a_debug_print_holds_the_secret() {
+fn secrets_appear_neither_in_the_document_nor_in_debug_output() {
     let (secret, json) = key_json("night", BRANCH, &["read"]);
     let random = secret.split_once('.').unwrap().1;
     let tree = support::with_value(&support::tree(), "operators/night", json);
@@ -64,8 +66,9 @@
     assert!(!text.contains(random));
 }
 
+// Keys must not share a secret or a salt, even with the same identifier.
 #[test]
-fn drawn_keys_differ() {
+fn generated_keys_differ() {
     let one = NewKey::generate("a").unwrap();
     let two = NewKey::generate("a").unwrap();
 
@@ -73,8 +76,9 @@
     assert_ne!(one.salt, two.salt);
 }
 
+// A branch key must not read other accounts, the platform, the defaults or the operators.
 #[test]
-fn a_branch_key_reads_its_branch_and_nothing_else() {
+fn a_branch_key_reads_only_its_branch() {
     let tree = support::tree();
     let operator = operator("tutor", BRANCH, &["read"]);
     let read = |path: &str| operator.authorize_read(&tree, &TreePath::parse(path).unwrap());
@@ -97,8 +101,9 @@
     }
 }
 
+// A branch key must not change other branches, or the share of its own.
 #[test]
-fn a_branch_key_changes_its_branch_and_nothing_else() {
+fn a_branch_key_changes_only_its_branch() {
     let tree = support::tree();
     let operator = operator("tutor", BRANCH, &["read", "change", "drain"]);
     let change = |path: &str, value| try_change(&operator, &tree, path, value);
@@ -128,8 +133,9 @@
     }
 }
 
+// A drain key must not change other settings, nor objects that are named like a drain setting.
 #[test]
-fn the_drain_right_covers_drains_alone() {
+fn the_drain_right_is_limited_to_drain_settings() {
     let tree = support::tree();
     let operator = operator("drains", "", &["drain"]);
     let change = |path: &str, value| try_change(&operator, &tree, path, value);
@@ -159,8 +165,9 @@
     ));
 }
 
+// Privilege escalation: a key must not create a key with more rights or another branch.
 #[test]
-fn a_key_gives_no_more_than_it_has() {
+fn a_key_cannot_grant_more_than_its_own_rights() {
     let tree = support::tree();
     let operator = operator("tutor", BRANCH, &["read", "change"]);
     let grant = |branch: &str, rights: &[&str]| {
@@ -183,8 +190,9 @@
     ));
 }
 
+// Replacing a key of the root by one of its own branch must be denied.
 #[test]
-fn a_key_takes_no_key_of_another_branch_away() {
+fn a_key_cannot_replace_a_key_of_another_branch() {
     let (_, json) = key_json("root", "", &["read"]);
     let tree = support::with_value(&support::tree(), "operators/root", json);
     let (_, own) = key_json("root", BRANCH, &["read"]);
@@ -195,10 +203,10 @@
     assert!(matches!(denied, Err(Denied::BeyondOwnRights { .. })));
 }
 
-// An account's operator turns every knob of the branch; another account's callers must see no
-// difference: not in its settings, not in its share, not in the caps.
+// Changes that a branch key is authorized to make must not affect the settings, the share or the
+// caps of another account.
 #[test]
-fn nothing_that_a_branch_key_may_change_reaches_another_branch() {
+fn authorized_branch_changes_do_not_affect_other_branches() {
     let operator = operator("tutor", BRANCH, &["read", "change", "drain", "audit"]);
     heatherknot_test_support::property::check()
         .with_type::<Vec<RandomEdit>>()
--- a/crates/settings/tests/audit.rs
+++ b/crates/settings/tests/audit.rs
@@ -1,4 +1,4 @@
-//! The audit trail: what a branch sees, and what is kept of old entries.
+//! The audit trail: the entries visible to a branch, and compaction of old entries.
 
 mod support;
 
@@ -7,8 +7,9 @@
 use serde_json::json;
 use support::{change_value, first_change};
 
+// An audit entry must not reveal the changes of other branches.
 #[test]
-fn a_branch_sees_the_part_of_a_change_that_lies_in_it() {
+fn a_branch_sees_only_its_part_of_a_change() {
     let tree = support::tree();
     let first = first_change();
     let (elsewhere, tree) = change_value(
@@ -44,8 +45,9 @@
     );
 }
 
+// Compaction must not break the hash chain or drop small values.
 #[test]
-fn an_old_entry_loses_long_values_alone_and_keeps_its_hash() {
+fn compaction_drops_only_large_values_and_keeps_the_hash() {
     let first = first_change();
     let long = "training:gallery/at_most_once";
     let routes: Vec<String> = (0..40)
--- a/crates/settings/tests/checks.rs
+++ b/crates/settings/tests/checks.rs
@@ -1,4 +1,4 @@
-//! What the check of a whole document refuses, and what it says.
+//! Validation of documents and paths, and the error messages.
 
 mod support;
 
@@ -6,10 +6,10 @@
 use serde_json::{Value as Json, json};
 
 struct Case {
-    /// The path that is set in a document that holds.
+    /// The path that is set in a valid document.
     path: &'static str,
     value: Json,
-    /// The text that the error must contain.
+    /// A substring of the expected error; `accepted` if there must be none.
     expected_error: &'static str,
 }
 
@@ -47,8 +47,9 @@
     }
 }
 
+// A value of the wrong type or out of range must not be accepted.
 #[test]
-fn single_values_are_checked_for_type_range_and_unit() {
+fn values_of_wrong_type_or_range_are_rejected() {
     assert_refused(vec![
         case(
             "defaults/deadline_ms",
@@ -72,8 +73,9 @@
     ]);
 }
 
+// Malformed routes, addresses, prefixes and flags must not reach the plan.
 #[test]
-fn texts_and_lists_are_checked_for_their_form() {
+fn malformed_strings_and_lists_are_rejected() {
     assert_refused(vec![
         case(
             "defaults/at_most_once",
@@ -118,8 +120,9 @@
     ]);
 }
 
+// A misspelled or missing key must not silently fall back to a default.
 #[test]
-fn unknown_and_missing_keys_are_named() {
+fn unknown_and_missing_keys_are_reported() {
     assert_refused(vec![
         case(
             "defaults/deadline",
@@ -147,8 +150,9 @@
     ]);
 }
 
+// A reference to a region, failure domain, place or account that does not exist is an error.
 #[test]
-fn references_must_name_what_is_there() {
+fn references_to_missing_objects_are_rejected() {
     assert_refused(vec![
         case(
             "platform/domains/north-1/region",
@@ -188,8 +192,9 @@
     ]);
 }
 
+// A value must not exceed the cap, limit, share or network that applies to it.
 #[test]
-fn caps_must_hold_together() {
+fn contradictory_caps_and_limits_are_rejected() {
     let second = json!({ "place": "north-1", "address": "10.2.0.1:8080", "slots": 1 });
     assert_refused(vec![
         case(
@@ -240,8 +245,9 @@
     ]);
 }
 
+// Nested accounts must not take more than their parent has, or all of it if it has services.
 #[test]
-fn a_branch_hands_on_no_more_than_its_share() {
+fn nested_accounts_cannot_exceed_the_share_of_their_parent() {
     let half = json!({ "defaults": { "account_share_permille": 250 } });
     let cases = vec![
         case(
@@ -259,8 +265,9 @@
     assert_refused(cases);
 }
 
+// The guarantees of all quotas must not exceed the cap of a place.
 #[test]
-fn guarantees_of_one_place_hold_together() {
+fn guarantees_of_a_place_cannot_exceed_its_cap() {
     let quotas = json!({
         "utilities.port-louis": { "guaranteed_permille": 600, "networks": ["10.1.0.0/16"] },
         "training": { "guaranteed_permille": 500, "networks": ["10.2.0.0/16"] },
@@ -272,8 +279,9 @@
     )]);
 }
 
+// Validation must not stop at the first error.
 #[test]
-fn every_fault_of_a_document_is_reported_at_once() {
+fn all_errors_of_a_document_are_reported_together() {
     let mut document = support::document();
     document["defaults"]["deadline_ms"] = json!(1);
     document["platform"]["places"]["north-1"]["domain"] = json!("nowhere");
@@ -287,8 +295,9 @@
     assert_eq!(keys, ["deadline_ms", "domain"]);
 }
 
+// A document of another schema version, or without one, must not be interpreted.
 #[test]
-fn documents_of_another_schema_or_none_are_refused_by_number() {
+fn unsupported_or_missing_schema_versions_are_rejected() {
     let newer = Tree::parse(r#"{ "schema": 2, "whatever": 1 }"#).unwrap_err();
     let none = Tree::parse("{}").unwrap_err();
     let text = Tree::parse("{ \"schema\": ").unwrap_err();
@@ -298,8 +307,9 @@
     assert!(text.to_string().contains("not JSON"));
 }
 
+// Arbitrary input must not cause a panic.
 #[test]
-fn random_texts_give_an_error_and_no_panic() {
+fn parsing_random_text_returns_an_error() {
     heatherknot_test_support::property::check()
         .with_type::<Vec<u8>>()
         .for_each(|bytes| {
@@ -309,8 +319,9 @@
         });
 }
 
+// A path must not leave the branch that it starts in.
 #[test]
-fn paths_that_climb_or_are_malformed_are_refused() {
+fn path_traversal_and_malformed_paths_are_rejected() {
     let bad = [
         "accounts/../platform",
         "accounts/utilities/./x",
@@ -329,8 +340,9 @@
     }
 }
 
+// The short form of a path must expand to the same node as the long form.
 #[test]
-fn both_written_forms_name_the_same_node() {
+fn long_and_short_paths_are_equivalent() {
     let long = "accounts/utilities/accounts/port-louis/services/gallery/queue_len";
 
     let short = TreePath::parse("utilities/port-louis:gallery/queue_len").unwrap();
@@ -344,8 +356,9 @@
     );
 }
 
+// No combination of segments may produce a path outside the account before the colon.
 #[test]
-fn every_path_that_is_read_stays_below_its_first_key() {
+fn parsed_paths_stay_within_their_account() {
     const PIECES: [&str; 12] = [
         "accounts",
         "platform",
--- a/crates/settings/tests/compile.rs
+++ b/crates/settings/tests/compile.rs
@@ -1,9 +1,10 @@
-//! The two layouts and the values that their services inherit.
+//! Compilation of the two example layouts, with the values that their services inherit.
 
 use heatherknot_settings::Tree;
 use heatherknot_test_support::layouts;
 use heatherknot_types::prelude::*;
 
+// Services must get the values of their account and the quota of their branch.
 #[test]
 fn port_louis_compiles_with_inherited_values() {
     let document = layouts::port_louis(layouts::unused_addresses());
@@ -29,6 +30,7 @@
     );
 }
 
+// Values set by a service must take precedence over inherited ones.
 #[test]
 fn enlace_compiles_with_inherited_values() {
     let document = layouts::enlace(layouts::unused_addresses());
@@ -45,8 +47,9 @@
     assert_eq!(plan.domains["limon-2"].region.as_str(), "limon");
 }
 
+// A daemon without settings must start with an empty plan.
 #[test]
-fn the_empty_tree_compiles_to_the_empty_plan() {
+fn empty_tree_compiles_to_empty_plan() {
     let plan = Tree::empty().compile(Revision::NONE);
 
     assert_eq!(plan, Default::default());
--- a/crates/settings/tests/effective.rs
+++ b/crates/settings/tests/effective.rs
@@ -1,4 +1,4 @@
-//! The effective view of nodes: each value with its origin.
+//! The effective settings of nodes, with the origin of each value.
 
 mod support;
 
@@ -14,8 +14,9 @@
     rows(path).into_iter().find(|row| row.key == key).unwrap()
 }
 
+// An inherited value must be reported with the node that sets it, not with the service.
 #[test]
-fn a_service_shows_each_value_with_the_node_that_sets_it() {
+fn effective_values_name_the_node_that_sets_them() {
     let service = "utilities/port-louis:gallery";
 
     let deadline = row(service, "deadline_ms");
@@ -40,8 +41,9 @@
     );
 }
 
+// A path to one setting, or to an object that inherits nothing, must return its values.
 #[test]
-fn one_setting_and_objects_that_inherit_nothing_are_shown_too() {
+fn single_settings_and_objects_without_inheritance_are_supported() {
     let one = rows("utilities/port-louis:gallery/queue_len");
     let place = row("platform/places/north-1", "in_flight");
     let upstream = row("training:gallery/upstreams/g-1", "connections");
@@ -57,8 +59,9 @@
     );
 }
 
+// A node that does not exist must be an error, not a list of defaults.
 #[test]
-fn a_node_that_is_not_there_has_no_values() {
+fn missing_nodes_are_reported() {
     for path in [
         "training:nothing",
         "platform/places/south-1",
--- a/crates/settings/tests/page.rs
+++ b/crates/settings/tests/page.rs
@@ -1,10 +1,11 @@
-//! The committed settings page and the tables behind it.
+//! The committed settings page and the tables from which it is generated.
 
 use heatherknot_settings::page::{COMMAND, settings_page};
 use heatherknot_settings::table::{INHERITED, Key};
 
+// The settings page must be regenerated when a table changes.
 #[test]
-fn the_committed_page_is_the_generated_one() {
+fn committed_page_is_up_to_date() {
     let path = concat!(env!("CARGO_MANIFEST_DIR"), "/../../docs/SETTINGS.md");
 
     let committed = std::fs::read_to_string(path).unwrap();
@@ -15,8 +16,9 @@
     );
 }
 
+// A missing default would silently be read as zero.
 #[test]
-fn every_inherited_setting_has_a_default_that_its_own_check_accepts() {
+fn every_inherited_setting_has_a_valid_default() {
     for (key, field) in Key::ALL.into_iter().zip(&INHERITED) {
         let default = field.default_value().unwrap();
 
--- a/crates/settings/tests/properties.rs
+++ b/crates/settings/tests/properties.rs
@@ -1,4 +1,4 @@
-//! Properties of edits, undo and the chain of changes, over random edits.
+//! Property tests of edits, reverts and the hash chain of changes, using random edits.
 
 mod support;
 
@@ -9,8 +9,9 @@
 
 const ROUNDS: usize = 300;
 
+// A diff must contain every difference, and its inverse must restore the document.
 #[test]
-fn a_diff_leads_from_one_document_to_the_other_and_back() {
+fn diff_and_its_inverse_round_trip() {
     heatherknot_test_support::property::check()
         .with_type::<Vec<RandomEdit>>()
         .with_iterations(ROUNDS)
@@ -35,8 +36,9 @@
         });
 }
 
+// Replaying or rewinding a chain of changes must not lose an edit.
 #[test]
-fn changes_lead_to_the_last_tree_and_rewind_to_the_first() {
+fn changes_replay_to_the_last_tree_and_rewind_to_the_first() {
     heatherknot_test_support::property::check()
         .with_type::<Vec<RandomEdit>>()
         .with_iterations(ROUNDS)
@@ -60,8 +62,9 @@
         });
 }
 
+// A revert must restore the tree exactly.
 #[test]
-fn undoing_the_last_change_gives_the_tree_before_it() {
+fn reverting_the_last_change_restores_the_previous_tree() {
     heatherknot_test_support::property::check()
         .with_type::<Vec<RandomEdit>>()
         .with_iterations(ROUNDS)
@@ -76,8 +79,9 @@
         });
 }
 
+// Tampering with any field of an entry must be detected.
 #[test]
-fn every_altered_entry_of_the_chain_is_found() {
+fn altered_entries_break_the_hash_chain() {
     heatherknot_test_support::property::check()
         .with_type::<(Vec<RandomEdit>, u8, u8)>()
         .with_iterations(ROUNDS)
@@ -105,16 +109,17 @@
         4 => change.tree = Tree::empty().digest(),
         5 => change.command = "forged".into(),
         _ => {
-            // An entry forged whole, with a hash that fits it, still names the wrong
-            // predecessor or leaves the next entry without its own.
+            // A forged entry with a valid hash of its own still has the wrong predecessor, or its
+            // successor refers to the hash that it replaced.
             change.previous = Tree::empty().digest();
             change.hash = change.computed_hash();
         }
     }
 }
 
+// Dropping the values of old entries must not look like tampering.
 #[test]
-fn an_entry_whose_values_were_dropped_keeps_its_hash() {
+fn dropping_values_keeps_the_hash_chain_valid() {
     heatherknot_test_support::property::check()
         .with_type::<Vec<RandomEdit>>()
         .with_iterations(ROUNDS)
@@ -129,8 +134,9 @@
         });
 }
 
+// Keeping accounts as text must not change diffs, text, hashes or plans.
 #[test]
-fn a_tree_in_parts_is_the_same_as_its_whole_document() {
+fn split_documents_behave_like_whole_documents() {
     heatherknot_test_support::property::check()
         .with_type::<Vec<RandomEdit>>()
         .with_iterations(ROUNDS)
--- a/crates/settings/tests/replica.rs
+++ b/crates/settings/tests/replica.rs
@@ -1,4 +1,4 @@
-//! The revision gate: what a holder takes, refuses and keeps.
+//! The settings replica: which changes and snapshots it accepts, rejects and keeps.
 
 mod support;
 
@@ -22,8 +22,9 @@
     replica
 }
 
+// Changes that were applied before must be skipped, and the others applied.
 #[test]
-fn changes_bring_their_revisions_in_force_in_order() {
+fn changes_are_applied_in_order() {
     let changes = three_changes();
     let mut replica = SettingsReplica::new();
 
@@ -35,9 +36,9 @@
     assert_eq!(replica.tree().document()["defaults"]["deadline_ms"], 6000);
 }
 
-// Operators shorten a deadline; minutes later some callers get the old one again. A domain
-// that was cut off came back, and its daemons sent what they held to their peers. The replica
-// must keep the newer settings whatever it is sent.
+// Guards against a rollback to old settings: when a partitioned failure domain reconnects, its
+// daemons send their old settings to their peers. A shortened deadline, for example, must not
+// revert to the old value.
 #[test]
 fn older_settings_never_replace_newer_ones() {
     let changes = three_changes();
@@ -52,8 +53,9 @@
     assert_eq!(replica.tree().document()["defaults"]["deadline_ms"], 6000);
 }
 
+// Deliveries in any order must never lower the revision, nor keep it from reaching the newest.
 #[test]
-fn any_order_of_deliveries_only_moves_forward_and_ends_at_the_newest() {
+fn revision_never_decreases_whatever_the_delivery_order() {
     heatherknot_test_support::property::check()
         .with_type::<(Vec<RandomEdit>, Vec<(u8, u8, bool)>)>()
         .with_iterations(200)
@@ -83,8 +85,9 @@
         });
 }
 
+// Changes must not be applied across a gap; a snapshot must be accepted afterwards.
 #[test]
-fn missing_changes_ask_for_a_snapshot() {
+fn missing_changes_are_reported_as_a_gap() {
     let changes = three_changes();
     let mut replica = replica_at(&changes[..1]);
 
@@ -104,11 +107,11 @@
     assert_eq!(replica.revision(), Revision(3));
 }
 
-// A daemon of the old release holds revision 3 when an operator with the new release's client
-// writes a tree of schema 2. The old daemon can't read it: it goes on with revision 3, says so
-// in its status, and reads on when an undo brings schema 1 back.
+// During an upgrade, an operator with a new client may write a tree of schema 2, which a daemon of
+// the old release can't read. The daemon must keep its revision, report the unreadable one, and
+// resume when the change is reverted to schema 1.
 #[test]
-fn a_newer_schema_keeps_the_last_good_revision_and_is_reported() {
+fn unsupported_schema_is_reported_and_keeps_the_last_valid_revision() {
     let changes = three_changes();
     let mut replica = replica_at(&changes);
     let good = replica.tree().document();
@@ -132,8 +135,9 @@
     Snapshot::new(at, document)
 }
 
+// An unreadable change must not discard the valid changes before it in the same delivery.
 #[test]
-fn good_revisions_before_an_unreadable_one_come_in_force() {
+fn valid_revisions_before_an_unreadable_one_are_applied() {
     let mut changes = three_changes();
     let edit = &mut changes[2].edits[0];
     edit.after = Some(json!("6 s"));
@@ -155,8 +159,9 @@
     assert_eq!(replica.revision(), Revision(2));
 }
 
+// Two different changes with one revision number must not go unnoticed.
 #[test]
-fn another_change_of_the_same_number_is_reported() {
+fn conflicting_change_of_the_same_revision_is_reported() {
     let changes = three_changes();
     let mut replica = replica_at(&changes);
     let tree = support::tree();
@@ -172,8 +177,9 @@
     ));
 }
 
+// Changes or snapshots whose content does not match their hash must not come in force.
 #[test]
-fn altered_changes_and_snapshots_are_refused() {
+fn altered_changes_and_snapshots_are_rejected() {
     let mut changes = three_changes();
     let good = replica_at(&changes);
     let mut altered = good.tree().document();
@@ -191,8 +197,9 @@
     assert_eq!(replica.revision(), Revision::NONE);
 }
 
+// Serializing a snapshot must not lose its position or its tree.
 #[test]
-fn a_snapshot_survives_its_written_form() {
+fn snapshot_round_trips_through_json() {
     let changes = three_changes();
     let good = replica_at(&changes);
 
@@ -204,8 +211,9 @@
     assert_eq!((replica.at(), replica.tree()), (good.at(), good.tree()));
 }
 
+// The compact form must not lose a field, nor grow: every daemon receives every change.
 #[test]
-fn a_change_survives_its_compact_form() {
+fn change_round_trips_through_compact_json() {
     let change = three_changes().remove(1);
 
     let text = serde_json::to_string(&change).unwrap();
--- a/crates/settings/tests/support/mod.rs
+++ b/crates/settings/tests/support/mod.rs
@@ -1,10 +1,10 @@
-//! Fixtures shared by the tests: a small tree, an author, random edits.
+//! Shared test fixtures: a small tree, an author and random edits.
 #![allow(dead_code, reason = "each test file uses its own part of the fixtures")]
 
 use heatherknot_settings::{Author, ChainPoint, Change, Tree, TreePath, edit};
 use serde_json::{Value as Json, json};
 
-/// Gives a tree of two accounts, one nested, with one service each.
+/// Returns a document with two accounts that have one service each, one of them nested.
 pub fn document() -> Json {
     json!({
         "schema": 1,
@@ -39,12 +39,12 @@
     })
 }
 
-/// Gives the checked tree of [`document`].
+/// Returns the validated tree of [`document`].
 pub fn tree() -> Tree {
     Tree::from_document(document()).unwrap()
 }
 
-/// Gives the author of a command.
+/// Returns an author with the given command identifier.
 pub fn author(command: &str) -> Author {
     Author {
         command: command.into(),
@@ -54,27 +54,27 @@
     }
 }
 
-/// Gives the tree with one value set.
+/// Returns the tree with one value set.
 pub fn with_value(tree: &Tree, path: &str, value: Json) -> Tree {
     let mut document = tree.document();
     edit::set(&mut document, &TreePath::parse(path).unwrap(), value).unwrap();
     Tree::from_document(document).unwrap()
 }
 
-/// Gives the change that sets one value, and the tree after it.
+/// Returns the change that sets one value, and the tree after it.
 pub fn change_value(at: ChainPoint, tree: &Tree, path: &str, value: Json) -> (Change, Tree) {
     let after = with_value(tree, path, value);
     let change = Change::between(at, tree, &after, author(path)).unwrap();
     (change, after)
 }
 
-/// Gives the first change, which fills the empty tree with [`document`].
+/// Returns the first change, which turns the empty tree into [`document`].
 pub fn first_change() -> Change {
     let empty = Tree::empty();
     Change::between(ChainPoint::default(), &empty, &tree(), author("fill")).unwrap()
 }
 
-/// One random edit: which path, and which value or none.
+/// One random edit: selectors for the path and for the kind of value, and the value.
 pub type RandomEdit = (u8, u8, u16);
 
 const PATHS: [&str; 12] = [
@@ -92,7 +92,7 @@
     "platform/places/north-1/in_flight",
 ];
 
-/// Applies a random edit to the document; whether the outcome holds is for the check to say.
+/// Applies a random edit to the document, without validating the result.
 pub fn apply_random_edit(document: &mut Json, random_edit: RandomEdit) {
     let path = TreePath::parse(PATHS[usize::from(random_edit.0) % PATHS.len()]).unwrap();
     let value = match random_edit.1 % 6 {
@@ -108,7 +108,7 @@
     };
 }
 
-/// Gives the trees that come of the random edits, one for each that the check accepts.
+/// Applies the random edits in order and returns the first tree and each valid, changed tree.
 pub fn accepted_trees(random_edits: &[RandomEdit]) -> Vec<Tree> {
     let mut trees = vec![tree()];
     for random_edit in random_edits {
@@ -124,7 +124,7 @@
     trees
 }
 
-/// Gives the changes between neighbouring trees, chained from the given point.
+/// Returns the changes between consecutive trees, starting at the given chain position.
 pub fn chain(from: ChainPoint, trees: &[Tree]) -> Vec<Change> {
     let mut at = from;
     let mut changes = Vec::new();
