--- a/crates/settings/src/audit.rs
+++ b/crates/settings/src/audit.rs
@@ -96,7 +96,7 @@
 }
 
 /// Restricts an edit to a branch. An edit of an ancestor of the branch is reduced to the node of
-/// the branch; an edit outside the branch gives `None`.
+/// the branch. Returns `None` if the edit leaves the branch unchanged.
 fn clip_to_branch(branch: &TreePath, path: &TreePath, edit: &Edit) -> Option<Edit> {
     if path.is_within(branch) {
         return Some(edit.clone());
--- a/crates/settings/src/change.rs
+++ b/crates/settings/src/change.rs
@@ -152,15 +152,15 @@
         };
         ensure!(
             self.hash == self.computed_hash(),
-            chain_error("its hash doesn't match its content")
+            chain_error("its hash doesn't fit its content")
         );
         ensure!(
             self.revision == after.revision.next(),
-            chain_error("it doesn't follow the preceding revision")
+            chain_error("it doesn't follow the revision before")
         );
         ensure!(
             self.previous == after.hash,
-            chain_error("it doesn't refer to the hash of the preceding change")
+            chain_error("it doesn't name the hash of the change before")
         );
         Ok(())
     }
--- a/crates/settings/src/model.rs
+++ b/crates/settings/src/model.rs
@@ -17,7 +17,7 @@
 /// The whole tree.
 #[derive(Clone, Debug, Default)]
 pub struct Model {
-    /// The settings under `platform`, which only the platform's owners can change.
+    /// The settings under `platform`, set by the platform's owners.
     pub platform: Platform,
     /// The values that every account inherits.
     pub defaults: Overrides,
@@ -27,7 +27,7 @@
     pub operators: BTreeMap<Arc<str>, OperatorKey>,
 }
 
-/// The settings under `platform`, which only the platform's owners can change.
+/// The settings under `platform`, set by the platform's owners.
 #[derive(Clone, Debug, Default)]
 pub struct Platform {
     /// The regions.
