--- a/crates/settings/src/document.rs
+++ b/crates/settings/src/document.rs
@@ -1,8 +1,8 @@
-//! The document of a tree in parts: one text for each account directly under the root, and the
-//! rest as parsed JSON.
+//! Storage of a settings document: the JSON text of each account directly under the root, and
+//! everything else as parsed JSON.
 //!
-//! A parsed JSON tree takes more than ten times the memory of its text, and a change touches one
-//! account of hundreds. So an account is parsed only while it is read or changed.
+//! A parsed JSON tree takes more than ten times the memory of its text, and a change usually
+//! touches one account out of hundreds, so an account is parsed only while it is read or changed.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -17,21 +17,21 @@
 
 const ACCOUNTS: &str = "accounts";
 
-/// The texts of the accounts directly under the root, by name.
+/// The JSON texts of the accounts directly under the root, by account name.
 pub type AccountTexts = BTreeMap<Arc<str>, Arc<str>>;
 
-/// A document in parts.
+/// A settings document whose accounts are kept as JSON text.
 #[derive(Clone, PartialEq)]
 pub struct Document {
     /// The root object without its accounts.
     pub rest: Json,
-    /// The canonical texts of the accounts; none where the root has no such key.
+    /// The canonical texts of the accounts; `None` if the root has no `accounts` key.
     pub accounts: Option<AccountTexts>,
 }
 
 impl Document {
-    /// Takes a document apart. Accounts that are no object stay in the rest, where the check
-    /// finds them.
+    /// Splits a parsed document. An `accounts` value that is not an object stays in `rest`, where
+    /// validation reports it.
     pub fn split(mut whole: Json) -> Document {
         let accounts = whole.as_object_mut().and_then(take_accounts);
         Document {
@@ -45,11 +45,11 @@
         }
     }
 
-    /// Reads a document part by part, so that it is never held parsed as a whole.
+    /// Parses a document one account at a time, so that the whole parsed tree is never in memory.
     ///
     /// # Errors
     ///
-    /// Gives [`SettingsError::Json`] where the text is no JSON.
+    /// Returns [`SettingsError::Json`] if the text is not valid JSON.
     pub fn read(text: &str) -> Result<Document, SettingsError> {
         let Ok(parts) = serde_json::from_str::<BTreeMap<String, &RawValue>>(text) else {
             let whole: Json = serde_json::from_str(text).context(JsonSnafu)?;
@@ -60,7 +60,7 @@
         for (key, part) in parts {
             let object = serde_json::from_str::<BTreeMap<String, &RawValue>>(part.get());
             match (key.as_str(), object) {
-                (ACCOUNTS, Ok(object)) => accounts = Some(canonical(object)?),
+                (ACCOUNTS, Ok(object)) => accounts = Some(canonical_texts(object)?),
                 _ => {
                     let part = serde_json::from_str(part.get()).context(JsonSnafu)?;
                     rest.insert(key, part);
@@ -73,7 +73,7 @@
         })
     }
 
-    /// Gives the canonical text of the whole.
+    /// Returns the canonical JSON text of the whole document.
     pub fn text(&self) -> String {
         let mut text = String::from("{");
         if let Some(accounts) = &self.accounts {
@@ -86,40 +86,40 @@
             }
             text.push('}');
         }
-        // `accounts` comes before every other key of the root in the order of bytes, and a
-        // checked root has `schema` at least.
+        // `accounts` sorts before every other root key, and a validated root has at least the
+        // `schema` key, so the separating comma is always needed.
         let rest = self.rest.to_string();
         text.push_str(if self.accounts.is_some() { "," } else { "" });
         text.push_str(rest.strip_prefix('{').unwrap_or(&rest));
         text
     }
 
-    /// Gives the whole, parsed.
-    pub fn whole(&self) -> Json {
+    /// Parses and returns the whole document.
+    pub fn to_json(&self) -> Json {
         let mut whole = self.rest.clone();
-        let accounts = self.accounts.as_ref().map(parsed);
+        let accounts = self.accounts.as_ref().map(parse_accounts);
         if let (Some(root), Some(accounts)) = (whole.as_object_mut(), accounts) {
             root.insert(ACCOUNTS.to_string(), Json::Object(accounts));
         }
         whole
     }
 
-    /// Gives the node at a path, and parses no more than the account that it lies in.
+    /// Returns the node at a path. Parses only the account that contains it.
     pub fn get(&self, path: &TreePath) -> Option<Json> {
         let segments = path.segments();
         match segments.first().map(|first| &**first) {
-            None => Some(self.whole()),
+            None => Some(self.to_json()),
             Some(ACCOUNTS) => match segments.get(1) {
-                None => Some(Json::Object(parsed(self.accounts.as_ref()?))),
-                Some(name) => edit::get(&self.account(name), path).cloned(),
+                None => Some(Json::Object(parse_accounts(self.accounts.as_ref()?))),
+                Some(name) => edit::get(&self.isolated_account(name), path).cloned(),
             },
             Some(_) => edit::get(&self.rest, path).cloned(),
         }
     }
 
-    /// Gives a document that holds one account alone; its `accounts` are empty where there is
-    /// no such account.
-    fn account(&self, name: &str) -> Json {
+    /// Returns a document that contains only the given account. Its `accounts` object is empty if
+    /// the account does not exist.
+    fn isolated_account(&self, name: &str) -> Json {
         let text = self
             .accounts
             .as_ref()
@@ -137,7 +137,8 @@
     ///
     /// # Errors
     ///
-    /// Gives what [`edit::apply`] gives; the document is then unfinished and of no use.
+    /// Returns the errors of [`edit::apply`]. The document may then be partially edited and must be
+    /// discarded.
     pub fn apply(&mut self, edits: &[Edit]) -> Result<(), SettingsError> {
         for edit in edits {
             let path = edit.tree_path()?;
@@ -146,7 +147,7 @@
             match (first, segments.get(1)) {
                 (Some(ACCOUNTS), Some(name)) => self.apply_to_account(name, edit)?,
                 (Some(ACCOUNTS), None) | (None, _) => {
-                    let mut whole = self.whole();
+                    let mut whole = self.to_json();
                     edit::apply(&mut whole, edit)?;
                     *self = Document::split(whole);
                 }
@@ -157,9 +158,9 @@
     }
 
     fn apply_to_account(&mut self, name: &Arc<str>, edit: &Edit) -> Result<(), SettingsError> {
-        let mut alone = self.account(name);
-        edit::apply(&mut alone, edit)?;
-        let account = alone[ACCOUNTS].get(&**name);
+        let mut isolated = self.isolated_account(name);
+        edit::apply(&mut isolated, edit)?;
+        let account = isolated[ACCOUNTS].get(&**name);
         let accounts = self.accounts.get_or_insert_default();
         match account {
             Some(account) => accounts.insert(name.clone(), account.to_string().into()),
@@ -168,16 +169,18 @@
         Ok(())
     }
 
-    /// Gives the edits that lead to another document, in the order of their paths.
+    /// Returns the edits that turn this document into `after`, ordered by path.
     pub fn diff(&self, after: &Document) -> Vec<Edit> {
         let path = TreePath::default().child(ACCOUNTS);
         let mut edits = match (&self.accounts, &after.accounts) {
             (Some(old), Some(new)) => self.diff_accounts(after, old, new),
             (old, new) => {
                 let parse = |texts: &Option<AccountTexts>| {
-                    texts.as_ref().map(|texts| Json::Object(parsed(texts)))
+                    texts
+                        .as_ref()
+                        .map(|texts| Json::Object(parse_accounts(texts)))
                 };
-                edit::between(&path, parse(old).as_ref(), parse(new).as_ref())
+                edit::diff_nodes(&path, parse(old).as_ref(), parse(new).as_ref())
             }
         };
         edits.extend(edit::diff(&self.rest, &after.rest));
@@ -193,7 +196,9 @@
         changed.sort();
         let edits = changed.into_iter();
         edits
-            .flat_map(|name| edit::diff(&self.account(name), &after.account(name)))
+            .flat_map(|name| {
+                edit::diff(&self.isolated_account(name), &after.isolated_account(name))
+            })
             .collect()
     }
 }
@@ -206,7 +211,7 @@
     }
 }
 
-fn canonical(object: BTreeMap<String, &RawValue>) -> Result<AccountTexts, SettingsError> {
+fn canonical_texts(object: BTreeMap<String, &RawValue>) -> Result<AccountTexts, SettingsError> {
     let mut texts = AccountTexts::new();
     for (name, account) in object {
         let account: Json = serde_json::from_str(account.get()).context(JsonSnafu)?;
@@ -215,14 +220,14 @@
     Ok(texts)
 }
 
-fn parsed(texts: &AccountTexts) -> Map<String, Json> {
+fn parse_accounts(texts: &AccountTexts) -> Map<String, Json> {
     let accounts = texts.iter();
     accounts
         .map(|(name, text)| (name.to_string(), parse(text)))
         .collect()
 }
 
-/// Parses a text that this module wrote.
+/// Parses JSON text that this module has serialized.
 pub fn parse(text: &str) -> Json {
     serde_json::from_str(text).unwrap_or(Json::Null)
 }
--- a/crates/settings/src/effective.rs
+++ b/crates/settings/src/effective.rs
@@ -1,4 +1,4 @@
-//! The settings in force at one node, with the origin of each value.
+//! The effective settings of a node, with the origin of each value.
 
 use serde::{Deserialize, Serialize};
 use serde_json::{Map, Value as Json, json};
@@ -6,34 +6,34 @@
 
 use crate::error::{MissingSnafu, SettingsError};
 use crate::field::{Field, Value};
-use crate::inherit::{AccountNode, BUILT_IN, Lineage, account_nodes};
+use crate::inherit::{AccountNode, BUILT_IN_ORIGIN, InheritanceChain, account_nodes};
 use crate::path::TreePath;
 use crate::table::{self, Key};
 use crate::tree::Tree;
 
-/// One setting in force at a node.
+/// One effective setting of a node.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EffectiveValue {
     /// The key.
     pub key: String,
-    /// The value in force.
+    /// The effective value.
     pub value: Json,
     /// The unit.
     pub unit: String,
     /// The path of the object that sets the value, or `built-in default`.
     pub origin: String,
-    /// The greatest value that the platform's owners allow here.
+    /// The maximum value set in `platform/limits`, if any.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub limit: Option<u64>,
 }
 
 impl Tree {
-    /// Gives every setting in force at a node, or the one setting that the path names.
+    /// Returns the effective settings of a node, or a single setting if the path names one.
     ///
     /// # Errors
     ///
-    /// Gives [`SettingsError::Missing`] where the path names neither a node that has settings
-    /// nor one setting of such a node.
+    /// Returns [`SettingsError::Missing`] if the path names neither a node with settings
+    /// nor a setting of such a node.
     pub fn effective(&self, path: &TreePath) -> Result<Vec<EffectiveValue>, SettingsError> {
         if let Some(values) = self.node_values(path) {
             return Ok(values);
@@ -54,7 +54,7 @@
         }
         let segments: Vec<&str> = path.segments().iter().map(|key| &**key).collect();
         if matches!(segments[..], [] | ["defaults"]) {
-            return Some(self.inherited(&Lineage::root(self.model())));
+            return Some(self.inherited(&InheritanceChain::root(self.model())));
         }
         let nodes = account_nodes(self.model());
         nodes
@@ -71,7 +71,7 @@
         let rest = path.segments().strip_prefix(account.segments())?;
         let rest: Vec<&str> = rest.iter().map(|key| &**key).collect();
         match rest[..] {
-            [] | ["defaults"] => Some(self.inherited(&node.lineage)),
+            [] | ["defaults"] => Some(self.inherited(&node.chain)),
             ["services", name] => {
                 let service = node.account.services.get(name)?;
                 Some(self.inherited(&node.service(name, service).0))
@@ -80,10 +80,10 @@
         }
     }
 
-    fn inherited(&self, lineage: &Lineage<'_>) -> Vec<EffectiveValue> {
+    fn inherited(&self, chain: &InheritanceChain<'_>) -> Vec<EffectiveValue> {
         let keys = Key::ALL.into_iter();
         let values = keys.map(|key| {
-            let (value, origin) = lineage.resolve(key);
+            let (value, origin) = chain.resolve(key);
             EffectiveValue {
                 key: key.field().key.to_string(),
                 value: to_json(&value),
@@ -96,7 +96,8 @@
     }
 }
 
-/// Gives the settings of the object at a path, where it is one that inherits nothing.
+/// Returns the settings table of the object at a path, or `None` if the object inherits settings or
+/// has none.
 pub fn table_at(path: &TreePath) -> Option<&'static [Field]> {
     let segments: Vec<&str> = path.segments().iter().map(|key| &**key).collect();
     match segments[..] {
@@ -122,7 +123,7 @@
             Some(value) => (Some(value.clone()), path.to_string()),
             None => (
                 field.default_value().map(|value| to_json(&value)),
-                BUILT_IN.to_string(),
+                BUILT_IN_ORIGIN.to_string(),
             ),
         };
         values.extend(value.map(|value| EffectiveValue {
@@ -136,7 +137,7 @@
     values
 }
 
-/// Writes a value as it stands in a document.
+/// Converts a value to its JSON form in the document.
 pub fn to_json(value: &Value) -> Json {
     match value {
         Value::Number(number) => json!(number),
--- a/crates/settings/src/tree.rs
+++ b/crates/settings/src/tree.rs
@@ -1,4 +1,4 @@
-//! The settings tree: one checked document of one schema version.
+//! The settings tree: a validated document of one schema version.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -20,10 +20,10 @@
 use crate::path::TreePath;
 use crate::reader::{Reader, describe};
 
-/// The schema version that this program reads and writes.
+/// The supported schema version.
 pub const SCHEMA: u64 = 1;
 
-/// A tree that has passed every check. Accounts that two trees have in common take memory once.
+/// A validated settings tree. Trees derived by edits share the parsed accounts that are unchanged.
 #[derive(Clone)]
 pub struct Tree {
     document: Document,
@@ -43,7 +43,7 @@
 }
 
 impl Tree {
-    /// Gives the tree that holds nothing yet.
+    /// Returns the tree without settings.
     pub fn empty() -> Tree {
         Tree {
             document: Document::split(json!({ "schema": SCHEMA })),
@@ -51,95 +51,97 @@
         }
     }
 
-    /// Reads and checks a document.
+    /// Parses and validates a document.
     ///
     /// # Errors
     ///
-    /// Gives [`SettingsError::Json`], [`SettingsError::Schema`] or [`SettingsError::Invalid`]
-    /// with every fault found.
+    /// Returns [`SettingsError::Json`], [`SettingsError::Schema`] or [`SettingsError::Invalid`]
+    /// with all validation errors.
     pub fn parse(text: &str) -> Result<Tree, SettingsError> {
-        checked(Document::read(text)?, None)
+        check_document(Document::read(text)?, None)
     }
 
-    /// Checks a document.
+    /// Validates a document.
     ///
     /// # Errors
     ///
-    /// Gives [`SettingsError::Schema`] or [`SettingsError::Invalid`] with every fault found.
+    /// Returns [`SettingsError::Schema`] or [`SettingsError::Invalid`] with all validation
+    /// errors.
     pub fn from_document(document: Json) -> Result<Tree, SettingsError> {
-        checked(Document::split(document), None)
+        check_document(Document::split(document), None)
     }
 
-    /// Applies edits and checks the outcome. Accounts that no edit touches aren't read again.
+    /// Applies edits and validates the result. Accounts without edits aren't parsed again.
     ///
     /// # Errors
     ///
-    /// Gives [`SettingsError::Conflict`] where a node isn't as its edit expects it, and the
+    /// Returns [`SettingsError::Conflict`] if a node doesn't have the value that its edit
+    /// expects, and the
     /// errors of [`from_document`](Self::from_document).
     pub fn edited(&self, edits: &[Edit]) -> Result<Tree, SettingsError> {
         let mut document = self.document.clone();
         document.apply(edits)?;
-        checked(document, Some(self))
+        check_document(document, Some(self))
     }
 
-    /// Gives the edits that lead to another tree, in the order of their paths.
+    /// Returns the edits that turn this tree into `after`, ordered by path.
     pub fn diff(&self, after: &Tree) -> Vec<Edit> {
         self.document.diff(&after.document)
     }
 
-    /// Compiles the settings in force.
+    /// Compiles the plan that daemons read.
     pub fn compile(&self, revision: Revision) -> Plan {
         compile::plan(&self.model, revision)
     }
 
-    /// Gives the whole document, parsed. It takes many times the memory of the tree itself.
+    /// Returns the whole document as parsed JSON, which takes many times the memory of the tree.
     pub fn document(&self) -> Json {
-        self.document.whole()
+        self.document.to_json()
     }
 
-    /// Gives the whole document as canonical text: no spaces, keys in the order of their bytes.
+    /// Returns the whole document as canonical text: no whitespace, keys in byte order.
     pub fn text(&self) -> String {
         self.document.text()
     }
 
-    /// Gives the node at a path.
+    /// Returns the node at a path.
     pub fn get(&self, path: &TreePath) -> Option<Json> {
         self.document.get(path)
     }
 
-    /// Gives the typed tree.
+    /// Returns the typed model.
     pub fn model(&self) -> &Model {
         &self.model
     }
 
-    /// Gives the hash of the document, by which two holders know that they hold the same.
+    /// Returns the hash of the document. Replicas with equal hashes have equal settings.
     pub fn digest(&self) -> Digest {
         Digest::of_bytes(self.text().as_bytes())
     }
 }
 
-fn checked(document: Document, known: Option<&Tree>) -> Result<Tree, SettingsError> {
+fn check_document(document: Document, previous: Option<&Tree>) -> Result<Tree, SettingsError> {
     let mut reader = Reader::default();
     check_schema(&mut reader, &document.rest)?;
     let mut model = parse::model(&mut reader, &document.rest);
     if let Some(texts) = &document.accounts {
-        model.accounts = accounts(&mut reader, texts, known);
+        model.accounts = parse_accounts(&mut reader, texts, previous);
     }
-    check::whole(&mut reader, &model);
+    check::check_model(&mut reader, &model);
     let faults = Faults(reader.into_faults());
     ensure!(faults.0.is_empty(), InvalidSnafu { faults });
     Ok(Tree { document, model })
 }
 
-fn accounts(
+fn parse_accounts(
     reader: &mut Reader,
     texts: &AccountTexts,
-    known: Option<&Tree>,
+    previous: Option<&Tree>,
 ) -> BTreeMap<Arc<str>, Arc<Account>> {
     let mut accounts = BTreeMap::new();
     for (name, text) in texts {
-        let same = known.and_then(|known| known.same_account(name, text));
-        let account = same.or_else(|| {
+        let reused = previous.and_then(|previous| previous.reusable_account(name, text));
+        let account = reused.or_else(|| {
             let account = parse::account(reader, name, &document::parse(text));
             account.map(Arc::new)
         });
@@ -151,24 +153,23 @@
 }
 
 impl Tree {
-    fn same_account(&self, name: &str, text: &str) -> Option<Arc<Account>> {
-        let known = self.document.accounts.as_ref()?.get(name)?;
+    fn reusable_account(&self, name: &str, text: &str) -> Option<Arc<Account>> {
+        let previous = self.document.accounts.as_ref()?.get(name)?;
         let account = self.model.accounts.get(name)?;
-        (**known == *text).then(|| account.clone())
+        (**previous == *text).then(|| account.clone())
     }
 }
 
-// A document of a newer schema may break any other rule of this one, so that only its number
-// is reported.
+// A document of a newer schema may violate any rule of this one, so only its version is reported.
 fn check_schema(reader: &mut Reader, root: &Json) -> Result<(), SettingsError> {
     match root.get("schema") {
         Some(json) => match json.as_u64() {
             Some(SCHEMA) => {}
             Some(found) => return SchemaSnafu { found }.fail(),
-            None => reader.fault("", "schema", describe(json), "the number 1"),
+            None => reader.add_fault("", "schema", describe(json), "the number 1"),
         },
         None if root.is_object() => {
-            reader.fault("", "schema", "nothing".to_string(), "the number 1");
+            reader.add_fault("", "schema", "nothing".to_string(), "the number 1");
         }
         None => {}
     }
--- a/crates/settings/tests/audit.rs
+++ b/crates/settings/tests/audit.rs
@@ -1,23 +1,24 @@
-//! The audit trail: what a branch sees, and what is kept of old entries.
+//! The audit trail: the entries visible to a branch, and compaction of old entries.
 
 mod support;
 
 use heatherknot_settings::audit::{compacted, entry_for};
 use heatherknot_settings::change::verify_chain;
 use serde_json::json;
-use support::{first_change, set};
+use support::{change_value, first_change};
 
+// An audit entry must not reveal the changes of other branches.
 #[test]
-fn a_branch_sees_the_part_of_a_change_that_lies_in_it() {
+fn a_branch_sees_only_its_part_of_a_change() {
     let tree = support::tree();
     let first = first_change();
-    let (elsewhere, tree) = set(
+    let (elsewhere, tree) = change_value(
         first.point(),
         &tree,
         "utilities/port-louis:gallery/queue_len",
         json!(9),
     );
-    let (inside, tree) = set(
+    let (inside, tree) = change_value(
         elsewhere.point(),
         &tree,
         "training:gallery/queue_len",
@@ -44,14 +45,15 @@
     );
 }
 
+// Compaction must not break the hash chain or drop small values.
 #[test]
-fn an_old_entry_loses_long_values_alone_and_keeps_its_hash() {
+fn compaction_drops_only_large_values_and_keeps_the_hash() {
     let first = first_change();
     let long = "training:gallery/at_most_once";
     let routes: Vec<String> = (0..40)
         .map(|n| format!("POST /{n}{}", "x".repeat(200)))
         .collect();
-    let (second, _) = set(first.point(), &support::tree(), long, json!(routes));
+    let (second, _) = change_value(first.point(), &support::tree(), long, json!(routes));
 
     let (short, compacted) = (compacted(&first), compacted(&second));
 
--- a/crates/settings/tests/properties.rs
+++ b/crates/settings/tests/properties.rs
@@ -1,24 +1,25 @@
-//! Properties of edits, undo and the chain of changes, over random edits.
+//! Property tests of edits, reverts and the hash chain of changes, using random edits.
 
 mod support;
 
 use heatherknot_settings::change::{rewind, verify_chain};
 use heatherknot_settings::{ChainPoint, Change, Digest, Tree, edit};
 use heatherknot_types::prelude::*;
-use support::{Draw, accepted_trees, chain};
+use support::{RandomEdit, accepted_trees, chain};
 
 const ROUNDS: usize = 300;
 
+// A diff must contain every difference, and its inverse must restore the document.
 #[test]
-fn a_diff_leads_from_one_document_to_the_other_and_back() {
+fn diff_and_its_inverse_round_trip() {
     heatherknot_test_support::property::check()
-        .with_type::<Vec<Draw>>()
+        .with_type::<Vec<RandomEdit>>()
         .with_iterations(ROUNDS)
-        .for_each(|draws| {
+        .for_each(|random_edits| {
             let before = support::document();
             let mut after = before.clone();
-            for draw in draws {
-                support::apply_draw(&mut after, *draw);
+            for random_edit in random_edits {
+                support::apply_random_edit(&mut after, *random_edit);
             }
 
             let edits = edit::diff(&before, &after);
@@ -35,13 +36,14 @@
         });
 }
 
+// Replaying or rewinding a chain of changes must not lose an edit.
 #[test]
-fn changes_lead_to_the_last_tree_and_rewind_to_the_first() {
+fn changes_replay_to_the_last_tree_and_rewind_to_the_first() {
     heatherknot_test_support::property::check()
-        .with_type::<Vec<Draw>>()
+        .with_type::<Vec<RandomEdit>>()
         .with_iterations(ROUNDS)
-        .for_each(|draws| {
-            let trees = accepted_trees(draws);
+        .for_each(|random_edits| {
+            let trees = accepted_trees(random_edits);
             let (first, last) = (&trees[0], &trees[trees.len() - 1]);
 
             let changes = chain(ChainPoint::default(), &trees);
@@ -60,13 +62,14 @@
         });
 }
 
+// A revert must restore the tree exactly.
 #[test]
-fn undoing_the_last_change_gives_the_tree_before_it() {
+fn reverting_the_last_change_restores_the_previous_tree() {
     heatherknot_test_support::property::check()
-        .with_type::<Vec<Draw>>()
+        .with_type::<Vec<RandomEdit>>()
         .with_iterations(ROUNDS)
-        .for_each(|draws| {
-            let trees = accepted_trees(draws);
+        .for_each(|random_edits| {
+            let trees = accepted_trees(random_edits);
             let changes = chain(ChainPoint::default(), &trees);
             let Some(last) = changes.last() else { return };
 
@@ -76,13 +79,14 @@
         });
 }
 
+// Tampering with any field of an entry must be detected.
 #[test]
-fn every_altered_entry_of_the_chain_is_found() {
+fn altered_entries_break_the_hash_chain() {
     heatherknot_test_support::property::check()
-        .with_type::<(Vec<Draw>, u8, u8)>()
+        .with_type::<(Vec<RandomEdit>, u8, u8)>()
         .with_iterations(ROUNDS)
-        .for_each(|(draws, which, how)| {
-            let trees = accepted_trees(draws);
+        .for_each(|(random_edits, which, how)| {
+            let trees = accepted_trees(random_edits);
             let mut changes = chain(ChainPoint::default(), &trees);
             if changes.is_empty() {
                 return;
@@ -105,21 +109,22 @@
         4 => change.tree = Tree::empty().digest(),
         5 => change.command = "forged".into(),
         _ => {
-            // An entry forged whole, with a hash that fits it, still names the wrong
-            // predecessor or leaves the next entry without its own.
+            // A forged entry with a valid hash of its own still has the wrong predecessor, or its
+            // successor refers to the hash that it replaced.
             change.previous = Tree::empty().digest();
             change.hash = change.computed_hash();
         }
     }
 }
 
+// Dropping the values of old entries must not look like tampering.
 #[test]
-fn an_entry_whose_values_were_dropped_keeps_its_hash() {
+fn dropping_values_keeps_the_hash_chain_valid() {
     heatherknot_test_support::property::check()
-        .with_type::<Vec<Draw>>()
+        .with_type::<Vec<RandomEdit>>()
         .with_iterations(ROUNDS)
-        .for_each(|draws| {
-            let mut changes = chain(ChainPoint::default(), &accepted_trees(draws));
+        .for_each(|random_edits| {
+            let mut changes = chain(ChainPoint::default(), &accepted_trees(random_edits));
 
             for change in &mut changes {
                 change.edits = change.edits.iter().map(|e| e.without_values()).collect();
@@ -129,13 +134,14 @@
         });
 }
 
+// Keeping accounts as text must not change diffs, text, hashes or plans.
 #[test]
-fn a_tree_in_parts_is_the_same_as_its_whole_document() {
+fn split_documents_behave_like_whole_documents() {
     heatherknot_test_support::property::check()
-        .with_type::<Vec<Draw>>()
+        .with_type::<Vec<RandomEdit>>()
         .with_iterations(ROUNDS)
-        .for_each(|draws| {
-            let trees = accepted_trees(draws);
+        .for_each(|random_edits| {
+            let trees = accepted_trees(random_edits);
             let (first, last) = (&trees[0], &trees[trees.len() - 1]);
 
             let edits = first.diff(last);
--- a/crates/settings/tests/support/mod.rs
+++ b/crates/settings/tests/support/mod.rs
@@ -1,10 +1,10 @@
-//! Fixtures shared by the tests: a small tree, an author, random edits.
+//! Shared test fixtures: a small tree, an author and random edits.
 #![allow(dead_code, reason = "each test file uses its own part of the fixtures")]
 
 use heatherknot_settings::{Author, ChainPoint, Change, Tree, TreePath, edit};
 use serde_json::{Value as Json, json};
 
-/// Gives a tree of two accounts, one nested, with one service each.
+/// Returns a document with two accounts that have one service each, one of them nested.
 pub fn document() -> Json {
     json!({
         "schema": 1,
@@ -39,12 +39,12 @@
     })
 }
 
-/// Gives the checked tree of [`document`].
+/// Returns the validated tree of [`document`].
 pub fn tree() -> Tree {
     Tree::from_document(document()).unwrap()
 }
 
-/// Gives the author of a command.
+/// Returns an author with the given command identifier.
 pub fn author(command: &str) -> Author {
     Author {
         command: command.into(),
@@ -54,28 +54,28 @@
     }
 }
 
-/// Gives the tree with one value set.
-pub fn with(tree: &Tree, path: &str, value: Json) -> Tree {
+/// Returns the tree with one value set.
+pub fn with_value(tree: &Tree, path: &str, value: Json) -> Tree {
     let mut document = tree.document();
     edit::set(&mut document, &TreePath::parse(path).unwrap(), value).unwrap();
     Tree::from_document(document).unwrap()
 }
 
-/// Gives the change that sets one value, and the tree after it.
-pub fn set(at: ChainPoint, tree: &Tree, path: &str, value: Json) -> (Change, Tree) {
-    let after = with(tree, path, value);
+/// Returns the change that sets one value, and the tree after it.
+pub fn change_value(at: ChainPoint, tree: &Tree, path: &str, value: Json) -> (Change, Tree) {
+    let after = with_value(tree, path, value);
     let change = Change::between(at, tree, &after, author(path)).unwrap();
     (change, after)
 }
 
-/// Gives the first change, which fills the empty tree with [`document`].
+/// Returns the first change, which turns the empty tree into [`document`].
 pub fn first_change() -> Change {
     let empty = Tree::empty();
     Change::between(ChainPoint::default(), &empty, &tree(), author("fill")).unwrap()
 }
 
-/// One random edit: which path, and which value or none.
-pub type Draw = (u8, u8, u16);
+/// One random edit: selectors for the path and for the kind of value, and the value.
+pub type RandomEdit = (u8, u8, u16);
 
 const PATHS: [&str; 12] = [
     "defaults/deadline_ms",
@@ -92,15 +92,15 @@
     "platform/places/north-1/in_flight",
 ];
 
-/// Applies a random edit to the document; whether the outcome holds is for the check to say.
-pub fn apply_draw(document: &mut Json, draw: Draw) {
-    let path = TreePath::parse(PATHS[usize::from(draw.0) % PATHS.len()]).unwrap();
-    let value = match draw.1 % 6 {
+/// Applies a random edit to the document, without validating the result.
+pub fn apply_random_edit(document: &mut Json, random_edit: RandomEdit) {
+    let path = TreePath::parse(PATHS[usize::from(random_edit.0) % PATHS.len()]).unwrap();
+    let value = match random_edit.1 % 6 {
         0 => None,
-        1 => Some(json!(draw.2.is_multiple_of(2))),
+        1 => Some(json!(random_edit.2.is_multiple_of(2))),
         2 => Some(json!({})),
-        3 => Some(json!({ "defaults": { "queue_len": draw.2 % 100 } })),
-        _ => Some(json!(draw.2 % 700)),
+        3 => Some(json!({ "defaults": { "queue_len": random_edit.2 % 100 } })),
+        _ => Some(json!(random_edit.2 % 700)),
     };
     let _ = match value {
         None => edit::unset(document, &path),
@@ -108,13 +108,13 @@
     };
 }
 
-/// Gives the trees that come of the random edits, one for each that the check accepts.
-pub fn accepted_trees(draws: &[Draw]) -> Vec<Tree> {
+/// Applies the random edits in order and returns the first tree and each valid, changed tree.
+pub fn accepted_trees(random_edits: &[RandomEdit]) -> Vec<Tree> {
     let mut trees = vec![tree()];
-    for draw in draws {
+    for random_edit in random_edits {
         let last = &trees[trees.len() - 1];
         let mut document = last.document();
-        apply_draw(&mut document, *draw);
+        apply_random_edit(&mut document, *random_edit);
         if let Ok(next) = Tree::from_document(document)
             && next != *last
         {
@@ -124,7 +124,7 @@
     trees
 }
 
-/// Gives the changes between neighbouring trees, chained from the given point.
+/// Returns the changes between consecutive trees, starting at the given chain position.
 pub fn chain(from: ChainPoint, trees: &[Tree]) -> Vec<Change> {
     let mut at = from;
     let mut changes = Vec::new();
