--- a/crates/test-support/src/backend.rs
+++ b/crates/test-support/src/backend.rs
@@ -1,6 +1,7 @@
-//! A stand-in for a backend server: slots, response time, refusals, drains and faults.
+//! A fake backend server with configurable slots, response time, load shedding, draining and
+//! faults.
 //!
-//! It reads requests with the library's own decoders, apart from the code that it tests,
+//! It decodes requests with the HTTP library's decoders, independently of the code under test,
 //! and counts how often each request ran.
 
 mod connection;
@@ -15,39 +16,40 @@
 use http::{HeaderName, HeaderValue, StatusCode};
 use monoio::net::TcpListener;
 
-/// The request header that tells requests apart. Where it is missing, the path does.
+/// The request header that identifies a request. Without it, the path identifies the request.
 pub const REQUEST_ID_HEADER: HeaderName = HeaderName::from_static("x-request-id");
-/// The path of the health and load answer.
+/// The path that reports health and load.
 pub const HEALTH_PATH: &str = "/healthz";
 
-/// How a backend server treats its requests. It may change while the server runs.
+/// How a backend server handles requests. It may change while the server runs.
 #[derive(Clone, Debug)]
 pub struct Behavior {
-    /// Requests that run at once.
+    /// Maximum number of requests that run at once.
     pub slots: usize,
     /// What happens to a request while every slot is taken.
     pub when_full: WhenFull,
     /// How long each request runs.
     pub response_time: Duration,
-    /// Whether requests that run go on running until this changes.
+    /// Whether running requests are held until this is false again.
     pub held: bool,
-    /// The first requests after the start, which take longer.
+    /// Extra response time of the first requests after the start.
     pub cold_start: ColdStart,
-    /// Whether every request is refused before it runs.
+    /// Whether every request is rejected before it runs.
     pub shed_all: bool,
-    /// Whether answers and the health answer say that the server is leaving.
+    /// Whether responses and the health report say that the server is draining.
     pub draining: bool,
-    /// What a refused request gets.
+    /// The status and headers of the response to a rejected request.
     pub shed_response: (StatusCode, Vec<(HeaderName, HeaderValue)>),
-    /// What the answers of a leaving server carry.
+    /// The header that responses carry while the server drains.
     pub drain_header: (HeaderName, HeaderValue),
-    /// Length of the body of each answer, in bytes; it begins with the request's identifier.
+    /// Minimum length of each response body, in bytes. The body begins with the request's
+    /// identifier, which is never truncated.
     pub body_len: usize,
-    /// Whether bodies are sent in the chunked coding.
+    /// Whether response bodies use chunked transfer coding.
     pub chunked: bool,
-    /// What the health answer is, whatever the truth.
-    pub health_lie: Option<Bytes>,
-    /// What goes wrong with requests.
+    /// The body of the health report, in place of the server's actual state.
+    pub health_override: Option<Bytes>,
+    /// The fault applied to requests.
     pub fault: Fault,
 }
 
@@ -56,36 +58,36 @@
 pub enum WhenFull {
     /// It waits for a slot.
     Queue,
-    /// It is refused before it runs.
+    /// It is rejected before it runs.
     Shed,
 }
 
-/// The first requests after the start, which take longer.
+/// Extra response time of the first requests after the start.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ColdStart {
     /// How many requests take longer.
     pub requests: usize,
-    /// How much longer each takes.
+    /// The additional time that each takes.
     pub extra: Duration,
 }
 
-/// What goes wrong with requests.
+/// The fault applied to requests.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub enum Fault {
-    /// Nothing.
+    /// No fault.
     #[default]
     None,
-    /// The request is not run, and its connection is closed unanswered.
+    /// The request is not run, and its connection is closed without a response.
     ClosesBeforeRun,
-    /// The request runs, and its connection is closed unanswered.
+    /// The request runs, and its connection is closed without a response.
     ClosesAfterRun,
     /// The request runs and is never answered; the connection stays open.
     NeverAnswers,
-    /// The connection closes after half of the answer's body.
+    /// The connection closes after half of the response body.
     TruncatedBody,
     /// The request is answered before its body is read, and the connection is closed.
     AnswersEarly,
-    /// The request runs, and these bytes are its answer.
+    /// The request runs, and these bytes are sent as its response before the connection closes.
     Raw(Bytes),
 }
 
@@ -106,13 +108,13 @@
             ),
             body_len: 0,
             chunked: false,
-            health_lie: None,
+            health_override: None,
             fault: Fault::None,
         }
     }
 }
 
-/// A running stand-in for a backend server. Clones refer to the same one.
+/// A running fake backend server. Clones refer to the same server.
 #[derive(Clone)]
 pub struct FakeBackend {
     state: Rc<State>,
@@ -128,8 +130,8 @@
     cancelled: Cell<usize>,
     connections: Cell<usize>,
     accepted: Cell<usize>,
-    /// Connections accepted before this one are silent.
-    silent_below: Cell<usize>,
+    /// Connections with a number below this one discard what they receive and never respond.
+    blackholed_below: Cell<usize>,
     killed: Cell<bool>,
 }
 
@@ -138,7 +140,7 @@
     ///
     /// # Panics
     ///
-    /// Panics if no port can be had.
+    /// Panics if no port can be bound.
     pub fn start(behavior: Behavior) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").expect("an ephemeral port");
         let address = listener.local_addr().expect("a bound address");
@@ -151,70 +153,70 @@
             cancelled: Cell::new(0),
             connections: Cell::new(0),
             accepted: Cell::new(0),
-            silent_below: Cell::new(0),
+            blackholed_below: Cell::new(0),
             killed: Cell::new(false),
         });
         monoio::spawn(connection::accept(listener, Rc::clone(&state)));
         Self { state, address }
     }
 
-    /// Gives the address that it listens on.
+    /// Returns the address that it listens on.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Changes how it treats requests from now on.
+    /// Changes how it handles requests from now on.
     pub fn change(&self, change: impl FnOnce(&mut Behavior)) {
         change(&mut self.state.behavior.borrow_mut());
     }
 
-    /// Makes every connection that is open now silent: its bytes are taken and lost, as by
-    /// a middlebox that has forgotten it. New connections work.
+    /// Discards everything received on the connections that are open now, as a middlebox does
+    /// that has lost their state. New connections work.
     pub fn blackhole_open_connections(&self) {
-        self.state.silent_below.set(self.state.accepted.get());
+        self.state.blackholed_below.set(self.state.accepted.get());
     }
 
-    /// Closes each connection at its next request, and accepts no more.
+    /// Closes each connection at its next request and accepts no new ones.
     pub fn kill(&self) {
         self.state.killed.set(true);
     }
 
-    /// Gives how often the request with this identifier ran.
+    /// Returns how often the request with this identifier ran.
     pub fn runs_of(&self, id: &str) -> usize {
         self.state.runs.borrow().get(id).copied().unwrap_or(0)
     }
 
-    /// Gives how often each request ran.
+    /// Returns how often each request ran.
     pub fn runs(&self) -> HashMap<String, usize> {
         self.state.runs.borrow().clone()
     }
 
-    /// Gives the body that the request with this identifier had when it ran last.
+    /// Returns the body that the request with this identifier had when it ran last.
     pub fn body_of(&self, id: &str) -> Option<Vec<u8>> {
         self.state.bodies.borrow().get(id).cloned()
     }
 
-    /// Gives the number of requests that run now.
+    /// Returns the number of requests currently running.
     pub fn running(&self) -> usize {
         self.state.running.get()
     }
 
-    /// Gives the most requests that ever ran at once.
+    /// Returns the maximum number of requests that ran at once.
     pub fn most_running(&self) -> usize {
         self.state.most_running.get()
     }
 
-    /// Gives how often the connection of a running request was closed from the other side.
+    /// Returns how often the peer closed the connection of a running request.
     pub fn cancelled(&self) -> usize {
         self.state.cancelled.get()
     }
 
-    /// Gives the number of open connections.
+    /// Returns the number of open connections.
     pub fn connections(&self) -> usize {
         self.state.connections.get()
     }
 
-    /// Gives the number of connections accepted so far.
+    /// Returns the number of connections accepted so far.
     pub fn accepted(&self) -> usize {
         self.state.accepted.get()
     }
--- a/crates/test-support/src/backend/connection.rs
+++ b/crates/test-support/src/backend/connection.rs
@@ -1,4 +1,4 @@
-//! One connection of the stand-in for a backend server.
+//! A connection to the fake backend server.
 
 use std::fmt::Write;
 use std::io;
@@ -18,15 +18,15 @@
 
 use super::{Behavior, Fault, HEALTH_PATH, REQUEST_ID_HEADER, State, WhenFull};
 
-const READ: usize = 64 * 1024;
-/// Bodies of requests are kept up to this length.
-const KEPT_BODY: usize = 64 * 1024;
+const READ_BUFFER_BYTES: usize = 64 * 1024;
+/// Request bodies are recorded up to this length.
+const MAX_KEPT_BODY_BYTES: usize = 64 * 1024;
 /// Longer than any test runs.
 const FOREVER: Duration = Duration::from_secs(24 * 60 * 60);
-/// How often a request waits before it looks for a slot again.
-const SLOT_CHECK: Duration = Duration::from_millis(1);
-/// How often a request that is held looks whether it still is.
-const HELD_CHECK: Duration = Duration::from_millis(1);
+/// Interval at which a queued request checks for a free slot.
+const SLOT_POLL_INTERVAL: Duration = Duration::from_millis(1);
+/// Interval at which a held request checks whether it may finish.
+const HOLD_POLL_INTERVAL: Duration = Duration::from_millis(1);
 
 pub(super) async fn accept(listener: TcpListener, state: Rc<State>) {
     while let Ok((stream, _)) = listener.accept().await {
@@ -61,10 +61,10 @@
     }
 }
 
-/// Counts a request as running for as long as it lives.
-struct Run(Rc<State>);
+/// Counts a request as running until dropped.
+struct RunGuard(Rc<State>);
 
-impl Run {
+impl RunGuard {
     fn new(state: &Rc<State>, id: &str) -> Self {
         *state.runs.borrow_mut().entry(id.to_owned()).or_default() += 1;
         state.running.set(state.running.get() + 1);
@@ -74,7 +74,7 @@
     }
 }
 
-impl Drop for Run {
+impl Drop for RunGuard {
     fn drop(&mut self) {
         self.0.running.set(self.0.running.get() - 1);
     }
@@ -83,20 +83,21 @@
 impl Connection {
     async fn run(mut self) {
         while let Ok(Some(head)) = self.read_head().await {
-            if self.state.killed.get() || self.answer(head).await.is_err() {
+            if self.state.killed.get() || self.respond(head).await.is_err() {
                 return;
             }
         }
     }
 
     async fn fill(&mut self) -> io::Result<usize> {
-        self.buf.reserve(READ);
+        self.buf.reserve(READ_BUFFER_BYTES);
         let at = self.buf.len();
         let spare = self.buf.split_off(at);
         let (read, spare) = self.stream.read(spare).await;
         self.buf.unsplit(spare);
-        if self.number < self.state.silent_below.get() && matches!(read, Ok(n) if n > 0) {
-            // A future that nothing can wake would be dropped, and the connection with it.
+        if self.number < self.state.blackholed_below.get() && matches!(read, Ok(n) if n > 0) {
+            // Sleep on a timer: a future that nothing can wake would be dropped, and the
+            // connection closed with it.
             monoio::time::sleep(FOREVER).await;
         }
         read
@@ -122,8 +123,8 @@
             loop {
                 match decoder.decode(&mut self.buf).map_err(io::Error::other)? {
                     Decoded::Some(None) => return Ok(kept),
-                    Decoded::Some(Some(chunk)) => keep(&mut kept, &chunk),
-                    _ => self.fill_some().await?,
+                    Decoded::Some(Some(chunk)) => append_limited(&mut kept, &chunk),
+                    _ => self.fill_or_eof().await?,
                 }
             }
         }
@@ -133,27 +134,27 @@
             .unwrap_or(0);
         while left > 0 {
             if self.buf.is_empty() {
-                self.fill_some().await?;
+                self.fill_or_eof().await?;
             }
             let n = left.min(self.buf.len());
-            keep(&mut kept, &self.buf[..n]);
+            append_limited(&mut kept, &self.buf[..n]);
             self.buf.advance(n);
             left -= n;
         }
         Ok(kept)
     }
 
-    async fn fill_some(&mut self) -> io::Result<()> {
+    async fn fill_or_eof(&mut self) -> io::Result<()> {
         match self.fill().await? {
             0 => Err(io::ErrorKind::UnexpectedEof.into()),
             _ => Ok(()),
         }
     }
 
-    async fn answer(&mut self, head: RequestHead) -> io::Result<()> {
+    async fn respond(&mut self, head: RequestHead) -> io::Result<()> {
         let behavior = self.state.behavior.borrow().clone();
         if head.uri.path() == HEALTH_PATH {
-            let text = health(&self.state, &behavior);
+            let text = health_report(&self.state, &behavior);
             return self
                 .write(&head.method, &behavior, StatusCode::OK, &[], text)
                 .await;
@@ -178,12 +179,12 @@
                 .write(&head.method, &behavior, *status, headers, Bytes::new())
                 .await;
         }
-        let id = id_of(&head);
-        let run = Run::new(&self.state, &id);
+        let id = request_id(&head);
+        let run = RunGuard::new(&self.state, &id);
         self.state.bodies.borrow_mut().insert(id.clone(), body);
-        self.work(&behavior).await?;
+        self.run_request(&behavior).await?;
         drop(run);
-        self.write_answer(&head.method, &behavior, &id).await
+        self.write_response(&head.method, &behavior, &id).await
     }
 
     async fn wait_for_slot(&self, behavior: &Behavior) -> bool {
@@ -191,13 +192,13 @@
             if behavior.when_full == WhenFull::Shed {
                 return false;
             }
-            monoio::time::sleep(SLOT_CHECK).await;
+            monoio::time::sleep(SLOT_POLL_INTERVAL).await;
         }
         true
     }
 
-    /// Takes the time of a request; fails where the other side closes the connection.
-    async fn work(&mut self, behavior: &Behavior) -> io::Result<()> {
+    /// Waits for the duration of a request. Fails if the peer closes the connection meanwhile.
+    async fn run_request(&mut self, behavior: &Behavior) -> io::Result<()> {
         let runs: usize = self.state.runs.borrow().values().sum();
         let mut time = behavior.response_time;
         if runs <= behavior.cold_start.requests {
@@ -224,7 +225,7 @@
         }
     }
 
-    async fn write_answer(
+    async fn write_response(
         &mut self,
         method: &Method,
         behavior: &Behavior,
@@ -237,7 +238,7 @@
                 Err(io::ErrorKind::ConnectionAborted.into())
             }
             _ => {
-                let body = body_of(id, behavior.body_len);
+                let body = response_body(id, behavior.body_len);
                 self.write(method, behavior, StatusCode::OK, &[], body)
                     .await
             }
@@ -272,7 +273,7 @@
             (false, true) => body.len() / 2,
             (false, false) => body.len(),
         };
-        let is_small = body.len() < READ;
+        let is_small = body.len() < READ_BUFFER_BYTES;
         let mut first = text.into_bytes();
         if is_small {
             first.extend_from_slice(&body[..sent]);
@@ -294,36 +295,36 @@
     }
 }
 
-/// Waits for the time that a request takes, and for as long as requests are held.
+/// Waits for `time`, then for as long as requests are held.
 async fn finished(state: Rc<State>, time: Duration) {
     monoio::time::sleep(time).await;
     while state.behavior.borrow().held {
-        monoio::time::sleep(HELD_CHECK).await;
+        monoio::time::sleep(HOLD_POLL_INTERVAL).await;
     }
 }
 
-fn keep(kept: &mut Vec<u8>, bytes: &[u8]) {
-    let room = KEPT_BODY - kept.len().min(KEPT_BODY);
-    kept.extend_from_slice(&bytes[..bytes.len().min(room)]);
+fn append_limited(kept: &mut Vec<u8>, bytes: &[u8]) {
+    let remaining = MAX_KEPT_BODY_BYTES - kept.len().min(MAX_KEPT_BODY_BYTES);
+    kept.extend_from_slice(&bytes[..bytes.len().min(remaining)]);
 }
 
-fn id_of(head: &RequestHead) -> String {
+fn request_id(head: &RequestHead) -> String {
     let id = head.headers.get(REQUEST_ID_HEADER);
     let id = id.and_then(|id| id.to_str().ok());
     id.unwrap_or(head.uri.path()).to_owned()
 }
 
-/// Makes a body that shows whose answer it is: the request's identifier, filled up with
-/// zeros.
-fn body_of(id: &str, len: usize) -> Bytes {
+/// Returns a response body that identifies its request: the request's identifier, padded
+/// with `0` characters to `len`.
+fn response_body(id: &str, len: usize) -> Bytes {
     let mut body = id.as_bytes().to_vec();
     body.resize(len.max(body.len()), b'0');
     body.into()
 }
 
-fn health(state: &State, behavior: &Behavior) -> Bytes {
-    if let Some(lie) = &behavior.health_lie {
-        return lie.clone();
+fn health_report(state: &State, behavior: &Behavior) -> Bytes {
+    if let Some(body) = &behavior.health_override {
+        return body.clone();
     }
     let health = serde_json::json!({
         "draining": behavior.draining,
--- a/crates/test-support/src/caller.rs
+++ b/crates/test-support/src/caller.rs
@@ -1,4 +1,4 @@
-//! A caller that sends any bytes it likes and reads what comes back.
+//! A raw TCP client that sends arbitrary bytes and reads the response.
 
 use std::io;
 use std::net::SocketAddr;
@@ -6,7 +6,7 @@
 use monoio::io::{AsyncReadRent, AsyncWriteRent, AsyncWriteRentExt};
 use monoio::net::TcpStream;
 
-/// A connection on which nothing is checked or encoded.
+/// A TCP connection without HTTP encoding or validation.
 pub struct RawCaller {
     stream: TcpStream,
     received: Vec<u8>,
@@ -17,7 +17,7 @@
     ///
     /// # Errors
     ///
-    /// Returns an error where the connection is refused.
+    /// Returns an error if the connection is refused.
     pub async fn connect(address: SocketAddr) -> io::Result<Self> {
         let stream = TcpStream::connect_addr(address).await?;
         stream.set_nodelay(true)?;
@@ -27,30 +27,30 @@
         })
     }
 
-    /// Sends bytes as they are.
+    /// Sends bytes unchanged.
     ///
     /// # Errors
     ///
-    /// Returns an error where the other side closed the connection.
+    /// Returns an error if the peer closed the connection.
     pub async fn send(&mut self, bytes: impl Into<Vec<u8>>) -> io::Result<()> {
         self.stream.write_all(bytes.into()).await.0?;
         Ok(())
     }
 
-    /// Closes the sending side.
+    /// Shuts down the write half of the connection.
     ///
     /// # Errors
     ///
-    /// Returns an error where the connection is gone.
+    /// Returns an error if the connection is no longer open.
     pub async fn close_sending(&mut self) -> io::Result<()> {
         self.stream.shutdown().await
     }
 
-    /// Reads once more; gives the number of bytes, which is zero at the end.
+    /// Reads once and returns the number of bytes, which is zero at the end of the stream.
     ///
     /// # Errors
     ///
-    /// Returns an error where the connection was reset.
+    /// Returns an error if the connection was reset.
     pub async fn read_some(&mut self) -> io::Result<usize> {
         let (read, buf) = self.stream.read(Vec::with_capacity(64 * 1024)).await;
         let n = read?;
@@ -58,14 +58,14 @@
         Ok(n)
     }
 
-    /// Reads until `end` has come, and gives everything up to it and with it.
+    /// Reads until `end` arrives and returns everything up to and including it.
     ///
     /// # Errors
     ///
-    /// Returns an error where the connection ends before.
+    /// Returns an error if the connection closes before `end` arrives.
     pub async fn read_until(&mut self, end: &str) -> io::Result<String> {
         loop {
-            let found = find(&self.received, end.as_bytes());
+            let found = find_subslice(&self.received, end.as_bytes());
             if let Some(at) = found {
                 let rest = self.received.split_off(at + end.len());
                 let taken = std::mem::replace(&mut self.received, rest);
@@ -77,19 +77,19 @@
         }
     }
 
-    /// Reads until the other side closes, and gives everything not taken before. A reset
-    /// ends it as well.
+    /// Reads until the peer closes or resets the connection and returns all bytes not returned
+    /// before.
     pub async fn read_to_end(&mut self) -> String {
         while matches!(self.read_some().await, Ok(n) if n > 0) {}
         String::from_utf8_lossy(&std::mem::take(&mut self.received)).into_owned()
     }
 }
 
-fn find(text: &[u8], part: &[u8]) -> Option<usize> {
+fn find_subslice(text: &[u8], part: &[u8]) -> Option<usize> {
     text.windows(part.len()).position(|window| window == part)
 }
 
-/// Sends bytes on a new connection and gives everything that comes back until it closes.
+/// Sends bytes on a new connection and returns everything received until it closes.
 ///
 /// # Panics
 ///
--- a/crates/test-support/src/layouts.rs
+++ b/crates/test-support/src/layouts.rs
@@ -1,18 +1,18 @@
-//! Settings documents of two layouts: the screenshot and publishing service of a water and
-//! light board, and the placement service of a training network.
+//! Settings documents for two example deployments: the screenshot and publishing service of a
+//! water and light board, and the placement service of a training network.
 
 use std::net::SocketAddr;
 
 use serde_json::{Map, Value as Json, json};
 
-/// The upstream for which a layout needs an address.
+/// An upstream of a layout that is to be given an address.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct UpstreamSpec {
     /// The service, without its account.
     pub service: &'static str,
     /// The name of the upstream, unique in the layout.
     pub name: String,
-    /// The place, which has the name of its failure domain.
+    /// The place, named after its failure domain.
     pub place: String,
     /// Requests that the backend server runs at once.
     pub slots: u16,
@@ -23,10 +23,10 @@
 /// The account of the training network.
 pub const ENLACE: &str = "training/enlace";
 
-/// Requests a second that one slot is taken to serve, for the caps.
-const PER_SLOT: u32 = 10;
-/// The connections that every upstream accepts.
-const CONNECTIONS: u16 = 330;
+/// Requests per second that one slot is assumed to serve when caps are computed.
+const REQUESTS_PER_SECOND_PER_SLOT: u32 = 10;
+/// Maximum number of connections that each upstream accepts.
+const CONNECTIONS_PER_UPSTREAM: u16 = 330;
 const DOMAINS_PER_REGION: usize = 2;
 
 struct Layout {
@@ -44,8 +44,8 @@
     overrides: Json,
 }
 
-/// Gives the settings of Port Louis: `gallery`, `publisher` and `studio` in six failure
-/// domains (`north-1` to `south-2`), with the addresses that the function gives.
+/// Returns the settings of Port Louis: `gallery`, `publisher` and `studio` in six failure
+/// domains (`north-1` to `south-2`), with the addresses that `address` returns.
 pub fn port_louis(address: impl FnMut(&UpstreamSpec) -> SocketAddr) -> Json {
     let layout = Layout {
         group: "utilities",
@@ -71,8 +71,8 @@
     document(&layout, address)
 }
 
-/// Gives the settings of Enlace: `catalogo`, `asignaciones` and `expediente` in six failure
-/// domains (`valle-central-1` to `limon-2`), with the addresses that the function gives.
+/// Returns the settings of Enlace: `catalogo`, `asignaciones` and `expediente` in six failure
+/// domains (`valle-central-1` to `limon-2`), with the addresses that `address` returns.
 pub fn enlace(address: impl FnMut(&UpstreamSpec) -> SocketAddr) -> Json {
     let layout = Layout {
         group: "training",
@@ -98,7 +98,8 @@
     document(&layout, address)
 }
 
-/// Gives a different loopback address for each call, for tests that open no connection.
+/// Returns a function that gives a different loopback address on each call, for tests that
+/// open no connection.
 pub fn unused_addresses() -> impl FnMut(&UpstreamSpec) -> SocketAddr {
     let mut port = 20_000;
     move |_| {
@@ -117,21 +118,23 @@
 }
 
 fn document(layout: &Layout, mut address: impl FnMut(&UpstreamSpec) -> SocketAddr) -> Json {
-    let spots: Vec<UpstreamSpec> = layout
+    let upstream_specs: Vec<UpstreamSpec> = layout
         .services
         .iter()
-        .flat_map(|service| spots(layout, service))
+        .flat_map(|service| upstream_specs(layout, service))
         .collect();
     let mut services = Map::new();
     for service in &layout.services {
         let mut settings = service.overrides.clone();
-        let own = spots.iter().filter(|spot| spot.service == service.name);
-        settings["upstreams"] = own.map(|spot| upstream(spot, address(spot))).collect();
+        let own = upstream_specs
+            .iter()
+            .filter(|spec| spec.service == service.name);
+        settings["upstreams"] = own.map(|spec| upstream(spec, address(spec))).collect();
         services.insert(service.name.to_string(), settings);
     }
     json!({
         "schema": 1,
-        "platform": platform(layout, &spots),
+        "platform": platform(layout, &upstream_specs),
         "defaults": { "lookup_ttl_ms": 2000 },
         "accounts": {
             layout.group: {
@@ -143,15 +146,15 @@
     })
 }
 
-fn spots(layout: &Layout, service: &ServiceLayout) -> Vec<UpstreamSpec> {
+fn upstream_specs(layout: &Layout, service: &ServiceLayout) -> Vec<UpstreamSpec> {
     let domains: Vec<String> = domains(layout).map(|(domain, _)| domain).collect();
-    let spot = |at: usize| UpstreamSpec {
+    let spec = |at: usize| UpstreamSpec {
         service: service.name,
         name: format!("{}-{}", service.name, at + 1),
         place: domains[at % domains.len()].clone(),
         slots: service.slots,
     };
-    (0..service.upstreams).map(spot).collect()
+    (0..service.upstreams).map(spec).collect()
 }
 
 fn domains(layout: &Layout) -> impl Iterator<Item = (String, &'static str)> {
@@ -162,26 +165,26 @@
     })
 }
 
-fn upstream(spot: &UpstreamSpec, address: SocketAddr) -> (String, Json) {
+fn upstream(spec: &UpstreamSpec, address: SocketAddr) -> (String, Json) {
     let settings = json!({
-        "place": spot.place,
+        "place": spec.place,
         "address": address.to_string(),
-        "slots": spot.slots,
-        "connections": CONNECTIONS,
+        "slots": spec.slots,
+        "connections": CONNECTIONS_PER_UPSTREAM,
     });
-    (spot.name.clone(), settings)
+    (spec.name.clone(), settings)
 }
 
-fn platform(layout: &Layout, spots: &[UpstreamSpec]) -> Json {
+fn platform(layout: &Layout, upstream_specs: &[UpstreamSpec]) -> Json {
     let slots_in = |domain: &str| -> u32 {
-        let here = spots.iter().filter(|spot| spot.place == domain);
-        here.map(|spot| u32::from(spot.slots)).sum()
+        let here = upstream_specs.iter().filter(|spec| spec.place == domain);
+        here.map(|spec| u32::from(spec.slots)).sum()
     };
     let slots_of = |region: &str| -> u32 {
         let own = domains(layout).filter(|(_, of)| *of == region);
         own.map(|(domain, _)| slots_in(&domain)).sum()
     };
-    // A region bears nine tenths of what its places could take together.
+    // A region's cap is nine tenths of the total capacity of its places.
     let regions = layout.regions.iter();
     let regions = regions.map(|region| (region.to_string(), cap(slots_of(region) * 9 / 10)));
     let places = domains(layout).map(|(domain, _)| {
@@ -191,7 +194,7 @@
     });
     let links = layout.regions.iter().map(|from| {
         let others = layout.regions.iter().filter(|to| *to != from);
-        // A link carries half of what the region at its end could take.
+        // A link's cap is half of the capacity of its destination region.
         let ends: Json = others
             .map(|to| (to.to_string(), cap(slots_of(to) / 2)))
             .collect();
@@ -212,5 +215,5 @@
 }
 
 fn cap(slots: u32) -> Json {
-    json!({ "per_second": slots * PER_SLOT, "in_flight": slots })
+    json!({ "per_second": slots * REQUESTS_PER_SECOND_PER_SLOT, "in_flight": slots })
 }
--- a/crates/test-support/src/lib.rs
+++ b/crates/test-support/src/lib.rs
@@ -1,4 +1,4 @@
-//! Stand-ins for the platform, backend servers and callers, and fixtures for tests.
+//! In-process fakes of the platform, backend servers and callers, and fixtures for tests.
 
 pub mod backend;
 pub mod caller;
--- a/crates/test-support/src/platform/api.rs
+++ b/crates/test-support/src/platform/api.rs
@@ -1,5 +1,7 @@
-//! The calls of the key-value service, from JSON to JSON. Written apart from the adapter,
-//! so that a mistake of one is not repeated by the other.
+//! The calls of the key-value service, from JSON request to JSON response.
+//!
+//! This shares no code with the adapter under test, so that a mistake in one is not repeated
+//! in the other.
 
 use std::time::Duration;
 
@@ -9,14 +11,14 @@
 use http::StatusCode;
 use serde_json::{Value, json};
 
-use super::kv::{Change, Entry, Kv, MAX_VALUE, Span};
+use super::kv::{Change, Entry, KeyRange, Kv, MAX_VALUE_BYTES};
 
 const CODE_INVALID_ARGUMENT: u32 = 3;
 const CODE_NOT_FOUND: u32 = 5;
 const CODE_RESOURCE_EXHAUSTED: u32 = 8;
 const CODE_UNIMPLEMENTED: u32 = 12;
 
-/// An answer of the service.
+/// A response of the service.
 #[derive(Debug)]
 pub(super) struct Reply {
     pub status: StatusCode,
@@ -29,7 +31,7 @@
         Self { status, body }
     }
 
-    pub fn too_many() -> Self {
+    pub fn too_many_requests() -> Self {
         let message = "etcdserver: too many requests";
         Self::error(
             StatusCode::TOO_MANY_REQUESTS,
@@ -38,7 +40,7 @@
         )
     }
 
-    fn invalid(message: &str) -> Self {
+    fn invalid_argument(message: &str) -> Self {
         Self::error(StatusCode::BAD_REQUEST, CODE_INVALID_ARGUMENT, message)
     }
 
@@ -48,7 +50,7 @@
     }
 }
 
-/// Says whether a call may change anything.
+/// Returns whether a call may write.
 pub(super) fn is_write(path: &str, body: &Value) -> bool {
     match path {
         "/v3/kv/range" | "/v3/watch" | "/v1/vms" => false,
@@ -59,18 +61,20 @@
     }
 }
 
-/// Gives the keys that a transaction compares.
+/// Returns the keys that a transaction compares.
 pub(super) fn compared_keys(body: &Value) -> Vec<Vec<u8>> {
     let compares = body["compare"].as_array();
     let compares = compares.into_iter().flatten();
-    compares.map(|compare| bytes(&compare["key"])).collect()
+    compares
+        .map(|compare| decode_base64(&compare["key"]))
+        .collect()
 }
 
-/// Runs a call.
+/// Executes a call and returns its response.
 pub(super) fn apply(kv: &mut Kv, path: &str, body: &Value) -> Reply {
     kv.expire_due();
-    if let Some(refusal) = check(kv, path, body) {
-        return refusal;
+    if let Some(rejection) = validate(kv, path, body) {
+        return rejection;
     }
     match path {
         "/v3/kv/range" => Reply::ok(range(kv, body)),
@@ -81,7 +85,7 @@
             Reply::ok(json!({"header": header(kv)}))
         }
         "/v3/kv/deleterange" => {
-            let deleted = kv.delete(kv.revision + 1, &span(body));
+            let deleted = kv.delete(kv.revision + 1, &key_range(body));
             kv.revision += u64::from(deleted > 0);
             Reply::ok(json!({"header": header(kv), "deleted": deleted.to_string()}))
         }
@@ -96,13 +100,13 @@
     }
 }
 
-/// Gives the message of a watch that reports `changes`.
+/// Returns the watch message that reports `changes`. Without changes it is a progress message.
 pub(super) fn watch_message(kv: &Kv, changes: &[Change]) -> Value {
     let events = changes.iter().map(|change| match &change.entry {
         Some(entry) => json!({"kv": kv_json(&change.key, entry)}),
         None => json!({
             "type": "DELETE",
-            "kv": {"key": encode(&change.key), "mod_revision": change.revision.to_string()},
+            "kv": {"key": encode_base64(&change.key), "mod_revision": change.revision.to_string()},
         }),
     });
     let events: Vec<Value> = events.collect();
@@ -121,10 +125,10 @@
     json!({"result": {"header": header(kv), "canceled": true, "compact_revision": oldest}})
 }
 
-pub(super) fn span(body: &Value) -> Span {
-    let end = bytes(&body["range_end"]);
-    Span {
-        key: bytes(&body["key"]),
+pub(super) fn key_range(body: &Value) -> KeyRange {
+    let end = decode_base64(&body["range_end"]);
+    KeyRange {
+        key: decode_base64(&body["key"]),
         end: (!end.is_empty()).then_some(end),
     }
 }
@@ -136,7 +140,7 @@
     }
 }
 
-fn check(kv: &Kv, path: &str, body: &Value) -> Option<Reply> {
+fn validate(kv: &Kv, path: &str, body: &Value) -> Option<Reply> {
     let puts: Vec<&Value> = match path {
         "/v3/kv/put" => vec![body],
         "/v3/kv/txn" => ["success", "failure"]
@@ -146,11 +150,11 @@
         _ => Vec::new(),
     };
     for put in puts {
-        if bytes(&put["key"]).is_empty() {
-            return Some(Reply::invalid("etcdserver: key is not provided"));
+        if decode_base64(&put["key"]).is_empty() {
+            return Some(Reply::invalid_argument("etcdserver: key is not provided"));
         }
-        if bytes(&put["value"]).len() > MAX_VALUE {
-            return Some(Reply::invalid("etcdserver: request is too large"));
+        if decode_base64(&put["value"]).len() > MAX_VALUE_BYTES {
+            return Some(Reply::invalid_argument("etcdserver: request is too large"));
         }
         let lease = number(&put["lease"]);
         if lease != 0 && !kv.has_lease(lease) {
@@ -165,13 +169,15 @@
     let succeeded = compares
         .into_iter()
         .flatten()
-        .all(|compare| holds(kv, compare));
+        .all(|compare| compare_holds(kv, compare));
     let branch = if succeeded { "success" } else { "failure" };
-    let steps: Vec<&Value> = ops(body, branch).collect();
-    let writes = steps.iter().any(|op| op.get("request_range").is_none());
-    // The steps of one transaction share one revision.
+    let operations: Vec<&Value> = ops(body, branch).collect();
+    let writes = operations
+        .iter()
+        .any(|op| op.get("request_range").is_none());
+    // All operations of a transaction share one revision.
     kv.revision += u64::from(writes);
-    let responses: Vec<Value> = steps.iter().map(|op| step(kv, op)).collect();
+    let responses: Vec<Value> = operations.iter().map(|op| run_op(kv, op)).collect();
     let mut answer = json!({"header": header(kv), "responses": responses});
     if succeeded {
         answer["succeeded"] = Value::Bool(true);
@@ -179,7 +185,7 @@
     Reply::ok(answer)
 }
 
-fn step(kv: &mut Kv, op: &Value) -> Value {
+fn run_op(kv: &mut Kv, op: &Value) -> Value {
     if let Some(req) = op.get("request_range") {
         return json!({"response_range": range(kv, req)});
     }
@@ -187,13 +193,13 @@
         put(kv, req);
         return json!({"response_put": {"header": header(kv)}});
     }
-    let deleted = kv.delete(kv.revision, &span(&op["request_delete_range"]));
+    let deleted = kv.delete(kv.revision, &key_range(&op["request_delete_range"]));
     json!({"response_delete_range": {"header": header(kv), "deleted": deleted.to_string()}})
 }
 
-fn holds(kv: &Kv, compare: &Value) -> bool {
-    let entry = kv.entry(&bytes(&compare["key"]));
-    let (found, wanted) = match compare["target"].as_str() {
+fn compare_holds(kv: &Kv, compare: &Value) -> bool {
+    let entry = kv.entry(&decode_base64(&compare["key"]));
+    let (found, expected) = match compare["target"].as_str() {
         Some("MOD") => (
             entry.map_or(0, |entry| entry.modified),
             number(&compare["mod_revision"]),
@@ -209,21 +215,21 @@
     };
     let found = found as i64;
     match compare["result"].as_str() {
-        Some("GREATER") => found > wanted,
-        Some("LESS") => found < wanted,
-        Some("NOT_EQUAL") => found != wanted,
-        _ => found == wanted,
+        Some("GREATER") => found > expected,
+        Some("LESS") => found < expected,
+        Some("NOT_EQUAL") => found != expected,
+        _ => found == expected,
     }
 }
 
 fn put(kv: &mut Kv, req: &Value) {
-    let value = Bytes::from(bytes(&req["value"]));
+    let value = Bytes::from(decode_base64(&req["value"]));
     let lease = number(&req["lease"]);
-    kv.put(kv.revision, &bytes(&req["key"]), value, lease);
+    kv.put(kv.revision, &decode_base64(&req["key"]), value, lease);
 }
 
 fn range(kv: &Kv, req: &Value) -> Value {
-    let found = kv.range(&span(req));
+    let found = kv.range(&key_range(req));
     let limit = number(&req["limit"]) as usize;
     let kept = if limit == 0 { found.len() } else { limit };
     let kvs: Vec<Value> = found
@@ -271,8 +277,8 @@
 
 fn kv_json(key: &[u8], entry: &Entry) -> Value {
     let mut kv = json!({
-        "key": encode(key),
-        "value": encode(&entry.value),
+        "key": encode_base64(key),
+        "value": encode_base64(&entry.value),
         "create_revision": entry.created.to_string(),
         "mod_revision": entry.modified.to_string(),
         "version": entry.version.to_string(),
@@ -283,11 +289,11 @@
     kv
 }
 
-fn encode(raw: &[u8]) -> String {
+fn encode_base64(raw: &[u8]) -> String {
     STANDARD.encode(raw)
 }
 
-fn bytes(value: &Value) -> Vec<u8> {
+fn decode_base64(value: &Value) -> Vec<u8> {
     let text = value.as_str().unwrap_or_default();
     STANDARD.decode(text).unwrap_or_default()
 }
--- a/crates/test-support/src/platform/conn.rs
+++ b/crates/test-support/src/platform/conn.rs
@@ -1,4 +1,4 @@
-//! One connection of the stand-in: reads requests, applies the faults in force, answers.
+//! A connection to the fake platform: reads requests, applies the active faults and answers.
 
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
@@ -14,26 +14,26 @@
 
 use super::api::{self, Reply};
 use super::faults::Down;
-use super::kv::{Change, Span};
-use super::limits::Kind;
-use super::state::{State, lock, until};
+use super::kv::{Change, KeyRange};
+use super::limits::CallKind;
+use super::state::{State, lock, wait_until};
 
-/// How often a watch with nothing to report shows that it is alive.
-const PROGRESS: Duration = Duration::from_secs(5);
+/// Interval of the progress messages on an idle watch.
+const PROGRESS_INTERVAL: Duration = Duration::from_secs(5);
 
-type Shared = Arc<Mutex<State>>;
+type SharedState = Arc<Mutex<State>>;
 type Reader = RequestDecoder<OwnedReadHalf<TcpStream>>;
 type Writer = OwnedWriteHalf<TcpStream>;
 
-/// What becomes of a request.
-enum Verdict {
+/// How a request is handled.
+enum Action {
     Reply(Reply, Duration),
-    Watch(Span, u64),
+    Watch(KeyRange, u64),
     Close(Duration),
     Hang,
 }
 
-pub(super) async fn serve(conn: TcpStream, state: Shared) {
+pub(super) async fn serve(conn: TcpStream, state: SharedState) {
     let _ = conn.set_nodelay(true);
     let (reader, mut writer) = conn.into_split();
     let mut reader = RequestDecoder::new(reader);
@@ -41,25 +41,25 @@
         let Some((path, body)) = read(req, &mut reader).await else {
             return;
         };
-        let verdict = judge(&mut lock(&state), &path, &body);
+        let action = decide_action(&mut lock(&state), &path, &body);
         lock(&state).wake();
-        match verdict {
-            Verdict::Reply(reply, delay) => {
+        match action {
+            Action::Reply(reply, delay) => {
                 monoio::time::sleep(delay).await;
                 if write_reply(&mut writer, &reply).await.is_none() {
                     return;
                 }
             }
-            Verdict::Watch(span, start) => {
-                watch(&mut reader, &mut writer, &state, &span, start).await;
+            Action::Watch(key_range, start) => {
+                watch(&mut reader, &mut writer, &state, &key_range, start).await;
                 return;
             }
-            Verdict::Close(delay) => {
+            Action::Close(delay) => {
                 monoio::time::sleep(delay).await;
                 return;
             }
-            Verdict::Hang => {
-                until(&state, |state| state.faults.down != Some(Down::Hangs)).await;
+            Action::Hang => {
+                wait_until(&state, |state| state.faults.down != Some(Down::Hangs)).await;
                 return;
             }
         }
@@ -77,69 +77,73 @@
     Some((head.uri.path().to_owned(), body))
 }
 
-fn judge(state: &mut State, path: &str, body: &Value) -> Verdict {
-    count(state, path);
+fn decide_action(state: &mut State, path: &str, body: &Value) -> Action {
+    count_call(state, path);
     match state.faults.down {
-        Some(Down::Closes) => return Verdict::Close(Duration::ZERO),
-        Some(Down::Hangs) => return Verdict::Hang,
+        Some(Down::Closes) => return Action::Close(Duration::ZERO),
+        Some(Down::Hangs) => return Action::Hang,
         None => {}
     }
     let delay = state.faults.delay;
     let write = api::is_write(path, body);
-    let kind = if write { Kind::Write } else { Kind::Read };
-    if !write && strike(&mut state.faults.close_reads) {
-        return Verdict::Close(delay);
+    let kind = if write {
+        CallKind::Write
+    } else {
+        CallKind::Read
+    };
+    if !write && consume_fault(&mut state.faults.close_reads) {
+        return Action::Close(delay);
     }
-    if strike(&mut state.faults.rate_limited) {
+    if consume_fault(&mut state.faults.rate_limited) {
         state.limits.calls.limited += 1;
-        return Verdict::Reply(Reply::too_many(), delay);
+        return Action::Reply(Reply::too_many_requests(), delay);
     }
     if !state.limits.admit(kind) {
-        return Verdict::Reply(Reply::too_many(), delay);
+        return Action::Reply(Reply::too_many_requests(), delay);
     }
     match path {
         "/v1/vms" => {
             let faults = state.faults.clone();
-            return Verdict::Reply(Reply::ok(state.vms.read(&faults)), delay);
+            return Action::Reply(Reply::ok(state.vms.read(&faults)), delay);
         }
         "/v3/watch" => {
             let req = &body["create_request"];
             let start = api::number(&req["start_revision"]) as u64;
-            return Verdict::Watch(api::span(req), start);
+            return Action::Watch(api::key_range(req), start);
         }
-        "/v3/kv/txn" if write => race(state, body),
+        "/v3/kv/txn" if write => apply_concurrent_writes(state, body),
         _ => {}
     }
-    if write && strike(&mut state.faults.hold_writes) {
+    if write && consume_fault(&mut state.faults.hold_writes) {
         state.held.push((path.to_owned(), body.clone()));
-        return Verdict::Close(delay);
+        return Action::Close(delay);
     }
     let reply = api::apply(&mut state.kv, path, body);
-    if write && strike(&mut state.faults.lose_answers) {
-        return Verdict::Close(delay);
+    if write && consume_fault(&mut state.faults.lose_answers) {
+        return Action::Close(delay);
     }
-    Verdict::Reply(reply, delay)
+    Action::Reply(reply, delay)
 }
 
-/// Lets another client's writes take place before a transaction.
-fn race(state: &mut State, body: &Value) {
+/// Applies the writes that a fault injects for another client before a transaction.
+fn apply_concurrent_writes(state: &mut State, body: &Value) {
     for (key, value) in std::mem::take(&mut state.faults.concurrent_writes) {
-        state.kv.put_now(key.as_bytes(), value);
+        state.kv.put_at_next_revision(key.as_bytes(), value);
     }
-    if strike(&mut state.faults.conflicts) {
+    if consume_fault(&mut state.faults.conflicts) {
         for key in api::compared_keys(body) {
             state.kv.touch(&key);
         }
     }
 }
 
-fn strike(left: &mut u32) -> bool {
-    let strikes = *left > 0;
+fn consume_fault(left: &mut u32) -> bool {
+    let occurs = *left > 0;
     *left = left.saturating_sub(1);
-    strikes
+    occurs
 }
 
-fn count(state: &mut State, path: &str) {
+fn count_call(state: &mut State, path: &str) {
     let calls = &mut state.limits.calls;
     let counter = match path {
         "/v3/kv/range" => &mut calls.range,
@@ -152,16 +156,27 @@
     *counter += 1;
 }
 
-async fn watch(reader: &mut Reader, writer: &mut Writer, state: &Shared, span: &Span, start: u64) {
+async fn watch(
+    reader: &mut Reader,
+    writer: &mut Writer,
+    state: &SharedState,
+    key_range: &KeyRange,
+    start: u64,
+) {
     lock(state).limits.calls.watching += 1;
-    let gone = Box::pin(reader.next());
-    let report = Box::pin(report(writer, state, span, start));
-    select(gone, report).await;
+    let closed = Box::pin(reader.next());
+    let streaming = Box::pin(stream_changes(writer, state, key_range, start));
+    select(closed, streaming).await;
     let mut state = lock(state);
     state.limits.calls.watching -= 1;
 }
 
-async fn report(writer: &mut Writer, state: &Shared, span: &Span, start: u64) -> Option<()> {
+async fn stream_changes(
+    writer: &mut Writer,
+    state: &SharedState,
+    key_range: &KeyRange,
+    start: u64,
+) -> Option<()> {
     let (mut next, created) = {
         let state = lock(state);
         let next = if start == 0 {
@@ -176,11 +191,11 @@
     write(writer, head.into()).await?;
     write_chunk(writer, &created).await?;
     loop {
-        let pending = Box::pin(until(state, |state| {
+        let pending = Box::pin(wait_until(state, |state| {
             !state.faults.watch_stalled && state.kv.revision >= next || state.faults.down.is_some()
         }));
-        let progress = Box::pin(monoio::time::sleep(PROGRESS));
-        let due = matches!(select(pending, progress).await, Either::Left(_));
+        let progress = Box::pin(monoio::time::sleep(PROGRESS_INTERVAL));
+        let revision_advanced = matches!(select(pending, progress).await, Either::Left(_));
         let message = {
             let mut state = lock(state);
             if state.faults.down.is_some() {
@@ -192,10 +207,10 @@
             if next <= state.kv.compacted {
                 Err(api::watch_compacted(&state.kv))
             } else {
-                let changes = take_changes(&mut state, span, next);
+                let changes = collect_changes(&mut state, key_range, next);
                 next = state.kv.revision + 1;
-                let nothing = changes.is_empty() && due;
-                Ok((!nothing).then(|| api::watch_message(&state.kv, &changes)))
+                let skip_message = changes.is_empty() && revision_advanced;
+                Ok((!skip_message).then(|| api::watch_message(&state.kv, &changes)))
             }
         };
         match message {
@@ -209,13 +224,13 @@
     }
 }
 
-fn take_changes(state: &mut State, span: &Span, from: u64) -> Vec<Change> {
+fn collect_changes(state: &mut State, key_range: &KeyRange, from: u64) -> Vec<Change> {
     let history = &state.kv.history;
     let first = history.partition_point(|change| change.revision < from);
     let found = history[first..].iter();
-    let found = found.filter(|change| span.contains(&change.key));
+    let found = found.filter(|change| key_range.contains(&change.key));
     let mut changes: Vec<Change> = found.cloned().collect();
-    changes.retain(|_| !strike(&mut state.faults.skip_events));
+    changes.retain(|_| !consume_fault(&mut state.faults.skip_events));
     changes
 }
 
--- a/crates/test-support/src/platform/faults.rs
+++ b/crates/test-support/src/platform/faults.rs
@@ -1,46 +1,46 @@
-//! The faults that a test can switch on.
+//! The faults that a test can inject.
 
 use std::time::Duration;
 
 use bytes::Bytes;
 
-/// How the platform is down.
+/// How the platform fails during an outage.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Down {
-    /// Connections are closed as soon as they bring a request.
+    /// A connection is closed when it delivers a request.
     Closes,
-    /// Requests are read and never answered.
+    /// Requests are read but never answered.
     Hangs,
 }
 
-/// The faults in force. A count strikes that many times and then no more.
+/// The active faults. A counted fault occurs that many times, then stops.
 #[derive(Clone, Debug, Default)]
 pub struct Faults {
-    /// The platform is down.
+    /// The current outage, if any.
     pub down: Option<Down>,
-    /// Every answer takes this long; the effect comes before the wait.
+    /// Delay before every answer. The call takes effect before the delay.
     pub delay: Duration,
-    /// This many of the next writes are applied and their connections closed unanswered.
+    /// The next this many writes are applied, but their connections are closed without an answer.
     pub lose_answers: u32,
-    /// This many of the next reads are closed unanswered.
+    /// The connections of the next this many reads are closed without an answer.
     pub close_reads: u32,
-    /// This many of the next writes are closed unanswered and applied only by
+    /// The connections of the next this many writes are closed without an answer. The writes
+    /// are applied only by
     /// [`apply_held_writes`](super::PlatformHandle::apply_held_writes).
     pub hold_writes: u32,
-    /// Before this many of the next transactions that may write, another client rewrites the
-    /// keys compared.
+    /// Before each of the next this many transactions that may write, another client rewrites
+    /// the compared keys.
     pub conflicts: u32,
-    /// Writes of another client that take place just before the next transaction that may
-    /// write.
+    /// Writes by another client, applied just before the next transaction that may write.
     pub concurrent_writes: Vec<(String, Bytes)>,
-    /// This many of the next calls are refused as too many.
+    /// The next this many calls are rejected as rate limited.
     pub rate_limited: u32,
-    /// Watches stay open and bring nothing.
+    /// Watches stay open but deliver nothing.
     pub watch_stalled: bool,
-    /// Watches leave out this many of the next changes.
+    /// Watches omit the next this many changes.
     pub skip_events: u32,
-    /// The VM list shows the state of this long ago.
-    pub vm_lag: Duration,
-    /// The VM list shows what it last showed, whatever is set meanwhile.
+    /// How far the VM list lags behind the current state.
+    pub vm_list_lag: Duration,
+    /// The VM list repeats its last answer and ignores updates.
     pub vm_list_frozen: bool,
 }
--- a/crates/test-support/src/platform/kv.rs
+++ b/crates/test-support/src/platform/kv.rs
@@ -1,4 +1,4 @@
-//! The keys, leases and changes of the stand-in.
+//! The keys, leases and change history of the fake platform.
 
 use std::collections::BTreeMap;
 use std::ops::Bound;
@@ -6,10 +6,10 @@
 
 use bytes::Bytes;
 
-/// Changes kept for watches before the oldest are forgotten.
+/// Number of changes kept for watches. Beyond it the older half is compacted.
 const MAX_HISTORY: usize = 50_000;
-/// The longest value.
-pub(super) const MAX_VALUE: usize = 1 << 20;
+/// The maximum length of a value, in bytes.
+pub(super) const MAX_VALUE_BYTES: usize = 1 << 20;
 
 #[derive(Clone, Debug)]
 pub(super) struct Entry {
@@ -24,24 +24,25 @@
 pub(super) struct Change {
     pub revision: u64,
     pub key: Vec<u8>,
-    /// What the key holds after the change; `None` for a key that was deleted.
+    /// The key's entry after the change; `None` if the key was deleted.
     pub entry: Option<Entry>,
 }
 
 #[derive(Debug)]
 pub(super) struct Lease {
     pub ttl: Duration,
-    pub ends: Instant,
+    pub expires: Instant,
 }
 
-/// A key, or the keys from the first to the second, which is left out.
+/// A single key, or the half-open range from `key` to `end`. An `end` of `\0` means no upper
+/// bound, as in etcd.
 #[derive(Clone, Debug)]
-pub(super) struct Span {
+pub(super) struct KeyRange {
     pub key: Vec<u8>,
     pub end: Option<Vec<u8>>,
 }
 
-impl Span {
+impl KeyRange {
     pub fn contains(&self, key: &[u8]) -> bool {
         match &self.end {
             None => key == self.key,
@@ -100,21 +101,21 @@
             .collect()
     }
 
-    pub fn range(&self, span: &Span) -> Vec<(Vec<u8>, Entry)> {
-        if span
+    pub fn range(&self, key_range: &KeyRange) -> Vec<(Vec<u8>, Entry)> {
+        if key_range
             .end
             .as_ref()
-            .is_some_and(|end| end != b"\0" && *end <= span.key)
+            .is_some_and(|end| end != b"\0" && *end <= key_range.key)
         {
             return Vec::new();
         }
-        let found = self.entries.range(span.bounds());
+        let found = self.entries.range(key_range.bounds());
         found
             .map(|(key, entry)| (key.clone(), entry.clone()))
             .collect()
     }
 
-    /// Writes a key at the revision that is being made.
+    /// Writes a key at the given revision.
     pub fn put(&mut self, revision: u64, key: &[u8], value: Bytes, lease: i64) {
         let old = self.entries.get(key);
         let entry = Entry {
@@ -128,22 +129,22 @@
         self.record(revision, key, Some(entry));
     }
 
-    /// Deletes keys at the revision that is being made and gives their number.
-    pub fn delete(&mut self, revision: u64, span: &Span) -> usize {
-        let doomed = self.range(span);
-        for (key, _) in &doomed {
+    /// Deletes keys at the given revision and returns their number.
+    pub fn delete(&mut self, revision: u64, key_range: &KeyRange) -> usize {
+        let deleted = self.range(key_range);
+        for (key, _) in &deleted {
             self.entries.remove(key);
             self.record(revision, key, None);
         }
-        doomed.len()
+        deleted.len()
     }
 
-    pub fn put_now(&mut self, key: &[u8], value: Bytes) {
+    pub fn put_at_next_revision(&mut self, key: &[u8], value: Bytes) {
         self.revision += 1;
         self.put(self.revision, key, value, 0);
     }
 
-    /// Writes a key's value again, so that its revision moves.
+    /// Rewrites a key with its current value, which advances its modification revision.
     pub fn touch(&mut self, key: &[u8]) {
         if let Some(entry) = self.entries.get(key).cloned() {
             self.revision += 1;
@@ -158,8 +159,8 @@
 
     pub fn grant(&mut self, ttl: Duration) -> i64 {
         self.next_lease += 1;
-        let ends = Instant::now() + ttl;
-        self.leases.insert(self.next_lease, Lease { ttl, ends });
+        let expires = Instant::now() + ttl;
+        self.leases.insert(self.next_lease, Lease { ttl, expires });
         self.next_lease
     }
 
@@ -169,19 +170,19 @@
 
     pub fn keep_alive(&mut self, id: i64) -> Option<Duration> {
         let lease = self.leases.get_mut(&id)?;
-        lease.ends = Instant::now() + lease.ttl;
+        lease.expires = Instant::now() + lease.ttl;
         Some(lease.ttl)
     }
 
     pub fn revoke(&mut self, id: i64) -> bool {
         let known = self.leases.remove(&id).is_some();
-        let tied = self.entries.iter().filter(|(_, entry)| entry.lease == id);
-        let tied: Vec<Vec<u8>> = tied.map(|(key, _)| key.clone()).collect();
-        if !tied.is_empty() {
+        let attached = self.entries.iter().filter(|(_, entry)| entry.lease == id);
+        let attached: Vec<Vec<u8>> = attached.map(|(key, _)| key.clone()).collect();
+        if !attached.is_empty() {
             self.revision += 1;
         }
-        for key in tied {
-            self.delete(self.revision, &Span { key, end: None });
+        for key in attached {
+            self.delete(self.revision, &KeyRange { key, end: None });
         }
         known
     }
@@ -194,7 +195,7 @@
 
     pub fn expire_due(&mut self) {
         let now = Instant::now();
-        let due = self.leases.iter().filter(|(_, lease)| lease.ends <= now);
+        let due = self.leases.iter().filter(|(_, lease)| lease.expires <= now);
         for id in due.map(|(id, _)| *id).collect::<Vec<_>>() {
             self.revoke(id);
         }
--- a/crates/test-support/src/platform/limits.rs
+++ b/crates/test-support/src/platform/limits.rs
@@ -1,13 +1,13 @@
-//! How many calls the stand-in answers, and how many it has seen.
+//! Rate limits and call counters of the fake platform.
 
 use std::time::Instant;
 
-/// The calls a second that the platform answers. A bucket holds one second's worth.
+/// Rate limits, in calls per second. Each token bucket holds one second's worth.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Rates {
     /// Transactions with a write, puts, and calls on leases.
     pub writes: u32,
-    /// Reads. A waiting watch uses one of them in each second that it waits.
+    /// Reads. Each open watch uses one read per second.
     pub reads: u32,
 }
 
@@ -20,36 +20,36 @@
     }
 }
 
-/// Calls seen so far, by kind. Refused calls are counted by kind too.
+/// Number of calls received, by kind, including rejected calls.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Calls {
     /// Range reads.
     pub range: u64,
     /// Transactions.
     pub txn: u64,
-    /// Single writes and deletes.
+    /// Puts and deletes outside a transaction.
     pub put: u64,
     /// Calls on leases.
     pub lease: u64,
     /// Watches started.
     pub watch: u64,
-    /// Watches waiting at this moment.
+    /// Watches currently open.
     pub watching: u64,
     /// Reads of the VM list.
     pub vms: u64,
-    /// Calls refused as too many.
+    /// Calls rejected by a rate limit.
     pub limited: u64,
 }
 
 impl Calls {
-    /// Gives the number of all calls.
+    /// Returns the total number of calls.
     pub fn total(&self) -> u64 {
         self.range + self.txn + self.put + self.lease + self.watch + self.vms
     }
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Kind {
+pub(super) enum CallKind {
     Read,
     Write,
 }
@@ -59,7 +59,7 @@
     rates: Rates,
     reads: f64,
     writes: f64,
-    filled: Instant,
+    last_refill: Instant,
     pub calls: Calls,
 }
 
@@ -69,17 +69,17 @@
             rates,
             reads: rates.reads.into(),
             writes: rates.writes.into(),
-            filled: Instant::now(),
+            last_refill: Instant::now(),
             calls: Calls::default(),
         }
     }
 
-    /// Takes one call from the allowance; `false` refuses it.
-    pub fn admit(&mut self, kind: Kind) -> bool {
-        self.fill();
+    /// Takes a token for one call and returns whether the call is admitted.
+    pub fn admit(&mut self, kind: CallKind) -> bool {
+        self.refill();
         let bucket = match kind {
-            Kind::Read => &mut self.reads,
-            Kind::Write => &mut self.writes,
+            CallKind::Read => &mut self.reads,
+            CallKind::Write => &mut self.writes,
         };
         let admitted = *bucket >= 1.0;
         if admitted {
@@ -90,9 +90,9 @@
         admitted
     }
 
-    fn fill(&mut self) {
-        let elapsed = self.filled.elapsed().as_secs_f64();
-        self.filled = Instant::now();
+    fn refill(&mut self) {
+        let elapsed = self.last_refill.elapsed().as_secs_f64();
+        self.last_refill = Instant::now();
         let watching = self.calls.watching as f64;
         let reads = f64::from(self.rates.reads);
         let writes = f64::from(self.rates.writes);
--- a/crates/test-support/src/platform/mod.rs
+++ b/crates/test-support/src/platform/mod.rs
@@ -1,5 +1,6 @@
-//! A stand-in for the platform: its key-value service and its VM list, in memory, on a
-//! thread of its own, with faults that a test can switch on from any thread.
+//! An in-memory fake of the platform: its key-value service and its VM list.
+//!
+//! The fake runs on its own thread. A test can inject faults from any thread.
 
 mod api;
 mod conn;
@@ -23,25 +24,25 @@
 
 use state::State;
 
-/// What a stand-in starts with.
+/// The initial configuration of a fake platform.
 #[derive(Clone, Debug, Default)]
 pub struct PlatformConfig {
-    /// How many calls a second it answers.
+    /// The rate limits on calls.
     pub rates: Rates,
-    /// The VMs in its list.
+    /// The initial VM list.
     pub vms: Vec<PlatformVm>,
 }
 
-/// Starts stand-ins for the platform.
+/// Starts fake platforms.
 #[derive(Debug)]
 pub struct Platform;
 
 impl Platform {
-    /// Starts a stand-in on a port of 127.0.0.1 that the system chooses.
+    /// Starts a fake platform on an ephemeral port of 127.0.0.1.
     ///
     /// # Panics
     ///
-    /// Panics if no port or no thread can be had.
+    /// Panics if no port can be bound or no thread can be spawned.
     pub fn start(cfg: PlatformConfig) -> PlatformHandle {
         let listener = StdListener::bind("127.0.0.1:0").expect("loopback should have a free port");
         let address = listener
@@ -61,7 +62,7 @@
     }
 }
 
-/// A running stand-in. Dropping the handle stops it.
+/// A handle to a running fake platform. Dropping the handle stops it.
 #[derive(Debug)]
 pub struct PlatformHandle {
     address: SocketAddr,
@@ -70,61 +71,62 @@
 }
 
 impl PlatformHandle {
-    /// Gives the address that it listens on.
+    /// Returns the address that it listens on.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Changes the faults in force.
+    /// Changes the active faults.
     pub fn faults(&self, change: impl FnOnce(&mut Faults)) {
         let mut state = self.lock();
         change(&mut state.faults);
         state.wake();
     }
 
-    /// Gives the faults in force; counted ones show how often they will still strike.
+    /// Returns the active faults. A counted fault holds the number of times it is still to occur.
     pub fn current_faults(&self) -> Faults {
         self.lock().faults.clone()
     }
 
-    /// Gives the number of calls so far, by kind.
+    /// Returns the number of calls so far, by kind.
     pub fn calls(&self) -> Calls {
         self.lock().limits.calls.clone()
     }
 
-    /// Reads a key's value past the protocol and its limits.
+    /// Returns a key's value directly, without the protocol and its rate limits.
     pub fn get(&self, key: &str) -> Option<Bytes> {
         self.lock().kv.value(key.as_bytes())
     }
 
-    /// Gives the keys that start with `prefix`.
+    /// Returns the keys that start with `prefix`.
     pub fn keys(&self, prefix: &str) -> Vec<String> {
         self.lock().kv.keys_with_prefix(prefix)
     }
 
-    /// Writes a key as another client would.
+    /// Writes a key as another client would, without the rate limits.
     pub fn put(&self, key: &str, value: impl Into<Bytes>) {
         let mut state = self.lock();
-        state.kv.put_now(key.as_bytes(), value.into());
+        state.kv.put_at_next_revision(key.as_bytes(), value.into());
         state.wake();
     }
 
-    /// Ends every lease at once, as if its time had passed.
+    /// Expires every lease immediately, as if its TTL had elapsed.
     pub fn expire_leases(&self) {
         let mut state = self.lock();
         state.kv.expire_all();
         state.wake();
     }
 
-    /// Forgets all changes up to now, so that a watch can no longer start from them.
+    /// Compacts the history up to the current revision, so that a watch can no longer start
+    /// from an earlier one.
     pub fn compact(&self) {
         let mut state = self.lock();
         state.kv.compact();
         state.wake();
     }
 
-    /// Applies the writes that [`Faults::hold_writes`] kept back, in the order of arrival,
-    /// and gives their number.
+    /// Applies the writes held by [`Faults::hold_writes`] in the order of arrival and returns
+    /// their number.
     pub fn apply_held_writes(&self) -> usize {
         let mut state = self.lock();
         let released = state.apply_held_writes();
@@ -132,7 +134,7 @@
         released
     }
 
-    /// Replaces the VM list; readers see it after [`Faults::vm_lag`].
+    /// Replaces the VM list; readers see the new list after [`Faults::vm_list_lag`].
     pub fn set_vms(&self, vms: Vec<PlatformVm>) {
         self.lock().vms.set(vms);
     }
@@ -150,7 +152,8 @@
             state.wake();
         }
         if let Some(thread) = self.thread.take() {
-            // A panic of the thread has been printed there; a second one here would abort.
+            // The thread has already printed its own panic. A second panic during unwinding
+            // would abort the process.
             let _ = thread.join();
         }
     }
@@ -163,7 +166,7 @@
     let listener = TcpListener::from_std(listener).expect("epoll should take the listener");
     loop {
         let accept = Box::pin(listener.accept());
-        let stopped = Box::pin(state::until(&state, |state| state.stopped));
+        let stopped = Box::pin(state::wait_until(&state, |state| state.stopped));
         match select(accept, stopped).await {
             Either::Left((Ok((conn, _)), _)) => {
                 monoio::spawn(conn::serve(conn, state.clone()));
--- a/crates/test-support/src/platform/state.rs
+++ b/crates/test-support/src/platform/state.rs
@@ -1,4 +1,4 @@
-//! All that the stand-in's connections share.
+//! The state shared by the fake platform's connections.
 
 use std::future::poll_fn;
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -20,9 +20,9 @@
     pub limits: Limits,
     pub vms: Vms,
     pub stopped: bool,
-    /// Writes kept back by a fault, with their paths.
+    /// Paths and bodies of the writes held by [`Faults::hold_writes`].
     pub held: Vec<(String, Value)>,
-    waiting: Vec<Waker>,
+    wakers: Vec<Waker>,
 }
 
 impl State {
@@ -34,13 +34,13 @@
             vms: Vms::new(cfg.vms),
             stopped: false,
             held: Vec::new(),
-            waiting: Vec::new(),
+            wakers: Vec::new(),
         }
     }
 
-    /// Wakes every task that waits for a change.
+    /// Wakes every task that waits in [`wait_until`].
     pub fn wake(&mut self) {
-        for waker in self.waiting.drain(..) {
+        for waker in self.wakers.drain(..) {
             waker.wake();
         }
     }
@@ -54,21 +54,21 @@
     }
 }
 
-/// Locks the state, whatever became of a thread that held it before.
+/// Locks the state, ignoring poisoning by a thread that panicked.
 pub(super) fn lock(state: &Arc<Mutex<State>>) -> MutexGuard<'_, State> {
     state
         .lock()
         .unwrap_or_else(|poisoned| poisoned.into_inner())
 }
 
-/// Waits until `ready` holds.
-pub(super) async fn until(state: &Arc<Mutex<State>>, ready: impl Fn(&State) -> bool) {
+/// Waits until `ready` returns true. It is checked again after each [`State::wake`].
+pub(super) async fn wait_until(state: &Arc<Mutex<State>>, ready: impl Fn(&State) -> bool) {
     poll_fn(|cx| {
         let mut state = lock(state);
         if ready(&state) {
             return Poll::Ready(());
         }
-        state.waiting.push(cx.waker().clone());
+        state.wakers.push(cx.waker().clone());
         Poll::Pending
     })
     .await;
--- a/crates/test-support/src/platform/vms.rs
+++ b/crates/test-support/src/platform/vms.rs
@@ -1,4 +1,4 @@
-//! The VM list of the stand-in, which lags on request.
+//! The VM list of the fake platform, with optional lag.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -13,60 +13,60 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum PlatformVmState {
-    /// The VM runs.
+    /// The VM is running.
     Live,
-    /// The VM will be taken away soon.
+    /// The VM is about to be removed.
     Leaving,
-    /// The VM has been taken away.
+    /// The VM has been removed.
     Gone,
 }
 
-/// One VM in the list.
+/// An entry of the VM list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct PlatformVm {
     /// The name of the VM.
     pub name: VmName,
     /// Its failure domain.
     pub domain: DomainName,
-    /// Where its daemon accepts connections of peers.
+    /// The address on which its daemon accepts peer connections.
     pub address: SocketAddr,
     /// Its state.
     pub state: PlatformVmState,
 }
 
 #[derive(Debug)]
-struct Version {
+struct Snapshot {
     since: Instant,
     vms: Vec<PlatformVm>,
 }
 
 #[derive(Debug)]
 pub(super) struct Vms {
-    versions: Vec<Version>,
-    shown: usize,
+    snapshots: Vec<Snapshot>,
+    served_index: usize,
 }
 
 impl Vms {
     pub fn new(vms: Vec<PlatformVm>) -> Self {
         let since = Instant::now();
         Self {
-            versions: vec![Version { since, vms }],
-            shown: 0,
+            snapshots: vec![Snapshot { since, vms }],
+            served_index: 0,
         }
     }
 
     pub fn set(&mut self, vms: Vec<PlatformVm>) {
         let since = Instant::now();
-        self.versions.push(Version { since, vms });
+        self.snapshots.push(Snapshot { since, vms });
     }
 
     pub fn read(&mut self, faults: &Faults) -> Value {
         if !faults.vm_list_frozen {
-            self.shown = self.newest(faults.vm_lag);
+            self.served_index = self.newest_visible(faults.vm_list_lag);
         }
-        let version = &self.versions[self.shown];
-        let age = version.since.elapsed().as_millis() as u64;
-        let records = version.vms.iter().map(|vm| {
+        let snapshot = &self.snapshots[self.served_index];
+        let age = snapshot.since.elapsed().as_millis() as u64;
+        let records = snapshot.vms.iter().map(|vm| {
             json!({
                 "name": vm.name,
                 "domain": vm.domain,
@@ -78,8 +78,8 @@
         records.collect()
     }
 
-    fn newest(&self, lag: Duration) -> usize {
-        let old_enough = |version: &Version| version.since.elapsed() >= lag;
-        self.versions.iter().rposition(old_enough).unwrap_or(0)
+    fn newest_visible(&self, lag: Duration) -> usize {
+        let old_enough = |snapshot: &Snapshot| snapshot.since.elapsed() >= lag;
+        self.snapshots.iter().rposition(old_enough).unwrap_or(0)
     }
 }
--- a/crates/test-support/src/property.rs
+++ b/crates/test-support/src/property.rs
@@ -1,8 +1,8 @@
 //! Property tests whose inputs are the same in every run.
 //!
-//! `bolero` draws its inputs from the operating system's randomness, so that a rare failure
-//! would show in one run of CI and not in the next. Here its generators are fed from numbered
-//! seeds instead. [`FIRST_SEED`] moves on to other inputs, to look for failures by hand.
+//! `bolero` takes its randomness from the operating system, so a rare failure would appear in
+//! one CI run and not in the next. This module feeds its generators from numbered seeds
+//! instead. Set [`FIRST_SEED`] to try other inputs by hand.
 
 use std::fmt::Debug;
 
@@ -13,13 +13,13 @@
 use rand::SeedableRng;
 use rand::rngs::StdRng;
 
-/// The environment variable that holds the number of the first seed, 0 where it is not set.
+/// The environment variable that holds the first seed, 0 if unset.
 pub const FIRST_SEED: &str = "HEATHERKNOT_FIRST_SEED";
 
-/// Inputs of a test that names no number of its own.
+/// Number of inputs of a test that does not set its own.
 const DEFAULT_ITERATIONS: u64 = 1_000;
 
-/// A property test that is being set up.
+/// A builder for a property test.
 #[derive(Debug)]
 pub struct Check<G> {
     generator: G,
@@ -27,7 +27,7 @@
     options: Options,
 }
 
-/// Begins a property test over byte strings.
+/// Returns a builder for a property test over byte strings.
 pub fn check() -> Check<TypeValueGenerator<Vec<u8>>> {
     Check {
         generator: bolero::generator::bolero_generator::produce(),
@@ -37,12 +37,12 @@
 }
 
 impl<G> Check<G> {
-    /// Draws values of a type.
+    /// Generates values of type `T`.
     pub fn with_type<T: TypeGenerator>(self) -> Check<TypeValueGenerator<T>> {
         self.with_generator(bolero::generator::bolero_generator::produce())
     }
 
-    /// Draws values from a generator.
+    /// Generates values with `generator`.
     pub fn with_generator<H: ValueGenerator>(self, generator: H) -> Check<H> {
         Check {
             generator,
@@ -57,7 +57,7 @@
         self
     }
 
-    /// Sets the most random bytes that one input is made of.
+    /// Sets the maximum number of random bytes used to generate one input.
     pub fn with_max_len(mut self, max_len: usize) -> Self {
         self.options = self.options.with_max_len(max_len);
         self
@@ -72,7 +72,7 @@
     ///
     /// # Panics
     ///
-    /// Panics where the test does, after printing the seed and the input.
+    /// Panics if the test panics, after printing the seed and the input.
     pub fn for_each(self, mut test: impl FnMut(&G::Output)) {
         let first = std::env::var(FIRST_SEED).ok();
         let first: u64 = first.and_then(|text| text.parse().ok()).unwrap_or(0);
@@ -91,7 +91,7 @@
     }
 }
 
-/// Prints the input of the test that panics.
+/// Prints the seed and the input when dropped during a panic.
 struct Report<'a, T: Debug> {
     seed: u64,
     value: &'a T,
--- a/crates/test-support/src/runtime.rs
+++ b/crates/test-support/src/runtime.rs
@@ -1,14 +1,14 @@
-//! The runtime that tests run their tasks on.
+//! The async runtime for tests.
 
 use std::future::Future;
 
 use monoio::{LegacyDriver, RuntimeBuilder};
 
-/// Runs `task` to its end on a new epoll runtime with timers, on this thread.
+/// Runs `task` to completion on the current thread, on a new epoll runtime with timers.
 ///
 /// # Panics
 ///
-/// Panics if the operating system gives no epoll instance.
+/// Panics if the operating system cannot create an epoll instance.
 pub fn block_on<F: Future>(task: F) -> F::Output {
     RuntimeBuilder::<LegacyDriver>::new()
         .enable_timer()
