--- a/crates/daemon/src/settings_task.rs
+++ b/crates/daemon/src/settings_task.rs
@@ -17,7 +17,7 @@
             bring_into_force(&cx);
         }
     });
-    SettingsPort::for_holder(Rc::clone(holder), changed)
+    SettingsPort::for_replica(Rc::clone(holder), changed)
 }
 
 /// Makes what the holder holds the settings that decisions are made under.
--- a/crates/peer/src/settings_port.rs
+++ b/crates/peer/src/settings_port.rs
@@ -75,7 +75,10 @@
 
 impl SettingsPort {
     /// Creates the interface to a holder. `changed` is called with each new revision.
-    pub fn for_holder(holder: Rc<RefCell<SettingsReplica>>, changed: Rc<dyn Fn(Revision)>) -> Self {
+    pub fn for_replica(
+        holder: Rc<RefCell<SettingsReplica>>,
+        changed: Rc<dyn Fn(Revision)>,
+    ) -> Self {
         let (revision, snapshot) = (Rc::clone(&holder), Rc::clone(&holder));
         Self {
             revision: Rc::new(move || revision.borrow().revision()),
--- a/crates/peer/tests/relay.rs
+++ b/crates/peer/tests/relay.rs
@@ -348,7 +348,7 @@
     let recorder = Rc::clone(&notified);
     let holder = Rc::new(RefCell::new(SettingsReplica::new()));
     let port =
-        SettingsPort::for_holder(holder, Rc::new(move |rev| recorder.borrow_mut().push(rev)));
+        SettingsPort::for_replica(holder, Rc::new(move |rev| recorder.borrow_mut().push(rev)));
     let initial = (port.snapshot)();
 
     for revision in [5, 3, 7] {
