--- a/crates/gateway/src/run.rs
+++ b/crates/gateway/src/run.rs
@@ -74,16 +74,9 @@
                     place,
                     upstream,
                 } => {
-                    let chosen = (place, upstream);
-                    self.send_local(
-                        call,
-                        &mut exchange,
-                        &attempts,
-                        admission,
-                        chosen,
-                        &mut flight,
-                    )
-                    .await
+                    let pick = (place, upstream);
+                    self.send_local(call, &mut exchange, &attempts, admission, pick, &mut flight)
+                        .await
                 }
                 Admitted::Remote {
                     admission,
--- a/crates/replay/src/requests.rs
+++ b/crates/replay/src/requests.rs
@@ -291,9 +291,8 @@
             self.end_hop(&hop, Ending::NotRun(Refusal::after(Millis(1000))));
             return;
         }
-        let chance = self.rng.u32(0..1000);
-        let Served::Runs { span, answered } = self.backends.start(&service, &upstream, chance)
-        else {
+        let draw = self.rng.u32(0..1000);
+        let Served::Runs { span, answered } = self.backends.start(&service, &upstream, draw) else {
             self.tally_of(hop.id).shed += 1;
             self.finish(hop.vm, &hold, RequestOutcome::Shed);
             self.try_again(hop);
--- a/crates/steering/src/admission.rs
+++ b/crates/steering/src/admission.rs
@@ -101,9 +101,7 @@
         }
         let place_order = self.place_order(&req.service, rng);
         self.count_account_demand(req, service, &place_order, now);
-        let first = place_order
-            .first()
-            .and_then(|place| self.places.get_mut(place));
+        let first = place_order.first().and_then(|p| self.places.get_mut(p));
         if let Some(state) = first {
             state.local_demand.add(1);
         }
