--- a/crates/cli/tests/support/mod.rs
+++ b/crates/cli/tests/support/mod.rs
@@ -68,21 +68,21 @@
 }
 
 fn operator_context(store: &Arc<Mutex<SharedStore>>) -> OperatorContext {
-    let holder = Rc::new(RefCell::new(SettingsReplica::new()));
-    let (holder_for_held, holder_for_refresh) = (holder.clone(), holder);
+    let replica = Rc::new(RefCell::new(SettingsReplica::new()));
+    let (replica_for_current, replica_for_refresh) = (replica.clone(), replica);
     let (store_for_refresh, store_for_commit, store_for_find, store_for_history) =
         (store.clone(), store.clone(), store.clone(), store.clone());
     let store_for_status = store.clone();
     OperatorContext {
-        current_settings: Rc::new(move || held(&holder_for_held)),
+        current_settings: Rc::new(move || current_settings(&replica_for_current)),
         refresh: Rc::new(move || {
             let changes = store_for_refresh.lock().unwrap().changes.clone();
-            holder_for_refresh
+            replica_for_refresh
                 .borrow_mut()
                 .accept_changes(&changes)
                 .unwrap();
-            let held = held(&holder_for_refresh);
-            async move { Ok(held) }.boxed_local()
+            let current = current_settings(&replica_for_refresh);
+            async move { Ok(current) }.boxed_local()
         }),
         commit: Rc::new(move |proposal| {
             let outcome = commit(&mut store_for_commit.lock().unwrap(), &proposal);
@@ -106,11 +106,11 @@
     }
 }
 
-fn held(holder: &Rc<RefCell<SettingsReplica>>) -> CurrentSettings {
-    let holder = holder.borrow();
+fn current_settings(replica: &Rc<RefCell<SettingsReplica>>) -> CurrentSettings {
+    let replica = replica.borrow();
     CurrentSettings {
-        chain_point: holder.at(),
-        tree: holder.tree().clone(),
+        chain_point: replica.at(),
+        tree: replica.tree().clone(),
     }
 }
 
--- a/crates/operator/src/read.rs
+++ b/crates/operator/src/read.rs
@@ -131,8 +131,8 @@
     let mut scan = HistoryScan::new(req.after);
     let mut more = true;
     while more && scan.scanned < limit {
-        let (page, is_partial) = session.read_page(scan.last_seen.revision).await?;
-        more = is_partial;
+        let (page, more_follow) = session.read_page(scan.last_seen.revision).await?;
+        more = more_follow;
         for stored in &page {
             if scan.scanned == limit {
                 more = true;
--- a/crates/peer/src/relay.rs
+++ b/crates/peer/src/relay.rs
@@ -267,11 +267,11 @@
             None => true,
             Some(Ok(delivery)) => {
                 *self.store_error.borrow_mut() = None;
-                let held = self.revision();
+                let before = self.revision();
                 // `apply` records a refusal. A refused or stale delivery counts as a failure,
                 // because the store would return it again immediately.
                 let _ = self.apply(delivery, Origin::Store);
-                self.revision() > held
+                self.revision() > before
             }
             Some(Err(error)) => {
                 warn!(step = "watching the store", error:% = error; "failed to read the store");
@@ -281,23 +281,23 @@
         }
     }
 
-    /// Applies a newer revision to the holder. Older revisions and the revision in force are
+    /// Applies a newer revision to the replica. Older revisions and the revision in force are
     /// ignored, whatever their origin: a failure domain that was partitioned, a process that was
     /// paused and a stale read of the store can all deliver them.
     pub(crate) fn apply(&self, delivery: Delivery, origin: Origin) -> Result<(), String> {
-        let held = self.revision();
+        let previous = self.revision();
         let given = delivery.revision();
-        if given <= held {
+        if given <= previous {
             return Ok(());
         }
-        self.check_revision_jump(&delivery, held)?;
+        self.check_revision_jump(&delivery, previous)?;
         if let Err(reason) = (self.settings.apply)(&delivery) {
             self.record_refusal(given, &reason);
             return Err(reason);
         }
-        self.record_in_force(&delivery, held, &origin);
+        self.record_in_force(&delivery, previous, &origin);
         if self.should_push_to_domain(&origin) {
-            self.push_to_domain(held);
+            self.push_to_domain(previous);
         }
         Ok(())
     }
@@ -326,11 +326,11 @@
         });
     }
 
-    fn record_in_force(&self, delivery: &Delivery, held: Revision, origin: &Origin) {
+    fn record_in_force(&self, delivery: &Delivery, previous: Revision, origin: &Origin) {
         let mut log = self.log.borrow_mut();
         match delivery {
             Delivery::Changes(changes) => {
-                let new = changes.iter().filter(|c| c.revision > held);
+                let new = changes.iter().filter(|c| c.revision > previous);
                 new.cloned().for_each(|change| log.push(change));
             }
             Delivery::Snapshot(_) => log.clear(),
--- a/crates/peer/src/relay_wire.rs
+++ b/crates/peer/src/relay_wire.rs
@@ -115,13 +115,13 @@
 }
 
 impl RelayState {
-    /// Sends the changes that follow `held` to every VM of the domain.
-    pub(crate) fn push_to_domain(&self, held: Revision) {
+    /// Sends the changes that follow `after` to every VM of the domain.
+    pub(crate) fn push_to_domain(&self, after: Revision) {
         let net = self.net.borrow();
         let Some(net) = net.as_ref() else {
             return;
         };
-        let changes = self.log.borrow().since(held, self.options.max_push_bytes);
+        let changes = self.log.borrow().since(after, self.options.max_push_bytes);
         let notice = Notice {
             revision: self.revision(),
             changes: changes.unwrap_or_default(),
@@ -203,8 +203,8 @@
 
     async fn pull_rounds(&self, vm: &VmName) -> Result<(), PeerError> {
         for _ in 0..MAX_PULL_ROUNDS {
-            let held = self.revision();
-            let delivery = match self.call::<_, PullAnswer>(vm, PULL, &held).await? {
+            let before = self.revision();
+            let delivery = match self.call::<_, PullAnswer>(vm, PULL, &before).await? {
                 PullAnswer::Changes(changes) => Delivery::Changes(changes),
                 PullAnswer::Snapshot { revision, parts } => {
                     match self.fetch_parts(vm, revision, parts).await? {
@@ -218,7 +218,7 @@
                 }
             };
             let applied = self.apply(delivery, Origin::Peer(vm.clone()));
-            if applied.is_err() || self.revision() == held {
+            if applied.is_err() || self.revision() == before {
                 return Ok(());
             }
         }
--- a/crates/peer/src/settings_port.rs
+++ b/crates/peer/src/settings_port.rs
@@ -1,4 +1,4 @@
-//! Interfaces between the relay and the holder and store of the settings.
+//! Interfaces between the relay and the replica and store of the settings.
 //!
 //! The relay forwards changes and snapshots without interpreting them.
 
@@ -18,7 +18,7 @@
     /// The revision that the change created.
     #[serde(rename = "r")]
     pub revision: Revision,
-    /// The change as JSON, in the holder's format.
+    /// The change as JSON, in the replica's format.
     #[serde(rename = "b")]
     pub body: Box<RawValue>,
 }
@@ -28,7 +28,7 @@
 pub struct RelayedSnapshot {
     /// The revision.
     pub revision: Revision,
-    /// The settings as JSON, in the holder's format.
+    /// The settings as JSON, in the replica's format.
     pub body: Box<RawValue>,
 }
 
@@ -53,7 +53,7 @@
 
 type Apply = Rc<dyn Fn(&Delivery) -> Result<(), String>>;
 
-/// Interface to the holder of the settings in force.
+/// Interface to the replica of the settings in force.
 #[derive(Clone)]
 pub struct SettingsPort {
     /// Returns the revision in force.
@@ -74,18 +74,18 @@
 }
 
 impl SettingsPort {
-    /// Creates the interface to a holder. `changed` is called with each new revision.
+    /// Creates the interface to a replica. `changed` is called with each new revision.
     pub fn for_replica(
-        holder: Rc<RefCell<SettingsReplica>>,
+        replica: Rc<RefCell<SettingsReplica>>,
         changed: Rc<dyn Fn(Revision)>,
     ) -> Self {
-        let (revision, snapshot) = (Rc::clone(&holder), Rc::clone(&holder));
+        let (revision, snapshot) = (Rc::clone(&replica), Rc::clone(&replica));
         Self {
             revision: Rc::new(move || revision.borrow().revision()),
             apply: Rc::new(move |delivery| {
-                let before = holder.borrow().revision();
-                let applied = apply_to(&mut holder.borrow_mut(), delivery);
-                let after = holder.borrow().revision();
+                let before = replica.borrow().revision();
+                let applied = apply_to(&mut replica.borrow_mut(), delivery);
+                let after = replica.borrow().revision();
                 if after > before {
                     changed(after);
                 }
@@ -96,26 +96,26 @@
     }
 }
 
-fn apply_to(holder: &mut SettingsReplica, delivery: &Delivery) -> Result<(), String> {
+fn apply_to(replica: &mut SettingsReplica, delivery: &Delivery) -> Result<(), String> {
     let applied = match delivery {
         Delivery::Changes(changes) => {
             let changes = changes.iter().map(|c| serde_json::from_str(c.body.get()));
             let changes = changes.collect::<Result<Vec<Change>, _>>();
-            holder.accept_changes(&changes.map_err(|e| e.to_string())?)
+            replica.accept_changes(&changes.map_err(|e| e.to_string())?)
         }
         Delivery::Snapshot(snapshot) => {
             let snapshot = serde_json::from_str::<Snapshot>(snapshot.body.get());
-            holder.accept_snapshot(snapshot.map_err(|e| e.to_string())?)
+            replica.accept_snapshot(snapshot.map_err(|e| e.to_string())?)
         }
     };
     applied.map(|_| ()).map_err(|e| e.to_string())
 }
 
-fn relayed_snapshot(holder: &SettingsReplica) -> Option<RelayedSnapshot> {
-    let revision = holder.revision();
+fn relayed_snapshot(replica: &SettingsReplica) -> Option<RelayedSnapshot> {
+    let revision = replica.revision();
     if revision == Revision::NONE {
         return None;
     }
-    let body = serde_json::value::to_raw_value(&holder.snapshot()).ok()?;
+    let body = serde_json::value::to_raw_value(&replica.snapshot()).ok()?;
     Some(RelayedSnapshot { revision, body })
 }
--- a/crates/peer/tests/relay.rs
+++ b/crates/peer/tests/relay.rs
@@ -270,12 +270,12 @@
         let second = fixture.store.commit("second");
         fixture.until_in_force(rest.iter().copied(), second).await;
         fixture.time.run_for(30_000).await;
-        let held = stopped.settings.revision();
+        let current = stopped.settings.revision();
         set_path_between(&fixture.network, &[stopped], &rest, Path::Open);
         stopped.paused.set(false);
         fixture.until_in_force(&nodes, second).await;
 
-        assert_eq!(held, first);
+        assert_eq!(current, first);
         assert!(!any_reverted(&nodes));
     });
 }
@@ -332,7 +332,7 @@
 }
 
 #[test]
-fn a_holder_applies_only_newer_snapshots_and_notifies_of_each() {
+fn a_replica_applies_only_newer_snapshots_and_notifies_of_each() {
     let snapshot = |revision: u64| {
         let empty = SettingsReplica::new().snapshot();
         let at = ChainPoint {
@@ -346,9 +346,9 @@
     };
     let notified = Rc::new(RefCell::new(Vec::new()));
     let recorder = Rc::clone(&notified);
-    let holder = Rc::new(RefCell::new(SettingsReplica::new()));
+    let replica = Rc::new(RefCell::new(SettingsReplica::new()));
     let port =
-        SettingsPort::for_replica(holder, Rc::new(move |rev| recorder.borrow_mut().push(rev)));
+        SettingsPort::for_replica(replica, Rc::new(move |rev| recorder.borrow_mut().push(rev)));
     let initial = (port.snapshot)();
 
     for revision in [5, 3, 7] {
@@ -398,9 +398,9 @@
         );
         let is_quiet = Rc::clone(&quiet);
         setup.store = Some(heatherknot_peer::StorePort {
-            next: Rc::new(move |held| {
+            next: Rc::new(move |after| {
                 if !is_quiet.get() {
-                    return (store.next)(held);
+                    return (store.next)(after);
                 }
                 let time = time.clone();
                 Box::pin(async move {
--- a/crates/peer/tests/support/fleet.rs
+++ b/crates/peer/tests/support/fleet.rs
@@ -18,11 +18,11 @@
 /// A fake of the platform's VM list.
 pub type ListedVms = Rc<RefCell<Vec<VmRecord>>>;
 
-/// A fake of the holder of settings, which keeps the changes of all revisions.
+/// A fake of the replica of the settings, which keeps the changes of all revisions.
 #[derive(Clone, Default)]
 pub struct FakeSettings {
     pub changes: Rc<RefCell<Vec<RelayedChange>>>,
-    /// A revision that this holder cannot read.
+    /// A revision that this replica cannot read.
     pub unreadable: Rc<Cell<Option<Revision>>>,
     pub refusals: Rc<Cell<u32>>,
     /// Set once a revision has been replaced by an older one.
@@ -48,12 +48,12 @@
             self.refusals.set(self.refusals.get() + 1);
             return Err(String::from("a newer schema"));
         }
-        let held = self.revision();
+        let current = self.revision();
         let mut changes = self.changes.borrow_mut();
         match delivery {
             Delivery::Changes(given) => {
-                let newer: Vec<_> = given.iter().filter(|c| c.revision > held).collect();
-                if newer.first().map(|c| c.revision) != Some(held.next()) {
+                let newer: Vec<_> = given.iter().filter(|c| c.revision > current).collect();
+                if newer.first().map(|c| c.revision) != Some(current.next()) {
                     return Err(String::from("a gap"));
                 }
                 changes.extend(newer.into_iter().cloned());
@@ -65,7 +65,7 @@
         }
         drop(changes);
         self.reverted
-            .set(self.reverted.get() || self.revision() < held);
+            .set(self.reverted.get() || self.revision() < current);
         Ok(())
     }
 
@@ -111,7 +111,7 @@
     pub fn port(&self, time: &TestTime, cut: &Rc<Cell<bool>>) -> StorePort {
         let (store, cut, timer) = (self.clone(), Rc::clone(cut), time.timer());
         StorePort {
-            next: Rc::new(move |held| {
+            next: Rc::new(move |after| {
                 let (store, cut, timer) = (store.clone(), Rc::clone(&cut), timer.clone());
                 store.calls.set(store.calls.get() + 1);
                 Box::pin(async move {
@@ -120,8 +120,8 @@
                         if let Some(stale) = &*store.stale.borrow() {
                             return Ok(stale.clone());
                         }
-                        if store.settings.revision() > held {
-                            return Ok(store.changes_after(held));
+                        if store.settings.revision() > after {
+                            return Ok(store.changes_after(after));
                         }
                         timer.wait(Millis(50)).await;
                     }
@@ -132,12 +132,12 @@
         }
     }
 
-    fn changes_after(&self, held: Revision) -> Delivery {
+    fn changes_after(&self, after: Revision) -> Delivery {
         let changes = self.settings.changes.borrow();
         Delivery::Changes(
             changes
                 .iter()
-                .filter(|c| c.revision > held)
+                .filter(|c| c.revision > after)
                 .cloned()
                 .collect(),
         )
@@ -224,12 +224,12 @@
             self.relay_options,
             &mut self.cx.methods,
         );
-        let held = self.settings.clone();
+        let settings = self.settings.clone();
         let membership = Membership::new(
             MembershipContext {
                 seeds: self.seeds,
                 platform: self.listed.map(platform_list),
-                revision: Rc::new(move || held.revision()),
+                revision: Rc::new(move || settings.revision()),
                 reports: self.reports,
                 hooks: MembershipHooks {
                     on_resume: Rc::new(move |_| on_resume()),
--- a/crates/store/src/commit/history.rs
+++ b/crates/store/src/commit/history.rs
@@ -22,7 +22,7 @@
 pub struct StoredChange {
     /// The revision that the change created.
     pub revision: Revision,
-    /// The change as it was committed, or shortened if it is in a pack.
+    /// The change as it was committed, or compacted if it is in a pack.
     pub change: Bytes,
 }
 
--- a/crates/store/src/commit/pack.rs
+++ b/crates/store/src/commit/pack.rs
@@ -98,7 +98,7 @@
     Ok(changes)
 }
 
-/// Reads and shortens the changes of the next pack. Returns `None` if there are too few.
+/// Reads and compacts the changes of the next pack. Returns `None` if there are too few.
 async fn read_oldest(
     store: &Store,
     end: Revision,
--- a/crates/store/tests/history.rs
+++ b/crates/store/tests/history.rs
@@ -124,7 +124,7 @@
     assert_eq!(audit, expected(8));
 }
 
-/// A pack exceeds the maximum size of a value, or contains changes that were not shortened.
+/// A pack exceeds the maximum size of a value, or contains changes that were not compacted.
 #[test]
 fn long_changes_are_shortened_and_packs_fit_into_a_value() {
     let platform = platform();
